--- a/core/coordination/cascade/cascade.go
+++ b/core/coordination/cascade/cascade.go
@@ -11,14 +11,14 @@
 
 // Rules of the estimates.
 const (
-	priorGood   = 1.0 // a new step is taken to be good enough every second time
-	priorSeen   = 2.0
-	forget      = 0.995 // of what was seen, at each new rating
-	holdWeight  = 0.1
-	exploreEach = 25  // one request in so many starts at a step that is skipped
-	timeSlack   = 1.5 // a step may take so many times its mean
-	raterDown   = 3   // failures in a row after which nothing waits for the rater
-	raterAgain  = 64  // requests after which it is tried again
+	priorAccepted        = 1.0 // a new step is taken to be good enough every second time
+	priorRated           = 2.0
+	ratingDecay          = 0.995 // of what was seen, at each new rating
+	durationWeight       = 0.1
+	explorationInterval  = 25  // one request in so many starts at a step that is skipped
+	durationSafetyFactor = 1.5 // a step may take so many times its mean
+	maxRaterFailures     = 3   // failures in a row after which nothing waits for the rater
+	raterRetryInterval   = 64  // requests after which it is tried again
 )
 
 // Step is one step of a cascade.
@@ -28,108 +28,108 @@
 }
 
 // Kind groups requests of about the same length.
-func Kind(body int) int { return bits.Len(uint(body)) }
+func Kind(bodySize int) int { return bits.Len(uint(bodySize)) }
 
 // Estimator learns from past requests.
 type Estimator struct {
-	mu       sync.Mutex // guards all below
-	good     map[subject]*count
-	hold     map[string]float64 // seconds, by model
-	asked    int
-	failures int // of the rater, in a row
-	skipped  int // requests since the rater was found down
+	mu                    sync.Mutex // guards all below
+	ratings               map[ratingKey]*ratingStats
+	meanDurations         map[string]float64 // seconds, by model
+	decisions             int
+	raterFailures         int // of the rater, in a row
+	decisionsWithoutRater int // requests since the rater was found down
 }
 
-type subject struct {
+type ratingKey struct {
 	organisation string
 	model        string
-	kind         int
+	sizeClass    int
 }
 
-type count struct {
-	good float64
-	seen float64
+type ratingStats struct {
+	accepted float64
+	rated    float64
 }
 
 // Start returns the step to begin with: the one of least expected cost, among
 // those after which there would still be time for the steps that follow.
-func (e *Estimator) Start(organisation string, kind int, steps []Step, remaining time.Duration) int {
+func (e *Estimator) Start(organisation string, sizeClass int, steps []Step, remaining time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	last := len(steps) - 1
-	if e.withoutRater() {
+	if e.shouldSkipRater() {
 		return last
 	}
-	e.asked++
-	explore := e.asked%exploreEach == 0
+	e.decisions++
+	explore := e.decisions%explorationInterval == 0
 	// From the strongest down: what it costs to start at each step.
-	best, cost := last, steps[last].Price
+	best, bestCost := last, steps[last].Price
 	for i := last - 1; i >= 0; i-- {
-		if !e.inTime(steps[i:], remaining) {
+		if !e.fitsDeadline(steps[i:], remaining) {
 			break
 		}
-		next := steps[i].Price + (1-e.acceptance(organisation, kind, steps[i].Model))*cost
-		if next < cost || explore {
-			best, cost = i, min(next, cost)
+		stepCost := steps[i].Price + (1-e.acceptanceRate(organisation, sizeClass, steps[i].Model))*bestCost
+		if stepCost < bestCost || explore {
+			best, bestCost = i, min(stepCost, bestCost)
 		}
 	}
 	return best
 }
 
-// withoutRater reports whether the rater is down: then no answer below the
+// shouldSkipRater reports whether the rater is down: then no answer below the
 // strongest step's could be accepted. Now and then it is tried again.
-func (e *Estimator) withoutRater() bool {
-	if e.failures < raterDown {
+func (e *Estimator) shouldSkipRater() bool {
+	if e.raterFailures < maxRaterFailures {
 		return false
 	}
-	e.skipped++
-	return e.skipped%raterAgain != 0
+	e.decisionsWithoutRater++
+	return e.decisionsWithoutRater%raterRetryInterval != 0
 }
 
-// inTime reports whether all the steps would end in time, one after another.
-func (e *Estimator) inTime(steps []Step, remaining time.Duration) bool {
+// fitsDeadline reports whether all the steps would end in time, one after another.
+func (e *Estimator) fitsDeadline(steps []Step, remaining time.Duration) bool {
 	sum := 0.0
 	for _, s := range steps {
-		sum += e.hold[s.Model]
+		sum += e.meanDurations[s.Model]
 	}
-	return timeSlack*sum <= remaining.Seconds()
+	return durationSafetyFactor*sum <= remaining.Seconds()
 }
 
-func (e *Estimator) acceptance(organisation string, kind int, model string) float64 {
-	c := e.good[subject{
+func (e *Estimator) acceptanceRate(organisation string, sizeClass int, model string) float64 {
+	c := e.ratings[ratingKey{
 		organisation: organisation,
 		model:        model,
-		kind:         kind,
+		sizeClass:    sizeClass,
 	}]
 	if c == nil {
-		return priorGood / priorSeen
+		return priorAccepted / priorRated
 	}
-	return (c.good + priorGood) / (c.seen + priorSeen)
+	return (c.accepted + priorAccepted) / (c.rated + priorRated)
 }
 
 // Rated notes whether a step's answer was good enough.
-func (e *Estimator) Rated(organisation string, kind int, model string, good bool) {
+func (e *Estimator) Rated(organisation string, sizeClass int, model string, accepted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failures = 0
-	e.skipped = 0
-	if e.good == nil {
-		e.good = map[subject]*count{}
+	e.raterFailures = 0
+	e.decisionsWithoutRater = 0
+	if e.ratings == nil {
+		e.ratings = map[ratingKey]*ratingStats{}
 	}
-	k := subject{
+	key := ratingKey{
 		organisation: organisation,
 		model:        model,
-		kind:         kind,
+		sizeClass:    sizeClass,
 	}
-	c := e.good[k]
+	c := e.ratings[key]
 	if c == nil {
-		c = &count{}
-		e.good[k] = c
+		c = &ratingStats{}
+		e.ratings[key] = c
 	}
-	c.good *= forget
-	c.seen = c.seen*forget + 1
-	if good {
-		c.good++
+	c.accepted *= ratingDecay
+	c.rated = c.rated*ratingDecay + 1
+	if accepted {
+		c.accepted++
 	}
 }
 
@@ -137,19 +137,19 @@
 func (e *Estimator) Unrated() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failures++
+	e.raterFailures++
 }
 
 // Took notes how long a step took.
 func (e *Estimator) Took(model string, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.hold == nil {
-		e.hold = map[string]float64{}
+	if e.meanDurations == nil {
+		e.meanDurations = map[string]float64{}
 	}
-	if old, ok := e.hold[model]; ok {
-		e.hold[model] = old + holdWeight*(d.Seconds()-old)
+	if mean, ok := e.meanDurations[model]; ok {
+		e.meanDurations[model] = mean + durationWeight*(d.Seconds()-mean)
 		return
 	}
-	e.hold[model] = d.Seconds()
+	e.meanDurations[model] = d.Seconds()
 }
--- a/core/coordination/cascade/cascade_test.go
+++ b/core/coordination/cascade/cascade_test.go
@@ -16,22 +16,22 @@
 	},
 }
 
-func TestStart(t *testing.T) {
+func TestFirstStep(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		learn     func(e *Estimator)
+		setup     func(e *Estimator)
 		remaining time.Duration
 		want      int
 	}{
 		{
 			name:      "nothing known",
-			learn:     func(*Estimator) {},
+			setup:     func(*Estimator) {},
 			remaining: time.Minute,
 			want:      0,
 		},
 		{
 			name: "cheap answers are never good enough",
-			learn: func(e *Estimator) {
+			setup: func(e *Estimator) {
 				for range 100 {
 					e.Rated("a", 5, "small", false)
 				}
@@ -41,7 +41,7 @@
 		},
 		{
 			name: "only another organisation's are not",
-			learn: func(e *Estimator) {
+			setup: func(e *Estimator) {
 				for range 100 {
 					e.Rated("b", 5, "small", false)
 				}
@@ -51,7 +51,7 @@
 		},
 		{
 			name: "no time for two steps",
-			learn: func(e *Estimator) {
+			setup: func(e *Estimator) {
 				e.Took("small", 2*time.Second)
 				e.Took("large", 6*time.Second)
 			},
@@ -60,7 +60,7 @@
 		},
 		{
 			name: "time for two steps",
-			learn: func(e *Estimator) {
+			setup: func(e *Estimator) {
 				e.Took("small", 2*time.Second)
 				e.Took("large", 6*time.Second)
 			},
@@ -69,8 +69,8 @@
 		},
 		{
 			name: "the rater is down",
-			learn: func(e *Estimator) {
-				for range raterDown {
+			setup: func(e *Estimator) {
+				for range maxRaterFailures {
 					e.Unrated()
 				}
 			},
@@ -80,7 +80,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := &Estimator{}
-			c.learn(e)
+			c.setup(e)
 			if got := e.Start("a", 5, steps, c.remaining); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
@@ -88,19 +88,19 @@
 	}
 }
 
-func TestRaterIsTriedAgain(t *testing.T) {
+func TestFailedRaterIsRetried(t *testing.T) {
 	e := &Estimator{}
-	for range raterDown {
+	for range maxRaterFailures {
 		e.Unrated()
 	}
-	tried := 0
-	for range 10 * raterAgain {
+	retries := 0
+	for range 10 * raterRetryInterval {
 		if e.Start("a", 5, steps, time.Minute) == 0 {
-			tried++
+			retries++
 		}
 	}
-	if tried != 10 {
-		t.Errorf("tried %d times in %d requests", tried, 10*raterAgain)
+	if retries != 10 {
+		t.Errorf("tried %d times in %d requests", retries, 10*raterRetryInterval)
 	}
 	e.Rated("a", 5, "small", true)
 	if e.Start("a", 5, steps, time.Minute) != 0 {
--- a/core/coordination/cascade/confidence_test.go
+++ b/core/coordination/cascade/confidence_test.go
@@ -8,14 +8,14 @@
 
 // A queue lowers what is asked of an answer, a long prompt as far as it makes
 // others wait; what would come late is not waited for.
-func TestRelief(t *testing.T) {
+func TestLoadThresholdFactor(t *testing.T) {
 	tests := []struct {
-		what    string
-		begin   time.Duration
-		reading time.Duration
-		crowd   float64
-		left    time.Duration
-		want    float64
+		name             string
+		timeToFirstToken time.Duration
+		prefillTime      time.Duration
+		slotUtilization  float64
+		objectiveLeft    time.Duration
+		want             float64
 	}{
 		{"nothing is known", 0, 0, 0, time.Second, 1},
 		{"no queue", 100 * time.Millisecond, 0, 0, time.Second, 1},
@@ -26,39 +26,39 @@
 		{"a queue up to the easy part", 200 * time.Millisecond, 0, 1, time.Second, 1},
 		{"a queue of half of the rest", 600 * time.Millisecond, 0, 0, time.Second, 0.7},
 		{"a queue and a long prompt", 800 * time.Millisecond, 200 * time.Millisecond, 0, time.Second, 0.7},
-		{"a queue of all the time", time.Second, 0, 0, time.Second, fullRelief},
+		{"a queue of all the time", time.Second, 0, 0, time.Second, minThresholdFactor},
 		{"a long prompt that is just in time", time.Second, time.Second, 0, time.Second, 1},
-		{"a prompt too long to be in time", 1100 * time.Millisecond, 1100 * time.Millisecond, 0, time.Second, fullRelief},
-		{"far too late", time.Minute, 0, 0, time.Second, fullRelief},
-		{"late already", time.Second, 0, 0, -time.Second, fullRelief},
+		{"a prompt too long to be in time", 1100 * time.Millisecond, 1100 * time.Millisecond, 0, time.Second, minThresholdFactor},
+		{"far too late", time.Minute, 0, 0, time.Second, minThresholdFactor},
+		{"late already", time.Second, 0, 0, -time.Second, minThresholdFactor},
 	}
 	for _, tt := range tests {
-		d := Doubt{
-			Begin:   tt.begin,
-			Reading: tt.reading,
-			Crowd:   tt.crowd,
-			Left:    tt.left,
+		conditions := Doubt{
+			Begin:   tt.timeToFirstToken,
+			Reading: tt.prefillTime,
+			Crowd:   tt.slotUtilization,
+			Left:    tt.objectiveLeft,
 		}
-		if got := d.relief(); math.Abs(got-tt.want) > 0.01 {
-			t.Errorf("%s: relief is %.2f, want %.2f", tt.what, got, tt.want)
+		if got := conditions.loadThresholdFactor(); math.Abs(got-tt.want) > 0.01 {
+			t.Errorf("%s: relief is %.2f, want %.2f", tt.name, got, tt.want)
 		}
 	}
 }
 
 // What would come late is asked of the largest model only where it is read soon:
 // everybody at the upstream stands meanwhile.
-func TestLateAndLongIsNotAsked(t *testing.T) {
+func TestNoEscalationForLongPrefillPastObjective(t *testing.T) {
 	c := Confidence{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
 	const objective = 3 * time.Second
 	tests := []struct {
-		what    string
-		begin   time.Duration
-		reading time.Duration
-		left    time.Duration
-		want    bool
+		name             string
+		timeToFirstToken time.Duration
+		prefillTime      time.Duration
+		objectiveLeft    time.Duration
+		want             bool
 	}{
 		{"long and in time", 2500 * time.Millisecond, 2500 * time.Millisecond, 2800 * time.Millisecond, true},
 		{"long and late", 5 * time.Second, 5 * time.Second, 2800 * time.Millisecond, false},
@@ -69,29 +69,29 @@
 	for _, tt := range tests {
 		_, got := c.Larger(models, Doubt{
 			Confidence: 5,
-			Begin:      tt.begin,
-			Reading:    tt.reading,
-			Left:       tt.left,
+			Begin:      tt.timeToFirstToken,
+			Reading:    tt.prefillTime,
+			Left:       tt.objectiveLeft,
 			Objective:  objective,
 			End:        15 * time.Second,
 			Retries:    1,
 		})
 		if got != tt.want {
-			t.Errorf("%s: asked %v", tt.what, got)
+			t.Errorf("%s: asked %v", tt.name, got)
 		}
 	}
 }
 
 // What the largest model can't answer before the deadline is not asked of it.
-func TestNoLargerModelPastTheDeadline(t *testing.T) {
+func TestNoEscalationPastDeadline(t *testing.T) {
 	c := Confidence{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
 	tests := []struct {
-		begin time.Duration
-		end   time.Duration
-		want  bool
+		timeToFirstToken time.Duration
+		timeToDeadline   time.Duration
+		want             bool
 	}{
 		{time.Second, 5 * time.Second, true},
 		{3 * time.Second, 20 * time.Second, true}, // late, and answered
@@ -101,75 +101,75 @@
 	for _, tt := range tests {
 		if _, got := c.Larger(models, Doubt{
 			Confidence: 5,
-			Begin:      tt.begin,
+			Begin:      tt.timeToFirstToken,
 			Left:       time.Second,
-			End:        tt.end,
+			End:        tt.timeToDeadline,
 			Retries:    1,
 		}); got != tt.want {
-			t.Errorf("asked in %v, %v before the end: %v", tt.begin, tt.end, got)
+			t.Errorf("asked in %v, %v before the end: %v", tt.timeToFirstToken, tt.timeToDeadline, got)
 		}
 	}
 }
 
 // What a route or an answer does not tell leads to the answer that is there.
-func TestConfidenceEdges(t *testing.T) {
-	three := []string{"small", "middle", "large"}
+func TestEscalationPolicyEdgeCases(t *testing.T) {
+	models := []string{"small", "middle", "large"}
 	tests := []struct {
-		what   string
-		policy Confidence
-		models []string
-		doubt  Doubt
-		first  int
-		want   bool
+		name       string
+		policy     Confidence
+		models     []string
+		conditions Doubt
+		firstModel int
+		want       bool
 	}{
 		{
-			what: "no models",
+			name: "no models",
 			policy: Confidence{
 				Thresholds: []int{55},
 			},
 		},
 		{
-			what: "one model",
+			name: "one model",
 			policy: Confidence{
 				Thresholds: []int{55},
 			},
-			models: three[:1],
+			models: models[:1],
 		},
 		{
-			what:   "no thresholds",
-			models: three,
+			name:   "no thresholds",
+			models: models,
 		},
 		{
-			what: "a start past the end",
+			name: "a start past the end",
 			policy: Confidence{
 				Start:      7,
 				Thresholds: []int{55, 55},
 			},
-			models: three,
-			doubt: Doubt{
+			models: models,
+			conditions: Doubt{
 				Model: 2,
 			},
-			first: 2,
+			firstModel: 2,
 		},
 		{
-			what: "no opinion",
+			name: "no opinion",
 			policy: Confidence{
 				Thresholds: []int{55, 55},
 			},
-			models: three,
-			doubt: Doubt{
+			models: models,
+			conditions: Doubt{
 				Confidence: -1,
 				End:        time.Minute,
 				Retries:    1,
 			},
 		},
 		{
-			what: "no objective, no token counts, nothing known",
+			name: "no objective, no token counts, nothing known",
 			policy: Confidence{
 				Thresholds: []int{55, 55},
 			},
-			models: three,
-			doubt: Doubt{
+			models: models,
+			conditions: Doubt{
 				End:     time.Minute,
 				Retries: 1,
 			},
@@ -177,35 +177,35 @@
 		},
 	}
 	for _, tt := range tests {
-		if got := tt.policy.First(tt.models, Outset{}); got != tt.first {
-			t.Errorf("%s: begins with %d, want %d", tt.what, got, tt.first)
+		if got := tt.policy.First(tt.models, Outset{}); got != tt.firstModel {
+			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.firstModel)
 		}
-		if _, got := tt.policy.Larger(tt.models, tt.doubt); got != tt.want {
-			t.Errorf("%s: asked %v", tt.what, got)
+		if _, got := tt.policy.Larger(tt.models, tt.conditions); got != tt.want {
+			t.Errorf("%s: asked %v", tt.name, got)
 		}
 	}
 }
 
 // The last retries go to the answers that are doubted most, and those for failures
 // stay.
-func TestDoubtsSpareRetries(t *testing.T) {
+func TestEscalationReservesRetries(t *testing.T) {
 	c := Confidence{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
 	tests := []struct {
-		confidence int
-		retries    float64
-		want       bool
+		confidence      int
+		retryBudgetLeft float64
+		want            bool
 	}{
 		{50, 1, true},
-		{50, scarceRetries, true},
+		{50, scarceRetryFraction, true},
 		{54, 0.35, false},
 		{30, 0.35, true},
 		{25, 0.3, false},
 		{10, 0.3, true},
 		{0, 0.26, true},
-		{0, keptRetries, false},
+		{0, reservedRetryFraction, false},
 		{0, 0, false},
 		{60, 1, false},
 	}
@@ -214,16 +214,16 @@
 			Confidence: tt.confidence,
 			Left:       time.Second,
 			End:        time.Minute,
-			Retries:    tt.retries,
+			Retries:    tt.retryBudgetLeft,
 		}); got != tt.want {
-			t.Errorf("an opinion of %d with %.2f of the retries left: asked %v", tt.confidence, tt.retries, got)
+			t.Errorf("an opinion of %d with %.2f of the retries left: asked %v", tt.confidence, tt.retryBudgetLeft, got)
 		}
 	}
 }
 
 // The largest model is begun with where retries run short, its reading is short and
 // nobody waits for it.
-func TestFirst(t *testing.T) {
+func TestFirstModel(t *testing.T) {
 	c := Confidence{
 		Thresholds: []int{55, 55},
 	}
@@ -231,101 +231,101 @@
 	const objective = 3 * time.Second
 	const large = 2
 	tests := []struct {
-		what   string
-		outset Outset
-		want   int
+		name       string
+		conditions Outset
+		want       int
 	}{
 		{
-			what: "nothing is known",
-			outset: Outset{
+			name: "nothing is known",
+			conditions: Outset{
 				Doubted: 0.6,
 			},
 		},
 		{
-			what: "all retries are left",
-			outset: Outset{
+			name: "all retries are left",
+			conditions: Outset{
 				Doubted: 0.6,
 				Reading: time.Millisecond,
 				Retries: 1,
 			},
 		},
 		{
-			what: "enough retries",
-			outset: Outset{
+			name: "enough retries",
+			conditions: Outset{
 				Doubted: 0.6,
 				Reading: time.Millisecond,
-				Retries: ampleRetries,
+				Retries: ampleRetryFraction,
 			},
 		},
 		{
-			what: "few retries and a short prompt",
-			outset: Outset{
+			name: "few retries and a short prompt",
+			conditions: Outset{
 				Doubted: 0.6,
 				Reading: 50 * time.Millisecond,
 				Begin:   100 * time.Millisecond,
-				Retries: keptRetries,
+				Retries: reservedRetryFraction,
 			},
 			want: large,
 		},
 		{
-			what: "few retries and a long prompt",
-			outset: Outset{
+			name: "few retries and a long prompt",
+			conditions: Outset{
 				Doubted: 0.6,
 				Reading: 900 * time.Millisecond,
 				Begin:   900 * time.Millisecond,
-				Retries: keptRetries,
+				Retries: reservedRetryFraction,
 			},
 		},
 		{
-			what: "few retries and a queue",
-			outset: Outset{
+			name: "few retries and a queue",
+			conditions: Outset{
 				Doubted: 0.6,
 				Reading: 50 * time.Millisecond,
 				Begin:   time.Second,
-				Retries: keptRetries,
+				Retries: reservedRetryFraction,
 			},
 		},
 		{
-			what: "few retries and a model that is seldom doubted",
-			outset: Outset{
+			name: "few retries and a model that is seldom doubted",
+			conditions: Outset{
 				Doubted: 0.05,
 				Reading: 50 * time.Millisecond,
 				Begin:   50 * time.Millisecond,
-				Retries: keptRetries,
+				Retries: reservedRetryFraction,
 			},
 		},
 	}
 	for _, tt := range tests {
-		tt.outset.Objective = objective
-		if got := c.First(models, tt.outset); got != tt.want {
-			t.Errorf("%s: begins with %d, want %d", tt.what, got, tt.want)
+		tt.conditions.Objective = objective
+		if got := c.First(models, tt.conditions); got != tt.want {
+			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.want)
 		}
 	}
-	alone := Outset{
+	singleModel := Outset{
 		Doubted:   0.8,
 		Reading:   time.Millisecond,
 		Objective: objective,
 	}
-	if got := c.First(models[:1], alone); got != 0 {
+	if got := c.First(models[:1], singleModel); got != 0 {
 		t.Errorf("one model: begins with %d", got)
 	}
 }
 
 // A model that was never heard is taken to be doubted half the time, and one answer
 // does not change that for good.
-func TestOpinions(t *testing.T) {
-	o := &Opinions{}
-	if got := o.Doubted(); got != priorDoubted {
+func TestConfidenceStats(t *testing.T) {
+	stats := &Opinions{}
+	if got := stats.Doubted(); got != priorLowConfidenceRate {
 		t.Errorf("an unknown model is doubted in %.2f", got)
 	}
-	o.Take(true)
-	if got := o.Doubted(); got < 0.5 || got > 0.65 {
+	stats.Take(true)
+	if got := stats.Doubted(); got < 0.5 || got > 0.65 {
 		t.Errorf("after one doubt %.2f", got)
 	}
 	for range 1000 {
-		o.Take(false)
+		stats.Take(false)
 	}
-	if got := o.Doubted(); got > 0.01 {
+	if got := stats.Doubted(); got > 0.01 {
 		t.Errorf("after a thousand good answers %.2f", got)
 	}
 }
--- a/core/coordination/consensus/cluster_test.go
+++ b/core/coordination/consensus/cluster_test.go
@@ -18,9 +18,9 @@
 // same verdict. scripts/explore runs with random seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
-	if !given && os.Getenv("RAPID_EXPLORE") == "" {
+	seedGiven := false
+	flag.Visit(func(f *flag.Flag) { seedGiven = seedGiven || f.Name == "rapid.seed" })
+	if !seedGiven && os.Getenv("RAPID_EXPLORE") == "" {
 		flag.Set("rapid.seed", "20261202")
 	}
 	os.Exit(m.Run())
@@ -28,21 +28,21 @@
 
 // Times of the tests' members.
 const (
-	testHeartbeat = 100 * time.Millisecond
-	testElection  = 500 * time.Millisecond
-	testLease     = 3 * time.Second
+	testHeartbeatInterval = 100 * time.Millisecond
+	testElectionTimeout   = 500 * time.Millisecond
+	testLeaseDuration     = 3 * time.Second
 )
 
 // fakeDisk is what a member has synced.
 type fakeDisk struct {
-	hard     persimmoncross.HardState
-	snapshot persimmoncross.Snapshot
-	entries  []persimmoncross.Entry
+	hardState persimmoncross.HardState
+	snapshot  persimmoncross.Snapshot
+	entries   []persimmoncross.Entry
 }
 
-func (d *fakeDisk) append(hard *persimmoncross.HardState, entries []persimmoncross.Entry) {
-	if hard != nil {
-		d.hard = *hard
+func (d *fakeDisk) append(hardState *persimmoncross.HardState, entries []persimmoncross.Entry) {
+	if hardState != nil {
+		d.hardState = *hardState
 	}
 	for _, e := range entries {
 		d.entries = slices.DeleteFunc(d.entries, func(o persimmoncross.Entry) bool { return o.Index >= e.Index })
@@ -55,9 +55,9 @@
 	d.entries = nil
 }
 
-func (d *fakeDisk) compact(s persimmoncross.Snapshot, keep uint64) {
+func (d *fakeDisk) compact(s persimmoncross.Snapshot, compactIndex uint64) {
 	d.snapshot = s
-	d.entries = slices.DeleteFunc(d.entries, func(e persimmoncross.Entry) bool { return e.Index <= keep })
+	d.entries = slices.DeleteFunc(d.entries, func(e persimmoncross.Entry) bool { return e.Index <= compactIndex })
 }
 
 // member is one VM's member in the tests.
@@ -71,32 +71,32 @@
 
 // cluster is a group of members whose messages the test delivers.
 type cluster struct {
-	fatal   func(format string, args ...any)
-	random  *rand.Rand
-	now     time.Time
-	members []*member
-	wire    []persimmoncross.Message
-	cut     map[[2]string]bool // links that lose everything
-	leaders map[uint64]persimmoncross.MemberID
-	history []string    // what was committed, by the first that applied it
-	times   []time.Time // when
-	next    int
-	// announce is the members' Announce, for those started later.
-	announce bool
+	fatalf        func(format string, args ...any)
+	random        *rand.Rand
+	now           time.Time
+	members       []*member
+	inflight      []persimmoncross.Message
+	blockedLinks  map[[2]string]bool // links that lose everything
+	leadersByTerm map[uint64]persimmoncross.MemberID
+	committed     []string    // what was committed, by the first that applied it
+	commitTimes   []time.Time // when
+	lastCommand   int
+	// broadcastCommits is the members' Announce, for those started later.
+	broadcastCommits bool
 }
 
-func newCluster(fatal func(string, ...any), voters, learners int, seed uint64) *cluster {
+func newCluster(fatalf func(string, ...any), voters, learners int, seed uint64) *cluster {
 	c := &cluster{
-		fatal:    fatal,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		now:      time.Unix(1_000_000, 0),
-		cut:      map[[2]string]bool{},
-		leaders:  map[uint64]persimmoncross.MemberID{},
-		announce: seed%2 == 0,
-	}
-	set := persimmoncross.Config{}
+		fatalf:           fatalf,
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		now:              time.Unix(1_000_000, 0),
+		blockedLinks:     map[[2]string]bool{},
+		leadersByTerm:    map[uint64]persimmoncross.MemberID{},
+		broadcastCommits: seed%2 == 0,
+	}
+	config := persimmoncross.Config{}
 	for i := range voters {
-		set.Voters = append(set.Voters, persimmoncross.Member{
+		config.Voters = append(config.Voters, persimmoncross.Member{
 			ID: persimmoncross.MemberID(i + 1),
 			VM: fmt.Sprintf("vm-%d", i+1),
 		})
@@ -110,7 +110,7 @@
 			m.disk.snapshot = persimmoncross.Snapshot{
 				Index: 1,
 				Term:  1,
-				Set:   set,
+				Set:   config,
 			}
 		}
 		c.members = append(c.members, m)
@@ -125,14 +125,14 @@
 		Group:     "test",
 		ID:        m.id,
 		VM:        m.vm,
-		Heartbeat: testHeartbeat,
-		Election:  testElection,
-		Lease:     testLease,
+		Heartbeat: testHeartbeatInterval,
+		Election:  testElectionTimeout,
+		Lease:     testLeaseDuration,
 		Random:    c.random,
-		Announce:  c.announce,
+		Announce:  c.broadcastCommits,
 	}
 	m.applied = decodeApplied(m.disk.snapshot.Data)
-	m.core.Start(c.now, m.disk.hard, m.disk.snapshot, m.disk.entries)
+	m.core.Start(c.now, m.disk.hardState, m.disk.snapshot, m.disk.entries)
 }
 
 // The fake state machine's snapshot is its commands, each of one byte's length.
@@ -157,21 +157,21 @@
 
 func (c *cluster) crash(m *member) { m.core = nil }
 
-// loseDisk brings a member back empty, under a new identity.
-func (c *cluster) loseDisk(m *member) {
+// restartWithEmptyDisk brings a member back empty, under a new identity.
+func (c *cluster) restartWithEmptyDisk(m *member) {
 	m.id += 100
 	m.disk = fakeDisk{}
 	c.start(m)
 }
 
-// settle carries out a member's actions, as its owner would. With stopAt it
+// processActions carries out a member's actions, as its owner would. With stopAt it
 // crashes after that many of the steps: 1 after the eager messages, 2 after
 // the sync.
-func (c *cluster) settle(m *member, stopAt int) {
+func (c *cluster) processActions(m *member, crashAfter int) {
 	for m.core != nil {
 		a := m.core.Take()
-		c.post(a.Eager)
-		if stopAt == 1 {
+		c.enqueue(a.Eager)
+		if crashAfter == 1 {
 			c.crash(m)
 			return
 		}
@@ -183,29 +183,29 @@
 		if n := len(a.Entries); n > 0 {
 			m.core.Synced(a.Entries[n-1].Index)
 		}
-		if stopAt == 2 {
+		if crashAfter == 2 {
 			c.crash(m)
 			return
 		}
-		c.post(a.Messages)
+		c.enqueue(a.Messages)
 		c.apply(m, a.Committed)
 		if len(a.Committed) == 0 && len(a.Entries) == 0 && a.Install == nil {
 			break
 		}
 	}
-	c.observe(m)
+	c.checkInvariants(m)
 }
 
-func (c *cluster) post(messages []persimmoncross.Message) {
+func (c *cluster) enqueue(messages []persimmoncross.Message) {
 	for _, msg := range messages {
 		if msg.Dest != "" {
-			c.wire = append(c.wire, msg)
+			c.inflight = append(c.inflight, msg)
 			continue
 		}
 		for _, m := range c.members {
 			if m.vm != msg.VM {
 				msg.Dest = m.vm
-				c.wire = append(c.wire, msg)
+				c.inflight = append(c.inflight, msg)
 			}
 		}
 	}
@@ -220,55 +220,55 @@
 		m.core.Applied(e.Index)
 	}
 	for i, s := range m.applied {
-		if i < len(c.history) && c.history[i] != s {
-			c.fatal("%s applied %q as number %d, another %q", m.vm, s, i, c.history[i])
+		if i < len(c.committed) && c.committed[i] != s {
+			c.fatalf("%s applied %q as number %d, another %q", m.vm, s, i, c.committed[i])
 		}
 	}
-	for i := len(c.history); i < len(m.applied); i++ {
-		c.history = append(c.history, m.applied[i])
-		c.times = append(c.times, c.now)
+	for i := len(c.committed); i < len(m.applied); i++ {
+		c.committed = append(c.committed, m.applied[i])
+		c.commitTimes = append(c.commitTimes, c.now)
 	}
 }
 
-// observe checks that a term has one leader, and that nobody holds a lease who
+// checkInvariants checks that a term has one leader, and that nobody holds a lease who
 // lacks what was committed longer ago than the lease's time.
-func (c *cluster) observe(m *member) {
-	c.observeLease(m)
+func (c *cluster) checkInvariants(m *member) {
+	c.checkLease(m)
 	if m.core == nil || m.core.Role() != Leader {
 		return
 	}
-	if other, ok := c.leaders[m.core.Term()]; ok && other != m.id {
-		c.fatal("term %d has two leaders, %d and %d", m.core.Term(), other, m.id)
+	if other, ok := c.leadersByTerm[m.core.Term()]; ok && other != m.id {
+		c.fatalf("term %d has two leaders, %d and %d", m.core.Term(), other, m.id)
 	}
-	c.leaders[m.core.Term()] = m.id
+	c.leadersByTerm[m.core.Term()] = m.id
 }
 
-func (c *cluster) observeLease(m *member) {
+func (c *cluster) checkLease(m *member) {
 	if m.core == nil {
 		return
 	}
-	until, index := m.core.LeaseUntil()
-	if !c.now.Before(until) || m.core.applied < index {
+	expiry, requiredIndex := m.core.LeaseUntil()
+	if !c.now.Before(expiry) || m.core.appliedIndex < requiredIndex {
 		return
 	}
-	for i := len(m.applied); i < len(c.history); i++ {
-		if c.now.Sub(c.times[i]) >= testLease {
-			c.fatal("%s holds a lease without %s, committed %v ago", m.vm, c.history[i], c.now.Sub(c.times[i]))
+	for i := len(m.applied); i < len(c.committed); i++ {
+		if c.now.Sub(c.commitTimes[i]) >= testLeaseDuration {
+			c.fatalf("%s holds a lease without %s, committed %v ago", m.vm, c.committed[i], c.now.Sub(c.commitTimes[i]))
 		}
 	}
 }
 
 // deliver hands over the i-th message that is under way.
 func (c *cluster) deliver(i int) {
-	msg := c.wire[i]
-	c.wire = slices.Delete(c.wire, i, i+1)
-	if c.cut[[2]string{msg.VM, msg.Dest}] {
+	msg := c.inflight[i]
+	c.inflight = slices.Delete(c.inflight, i, i+1)
+	if c.blockedLinks[[2]string{msg.VM, msg.Dest}] {
 		return
 	}
 	for _, m := range c.members {
 		if m.vm == msg.Dest && m.core != nil {
 			m.core.Step(c.now, msg)
-			c.settle(m, 0)
+			c.processActions(m, 0)
 		}
 	}
 }
@@ -276,41 +276,41 @@
 // run lets time pass, delivering everything in order.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
-		for len(c.wire) > 0 {
+		for len(c.inflight) > 0 {
 			c.deliver(0)
 		}
-		c.now = c.now.Add(testHeartbeat / 2)
+		c.now = c.now.Add(testHeartbeatInterval / 2)
 		for _, m := range c.members {
 			if m.core != nil {
 				m.core.Tick(c.now)
-				c.settle(m, 0)
+				c.processActions(m, 0)
 			}
 		}
 	}
 }
 
-// runHolding lets time pass without delivering the messages that hold says, and
+// runWithholding lets time pass without delivering the messages that hold says, and
 // returns those. The member that is stopped, if any, gets no time.
-func (c *cluster) runHolding(d time.Duration, stopped *member, hold func(persimmoncross.Message) bool) []persimmoncross.Message {
-	var held []persimmoncross.Message
+func (c *cluster) runWithholding(d time.Duration, stopped *member, withhold func(persimmoncross.Message) bool) []persimmoncross.Message {
+	var withheld []persimmoncross.Message
 	for end := c.now.Add(d); c.now.Before(end); {
-		for len(c.wire) > 0 {
-			if hold(c.wire[0]) {
-				held = append(held, c.wire[0])
-				c.wire = c.wire[1:]
+		for len(c.inflight) > 0 {
+			if withhold(c.inflight[0]) {
+				withheld = append(withheld, c.inflight[0])
+				c.inflight = c.inflight[1:]
 				continue
 			}
 			c.deliver(0)
 		}
-		c.now = c.now.Add(testHeartbeat / 2)
+		c.now = c.now.Add(testHeartbeatInterval / 2)
 		for _, m := range c.members {
 			if m != stopped {
 				m.core.Tick(c.now)
-				c.settle(m, 0)
+				c.processActions(m, 0)
 			}
 		}
 	}
-	return held
+	return withheld
 }
 
 func (c *cluster) leader() *member {
@@ -328,8 +328,8 @@
 	if m == nil || m.core == nil {
 		return ""
 	}
-	c.next++
-	data := fmt.Sprintf("c%d", c.next)
+	c.lastCommand++
+	data := fmt.Sprintf("c%d", c.lastCommand)
 	if _, _, err := m.core.Propose(c.now, []byte(data)); err != nil {
 		return ""
 	}
@@ -338,26 +338,26 @@
 
 // compact takes a snapshot at a member.
 func (c *cluster) compact(m *member) {
-	if m.core == nil || m.core.applied <= m.core.snapshot.Index {
+	if m.core == nil || m.core.appliedIndex <= m.core.snapshot.Index {
 		return
 	}
-	s := m.core.Snapshot(m.core.applied)
+	s := m.core.Snapshot(m.core.appliedIndex)
 	s.Data = encodeApplied(m.applied)
-	keep := s.Index - min(2, s.Index)
-	m.disk.compact(s, keep)
-	m.core.Compact(s, keep)
+	compactIndex := s.Index - min(2, s.Index)
+	m.disk.compact(s, compactIndex)
+	m.core.Compact(s, compactIndex)
 }
 
-// partition cuts a member off, both ways, or joins it again.
-func (c *cluster) partition(m *member, off bool) {
+// setPartitioned cuts a member off, both ways, or joins it again.
+func (c *cluster) setPartitioned(m *member, partitioned bool) {
 	for _, o := range c.members {
-		c.cut[[2]string{m.vm, o.vm}] = off
-		c.cut[[2]string{o.vm, m.vm}] = off
+		c.blockedLinks[[2]string{m.vm, o.vm}] = partitioned
+		c.blockedLinks[[2]string{o.vm, m.vm}] = partitioned
 	}
 }
 
-// has reports whether the member applied the command.
-func (m *member) has(command string) bool { return slices.Contains(m.applied, command) }
+// hasApplied reports whether the member applied the command.
+func (m *member) hasApplied(command string) bool { return slices.Contains(m.applied, command) }
 
 // TestSafetyUnderRandomFailures drives a group through random drops, delays,
 // duplicates, crashes between two steps, lost disks and changes of voters.
@@ -366,68 +366,68 @@
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
 		c := newCluster(t.Fatalf, voters, 1, rapid.Uint64().Draw(t, "seed"))
-		lost := 0
-		pick := func() *member { return c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")] }
+		lostDisks := 0
+		randomMember := func() *member { return c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")] }
 		steps := rapid.IntRange(50, 400).Draw(t, "steps")
 		for range steps {
 			switch action := rapid.IntRange(0, 99).Draw(t, "action"); {
 			case action < 45:
-				if len(c.wire) > 0 {
-					c.deliver(rapid.IntRange(0, min(len(c.wire)-1, 5)).Draw(t, "message"))
+				if len(c.inflight) > 0 {
+					c.deliver(rapid.IntRange(0, min(len(c.inflight)-1, 5)).Draw(t, "message"))
 				}
 			case action < 50:
-				if len(c.wire) > 0 { // a duplicate
-					c.wire = append(c.wire, c.wire[rapid.IntRange(0, len(c.wire)-1).Draw(t, "message")])
+				if len(c.inflight) > 0 { // a duplicate
+					c.inflight = append(c.inflight, c.inflight[rapid.IntRange(0, len(c.inflight)-1).Draw(t, "message")])
 				}
 			case action < 54:
-				if len(c.wire) > 0 { // a loss
-					i := rapid.IntRange(0, len(c.wire)-1).Draw(t, "message")
-					c.wire = slices.Delete(c.wire, i, i+1)
+				if len(c.inflight) > 0 { // a loss
+					i := rapid.IntRange(0, len(c.inflight)-1).Draw(t, "message")
+					c.inflight = slices.Delete(c.inflight, i, i+1)
 				}
 			case action < 72:
 				c.now = c.now.Add(time.Duration(rapid.IntRange(10, 700).Draw(t, "wait")) * time.Millisecond)
-				if m := pick(); m.core != nil {
+				if m := randomMember(); m.core != nil {
 					m.core.Tick(c.now)
-					c.settle(m, 0)
+					c.processActions(m, 0)
 				}
 			case action < 82:
 				m := c.leader()
 				if c.propose(m) != "" {
-					c.settle(m, rapid.IntRange(0, 2).Draw(t, "crash"))
+					c.processActions(m, rapid.IntRange(0, 2).Draw(t, "crash"))
 				}
 			case action < 86:
-				if m := pick(); m.core != nil {
+				if m := randomMember(); m.core != nil {
 					c.crash(m)
 				}
 			case action < 92:
-				if m := pick(); m.core == nil {
+				if m := randomMember(); m.core == nil {
 					c.start(m)
 				}
 			case action < 94:
-				c.compact(pick())
+				c.compact(randomMember())
 			case action < 95:
-				if lost == 0 { // at most one disk: two could lose a quorum of three
-					lost++
-					c.loseDisk(pick())
+				if lostDisks == 0 { // at most one disk: two could lose a quorum of three
+					lostDisks++
+					c.restartWithEmptyDisk(randomMember())
 				}
 			case action < 97:
-				c.changeVoters(t)
+				c.changeRandomVoter(t)
 			case action < 98:
 				if m := c.leader(); m != nil {
 					m.core.Transfer(c.now)
-					c.settle(m, 0)
+					c.processActions(m, 0)
 				}
 			default:
 				c.run(time.Duration(rapid.IntRange(1, 3).Draw(t, "run")) * time.Second)
 			}
 		}
-		c.checkRecovery(t, lost)
+		c.checkRecovery(t, lostDisks)
 	})
 }
 
-// changeVoters tries to give the vote to a member without it, or to take the
+// changeRandomVoter tries to give the vote to a member without it, or to take the
 // vote of an identity that is gone.
-func (c *cluster) changeVoters(t *rapid.T) {
+func (c *cluster) changeRandomVoter(t *rapid.T) {
 	l := c.leader()
 	if l == nil {
 		return
@@ -438,7 +438,7 @@
 				ID: m.id,
 				VM: m.vm,
 			})
-			c.settle(l, 0)
+			c.processActions(l, 0)
 			return
 		}
 	}
@@ -446,14 +446,14 @@
 		gone := !slices.ContainsFunc(c.members, func(m *member) bool { return m.id == v.ID })
 		if gone {
 			l.core.RemoveVoter(c.now, v.ID)
-			c.settle(l, 0)
+			c.processActions(l, 0)
 			return
 		}
 	}
 }
 
 // checkRecovery starts all again and wants what was committed to be everywhere.
-func (c *cluster) checkRecovery(t *rapid.T, lost int) {
+func (c *cluster) checkRecovery(t *rapid.T, lostDisks int) {
 	for _, m := range c.members {
 		if m.core == nil {
 			c.start(m)
@@ -462,13 +462,13 @@
 	c.run(20 * time.Second)
 	l := c.leader()
 	if l == nil {
-		t.Fatalf("no leader with all members up (%d disks lost)", lost)
+		t.Fatalf("no leader with all members up (%d disks lost)", lostDisks)
 	}
 	last := c.propose(l)
-	c.settle(l, 0)
+	c.processActions(l, 0)
 	c.run(5 * time.Second)
 	for _, m := range c.members {
-		if !m.has(last) {
+		if !m.hasApplied(last) {
 			t.Fatalf("%s lacks %s: it has %v; the leader knows of it %+v", m.vm, last, m.applied, l.core.followers[m.id])
 		}
 	}
--- a/core/coordination/consensus/consensus_test.go
+++ b/core/coordination/consensus/consensus_test.go
@@ -8,7 +8,7 @@
 	"persimmoncross"
 )
 
-func elected(t *testing.T, voters, learners int) *cluster {
+func newElectedCluster(t *testing.T, voters, learners int) *cluster {
 	t.Helper()
 	c := newCluster(t.Fatalf, voters, learners, 7)
 	c.run(3 * time.Second)
@@ -26,66 +26,66 @@
 	if command == "" {
 		t.Fatal("the leader refuses a proposal")
 	}
-	c.settle(l, 0)
-	c.run(testHeartbeat)
-	if !l.has(command) {
+	c.processActions(l, 0)
+	c.run(testHeartbeatInterval)
+	if !l.hasApplied(command) {
 		t.Fatalf("%s is not committed", command)
 	}
 	return command
 }
 
-func TestLeaderLostIsReplaced(t *testing.T) {
-	c := elected(t, 3, 0)
-	kept := c.commit(t)
+func TestCrashedLeaderIsReplaced(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
+	committed := c.commit(t)
 	old := c.leader()
 	c.crash(old)
-	began := c.now
+	crashedAt := c.now
 	for c.leader() == nil {
-		c.run(testHeartbeat)
-		if c.now.Sub(began) > 2*time.Second {
+		c.run(testHeartbeatInterval)
+		if c.now.Sub(crashedAt) > 2*time.Second {
 			t.Fatal("no new leader within 2 s")
 		}
 	}
 	c.commit(t)
-	if !c.leader().has(kept) {
+	if !c.leader().hasApplied(committed) {
 		t.Error("a committed command is lost")
 	}
 }
 
 // A leader on the far side of a partition must accept nothing, and must step
 // down; when it comes back it takes what the others committed.
-func TestLeaderCutOffAcceptsNothing(t *testing.T) {
-	c := elected(t, 3, 0)
+func TestPartitionedLeaderCommitsNothing(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
 	old := c.leader()
-	c.partition(old, true)
-	stale := c.propose(old)
-	c.settle(old, 0)
+	c.setPartitioned(old, true)
+	uncommitted := c.propose(old)
+	c.processActions(old, 0)
 	c.run(5 * time.Second)
-	if old.has(stale) {
+	if old.hasApplied(uncommitted) {
 		t.Error("a leader without a quorum committed")
 	}
 	if old.core.Role() == Leader {
 		t.Error("a leader without a quorum still leads after 5 s")
 	}
-	accepted := c.commit(t)
+	committed := c.commit(t)
 	c.run(time.Hour)
-	c.partition(old, false)
+	c.setPartitioned(old, false)
 	c.run(3 * time.Second)
-	if !old.has(accepted) || old.has(stale) {
+	if !old.hasApplied(committed) || old.hasApplied(uncommitted) {
 		t.Errorf("after the partition the old leader has %v", old.applied)
 	}
 }
 
 // A member that was cut off must not unseat the leader when it comes back.
-func TestReturningMemberDoesNotDisturb(t *testing.T) {
-	c := elected(t, 3, 0)
+func TestReturningMemberDoesNotForceElection(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
 	l := c.leader()
 	term := l.core.Term()
 	for _, m := range c.members {
 		if m != l {
-			c.partition(m, true)
+			c.setPartitioned(m, true)
 			c.run(10 * time.Second)
-			c.partition(m, false)
+			c.setPartitioned(m, false)
 			c.run(2 * time.Second)
 			break
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// leaseOf returns the end of a member's lease, the zero time if it is down.
-func leaseOf(m *member) (time.Time, uint64) {
+// leaseExpiry returns the end of a member's lease, the zero time if it is down.
+func leaseExpiry(m *member) (time.Time, uint64) {
 	if m.core == nil {
 		return time.Time{}, 0
 	}
@@ -104,14 +104,14 @@
 }
 
 func TestLease(t *testing.T) {
-	leased := func(c *cluster, m *member) bool {
-		until, index := m.core.LeaseUntil()
-		return c.now.Before(until) && m.core.applied >= index
+	hasLease := func(c *cluster, m *member) bool {
+		expiry, requiredIndex := m.core.LeaseUntil()
+		return c.now.Before(expiry) && m.core.appliedIndex >= requiredIndex
 	}
-	c := elected(t, 3, 1)
+	c := newElectedCluster(t, 3, 1)
 	c.run(time.Second)
 	for _, m := range c.members {
-		if !leased(c, m) {
+		if !hasLease(c, m) {
 			t.Fatalf("%s has no lease in a healthy group", m.vm)
 		}
 	}
@@ -120,41 +120,41 @@
 		follower = c.members[1]
 	}
 	t.Run("cut off", func(t *testing.T) {
-		c.partition(follower, true)
-		c.partition(learner, true)
-		c.run(testLease + testHeartbeat)
-		if leased(c, follower) || leased(c, learner) {
+		c.setPartitioned(follower, true)
+		c.setPartitioned(learner, true)
+		c.run(testLeaseDuration + testHeartbeatInterval)
+		if hasLease(c, follower) || hasLease(c, learner) {
 			t.Error("a lease outlives its time")
 		}
-		c.partition(follower, false)
-		c.partition(learner, false)
+		c.setPartitioned(follower, false)
+		c.setPartitioned(learner, false)
 		c.run(2 * time.Second)
-		if !leased(c, follower) || !leased(c, learner) {
+		if !hasLease(c, follower) || !hasLease(c, learner) {
 			t.Error("no lease after the partition")
 		}
 	})
 	t.Run("leader without quorum", func(t *testing.T) {
 		l := c.leader()
-		c.partition(l, true)
-		c.run(testLease + testHeartbeat)
-		if leased(c, l) {
+		c.setPartitioned(l, true)
+		c.run(testLeaseDuration + testHeartbeatInterval)
+		if hasLease(c, l) {
 			t.Error("a leader without a quorum has a lease")
 		}
-		c.partition(l, false)
+		c.setPartitioned(l, false)
 		c.run(3 * time.Second)
 	})
 	// A process that is stopped finds old heartbeats in its buffers when it
 	// goes on; they must not give it a lease.
 	t.Run("frozen", func(t *testing.T) {
-		kept := c.runHolding(2*time.Second, learner, func(w persimmoncross.Message) bool { return w.Dest == learner.vm })
-		if len(kept) == 0 {
+		withheld := c.runWithholding(2*time.Second, learner, func(w persimmoncross.Message) bool { return w.Dest == learner.vm })
+		if len(withheld) == 0 {
 			t.Fatal("no messages to hold back")
 		}
 		c.now = c.now.Add(10 * time.Second)
-		for _, w := range kept {
+		for _, w := range withheld {
 			learner.core.Step(c.now, w)
-			c.settle(learner, 0)
-			if leased(c, learner) {
+			c.processActions(learner, 0)
+			if hasLease(c, learner) {
 				t.Fatal("a held-back message gave a lease")
 			}
 		}
@@ -162,31 +162,31 @@
 }
 
 // A lease that was confirmed after a commit requires that commit to be applied.
-func TestLeaseRequiresWhatWasCommittedBefore(t *testing.T) {
-	c := elected(t, 3, 1)
+func TestLeaseRequiresEarlierCommits(t *testing.T) {
+	c := newElectedCluster(t, 3, 1)
 	learner := c.members[3]
 	// Entries no longer reach the learner, heartbeats without them do.
 	command := c.propose(c.leader())
-	c.settle(c.leader(), 0)
-	c.runHolding(testLease+testHeartbeat, nil, func(w persimmoncross.Message) bool {
+	c.processActions(c.leader(), 0)
+	c.runWithholding(testLeaseDuration+testHeartbeatInterval, nil, func(w persimmoncross.Message) bool {
 		return w.Dest == learner.vm && len(w.Entries) > 0
 	})
-	if !c.leader().has(command) || learner.has(command) {
+	if !c.leader().hasApplied(command) || learner.hasApplied(command) {
 		t.Fatal("the command is not committed, or reached the learner")
 	}
-	until, index := learner.core.LeaseUntil()
-	if c.now.Before(until) && learner.core.applied >= index {
+	expiry, requiredIndex := learner.core.LeaseUntil()
+	if c.now.Before(expiry) && learner.core.appliedIndex >= requiredIndex {
 		t.Error("the learner keeps a valid lease without what was committed for 4 s")
 	}
 }
 
-func TestSnapshotCatchUpInChunks(t *testing.T) {
-	c := elected(t, 3, 0)
-	down := c.members[0]
-	if c.leader() == down {
-		down = c.members[1]
+func TestFollowerCatchesUpFromChunkedSnapshot(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
+	follower := c.members[0]
+	if c.leader() == follower {
+		follower = c.members[1]
 	}
-	c.crash(down)
+	c.crash(follower)
 	l := c.leader()
 	for i := range 2500 {
 		command := fmt.Sprintf("%250d", i)
@@ -194,99 +194,99 @@
 			t.Fatal(err)
 		}
 	}
-	c.settle(l, 0)
+	c.processActions(l, 0)
 	c.run(2 * time.Second)
-	s := l.core.Snapshot(l.core.applied)
+	s := l.core.Snapshot(l.core.appliedIndex)
 	s.Data = encodeApplied(l.applied)
-	if len(s.Data) < 2*chunkSize {
+	if len(s.Data) < 2*maxChunkBytes {
 		t.Fatalf("the snapshot has only %d bytes", len(s.Data))
 	}
 	l.core.Compact(s, s.Index)
-	c.start(down)
+	c.start(follower)
 	c.run(5 * time.Second)
-	if len(down.applied) != len(l.applied) {
-		t.Errorf("caught up to %d commands of %d", len(down.applied), len(l.applied))
+	if len(follower.applied) != len(l.applied) {
+		t.Errorf("caught up to %d commands of %d", len(follower.applied), len(l.applied))
 	}
 }
 
-func TestRepair(t *testing.T) {
-	c := elected(t, 3, 0)
-	kept := c.commit(t)
-	lost := c.members[0]
-	if c.leader() == lost {
-		lost = c.members[1]
-	}
-	former := lost.id
-	c.crash(lost)
+func TestVoterReplacementAfterDiskLoss(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
+	committed := c.commit(t)
+	replaced := c.members[0]
+	if c.leader() == replaced {
+		replaced = c.members[1]
+	}
+	formerID := replaced.id
+	c.crash(replaced)
 	c.run(time.Second)
 	l := c.leader()
-	added := persimmoncross.Member{
-		ID: former + 100,
-		VM: lost.vm,
+	newVoter := persimmoncross.Member{
+		ID: formerID + 100,
+		VM: replaced.vm,
 	}
-	if _, _, err := l.core.AddVoter(c.now, added); err == nil {
+	if _, _, err := l.core.AddVoter(c.now, newVoter); err == nil {
 		t.Fatal("a member that was never heard of became a voter")
 	}
-	c.loseDisk(lost)
+	c.restartWithEmptyDisk(replaced)
 	c.run(2 * time.Second)
-	if !lost.has(kept) {
+	if !replaced.hasApplied(committed) {
 		t.Fatal("the new member did not catch up")
 	}
-	if lost.core.Role() != Follower || l.core.Set().Has(lost.id) {
+	if replaced.core.Role() != Follower || l.core.Set().Has(replaced.id) {
 		t.Fatal("the new member counts before it was added")
 	}
-	if _, _, err := l.core.AddVoter(c.now, added); err != nil {
+	if _, _, err := l.core.AddVoter(c.now, newVoter); err != nil {
 		t.Fatal(err)
 	}
-	c.settle(l, 0)
+	c.processActions(l, 0)
 	c.run(time.Second)
-	if _, _, err := l.core.RemoveVoter(c.now, former); err != nil {
+	if _, _, err := l.core.RemoveVoter(c.now, formerID); err != nil {
 		t.Fatal(err)
 	}
-	c.settle(l, 0)
+	c.processActions(l, 0)
 	c.run(time.Second)
 	// A second VM is lost right after the repair.
 	for _, m := range c.members {
-		if m != lost && m != c.leader() {
+		if m != replaced && m != c.leader() {
 			c.crash(m)
 			break
 		}
 	}
 	c.run(3 * time.Second)
 	c.commit(t)
-	if !c.leader().has(kept) {
+	if !c.leader().hasApplied(committed) {
 		t.Error("a committed command is lost")
 	}
-	if _, _, err := c.leader().core.RemoveVoter(c.now, lost.id); err == nil {
+	if _, _, err := c.leader().core.RemoveVoter(c.now, replaced.id); err == nil {
 		t.Error("a removal that loses the quorum is allowed")
 	}
 }
 
 // A change of leader must not leave anybody without a lease (found by the
 // rolling restart: entries refused work right after each hand-over).
-func TestLeaseOutlivesLeader(t *testing.T) {
-	c := elected(t, 3, 1)
+func TestLeaseSurvivesLeaderChange(t *testing.T) {
+	c := newElectedCluster(t, 3, 1)
 	c.run(time.Second)
 	old := c.leader()
 	c.crash(old)
 	for range 40 {
-		c.run(testHeartbeat / 2)
+		c.run(testHeartbeatInterval / 2)
 		for _, m := range c.members {
-			if until, _ := leaseOf(m); m != old && !c.now.Before(until) {
+			if expiry, _ := leaseExpiry(m); m != old && !c.now.Before(expiry) {
 				t.Fatalf("%s has no lease %v after the leader's end", m.vm, c.now)
 			}
 		}
 	}
 }
 
-func TestTransfer(t *testing.T) {
-	c := elected(t, 3, 0)
+func TestLeadershipTransfer(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
 	old := c.leader()
 	if !old.core.Transfer(c.now) {
 		t.Fatal("nobody takes over")
 	}
-	c.settle(old, 0)
-	c.run(testHeartbeat)
+	c.processActions(old, 0)
+	c.run(testHeartbeatInterval)
 	if l := c.leader(); l == nil || l == old {
 		t.Error("the leadership was not handed over within a heartbeat")
 	}
@@ -296,7 +296,7 @@
 // before that was committed, must still be sent the log (found by the random
 // test: it only asked for votes, which nobody gave).
 func TestMemberOfUncommittedConfigCatchesUp(t *testing.T) {
-	c := elected(t, 3, 1)
+	c := newElectedCluster(t, 3, 1)
 	old, learner := c.leader(), c.members[3]
 	if _, _, err := old.core.AddVoter(c.now, persimmoncross.Member{
 		ID: learner.id,
@@ -304,10 +304,10 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	c.settle(old, 0)
-	for len(c.wire) > 0 {
-		if c.wire[0].Dest != learner.vm {
-			c.wire = c.wire[1:]
+	c.processActions(old, 0)
+	for len(c.inflight) > 0 {
+		if c.inflight[0].Dest != learner.vm {
+			c.inflight = c.inflight[1:]
 			continue
 		}
 		c.deliver(0)
@@ -315,21 +315,21 @@
 	if !learner.core.Set().Has(learner.id) {
 		t.Fatal("the learner did not get the entry")
 	}
-	c.wire = nil
+	c.inflight = nil
 	c.crash(old)
-	c.partition(learner, true)
+	c.setPartitioned(learner, true)
 	c.run(5 * time.Second)
-	c.partition(learner, false)
+	c.setPartitioned(learner, false)
 	command := c.commit(t)
 	c.run(2 * time.Second)
-	if !learner.has(command) {
+	if !learner.hasApplied(command) {
 		t.Error("the learner is not sent the log")
 	}
 }
 
 // Two leaders' snapshots of one index may differ in their bytes: parts of one
 // must not complete the other's.
-func TestSnapshotsOfTwoLeadersAreNotMixed(t *testing.T) {
+func TestChunksOfDifferentLeadersAreNotMixed(t *testing.T) {
 	c := newCluster(t.Fatalf, 3, 1, 7)
 	learner := c.members[3]
 	chunk := func(from persimmoncross.MemberID, term, offset uint64, data string) persimmoncross.Message {
@@ -361,22 +361,22 @@
 // What a follower lacks goes out as far as a few messages, not all of the log at
 // once, and it gets the rest as it answers; also after all that was sent to it is
 // lost.
-func TestLargeEntriesUnderWay(t *testing.T) {
-	c := elected(t, 3, 0)
+func TestInflightBytesAreBounded(t *testing.T) {
+	c := newElectedCluster(t, 3, 0)
 	c.commit(t)
 	l := c.leader()
-	behind := c.members[0]
-	if behind == l {
-		behind = c.members[1]
+	follower := c.members[0]
+	if follower == l {
+		follower = c.members[1]
 	}
 	large := make([]byte, 1<<20)
-	sent := 0
-	hold := func(m persimmoncross.Message) bool {
-		if m.To != behind.core.ID {
+	sentBytes := 0
+	withhold := func(m persimmoncross.Message) bool {
+		if m.To != follower.core.ID {
 			return false
 		}
 		for _, e := range m.Entries {
-			sent += len(e.Data)
+			sentBytes += len(e.Data)
 		}
 		return true
 	}
@@ -384,23 +384,23 @@
 		if _, _, err := l.core.Propose(c.now, large); err != nil {
 			t.Fatal(err)
 		}
-		c.settle(l, 0)
-		c.runHolding(testHeartbeat, behind, hold)
+		c.processActions(l, 0)
+		c.runWithholding(testHeartbeatInterval, follower, withhold)
 	}
 	if c.leader() != l || l.core.Commit() != l.core.Last() {
 		t.Fatal("the others did not commit")
 	}
-	if most := maxInflightSize + maxBatchSize; sent > most {
-		t.Errorf("%d MB are under way to who does not answer, want %d", sent>>20, most>>20)
+	if maxBytes := maxInflightBytes + maxBatchBytes; sentBytes > maxBytes {
+		t.Errorf("%d MB are under way to who does not answer, want %d", sentBytes>>20, maxBytes>>20)
 	}
 	c.run(2 * time.Second)
-	if behind.core.Commit() != l.core.Commit() {
-		t.Errorf("the follower has %d entries of %d", behind.core.Commit(), l.core.Commit())
+	if follower.core.Commit() != l.core.Commit() {
+		t.Errorf("the follower has %d entries of %d", follower.core.Commit(), l.core.Commit())
 	}
 }
 
 // The sizes of a log's entries stay right as it grows, is cut and compacted.
-func TestSizesOfTheLog(t *testing.T) {
+func TestMemoryLogSizeBetween(t *testing.T) {
 	l := &memoryLog{}
 	l.reset(10, 1)
 	for i := range 20 {
@@ -411,7 +411,7 @@
 	}
 	check := func(low, high, want uint64) {
 		t.Helper()
-		if got := l.size(low, high); got != want {
+		if got := l.sizeBetween(low, high); got != want {
 			t.Errorf("the entries in (%d, %d] have %d bytes, want %d", low, high, got, want)
 		}
 	}
--- a/core/coordination/consensus/cost_test.go
+++ b/core/coordination/consensus/cost_test.go
@@ -6,9 +6,9 @@
 // commands that are proposed together. The counts don't depend on the machine.
 func TestMessagesPerAppend(t *testing.T) {
 	for _, c := range []struct {
-		batch    int
-		announce bool
-		want     int
+		batch            int
+		broadcastCommits bool
+		want             int
 	}{
 		{
 			batch: 1,
@@ -23,30 +23,30 @@
 			want:  4,
 		},
 		{
-			batch:    1,
-			announce: true,
-			want:     8, // and the commit index to both, with replies
+			batch:            1,
+			broadcastCommits: true,
+			want:             8, // and the commit index to both, with replies
 		},
 	} {
-		g := elected(t, 3, 0)
+		g := newElectedCluster(t, 3, 0)
 		for _, m := range g.members {
-			m.core.Announce = c.announce
+			m.core.Announce = c.broadcastCommits
 		}
-		for len(g.wire) > 0 {
+		for len(g.inflight) > 0 {
 			g.deliver(0)
 		}
 		l := g.leader()
 		for range c.batch {
 			g.propose(l)
 		}
-		g.settle(l, 0)
+		g.processActions(l, 0)
 		messages := 0
-		for len(g.wire) > 0 {
+		for len(g.inflight) > 0 {
 			messages++
 			g.deliver(0)
 		}
 		if messages != c.want {
-			t.Errorf("batch of %d, announce %t: %d messages, want %d", c.batch, c.announce, messages, c.want)
+			t.Errorf("batch of %d, announce %t: %d messages, want %d", c.batch, c.broadcastCommits, messages, c.want)
 		}
 	}
 }
--- a/core/coordination/consensus/election.go
+++ b/core/coordination/consensus/election.go
@@ -14,81 +14,81 @@
 	c.votes = map[persimmoncross.MemberID]bool{
 		c.ID: true,
 	}
-	c.resetTimer()
+	c.resetElectionTimer()
 	m := persimmoncross.Message{
 		Kind:     persimmoncross.MessagePreVote,
-		Term:     c.hard.Term + 1,
-		Index:    c.log.last(),
+		Term:     c.hardState.Term + 1,
+		Index:    c.log.lastIndex(),
 		LogTerm:  c.log.lastTerm(),
 		Transfer: transferred,
 	}
 	if role == Candidate {
-		c.hard = persimmoncross.HardState{
-			Term: c.hard.Term + 1,
+		c.hardState = persimmoncross.HardState{
+			Term: c.hardState.Term + 1,
 			Vote: c.ID,
 		}
-		c.dirtyHard = true
+		c.hardStateChanged = true
 		m.Kind = persimmoncross.MessageVote
 	}
-	for _, v := range c.set.Voters {
+	for _, v := range c.config.Voters {
 		if v.ID != c.ID {
-			c.messages = append(c.messages, c.fill(v.ID, v.VM, m))
+			c.messagesAfterSync = append(c.messagesAfterSync, c.withHeader(v.ID, v.VM, m))
 		}
 	}
 	c.countVotes()
 }
 
-// leaderHeard reports whether a leader was heard within the least silence.
-func (c *Core) leaderHeard() bool {
+// hasRecentLeaderContact reports whether a leader was heard within the least silence.
+func (c *Core) hasRecentLeaderContact() bool {
 	if c.role == Leader {
 		return true
 	}
-	return c.leader != 0 && c.now.Sub(c.heard) < c.Election
+	return c.leader != 0 && c.now.Sub(c.lastLeaderContact) < c.Election
 }
 
-// upToDate reports whether the candidate's log holds all that this one does.
-func (c *Core) upToDate(m persimmoncross.Message) bool {
+// isCandidateUpToDate reports whether the candidate's log holds all that this one does.
+func (c *Core) isCandidateUpToDate(m persimmoncross.Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
 	}
-	return m.Index >= c.log.last()
+	return m.Index >= c.log.lastIndex()
 }
 
 func (c *Core) onPreVote(m persimmoncross.Message) {
-	refused := m.Term <= c.hard.Term || c.leaderHeard() || !c.upToDate(m)
-	answer := persimmoncross.Message{
+	rejected := m.Term <= c.hardState.Term || c.hasRecentLeaderContact() || !c.isCandidateUpToDate(m)
+	reply := persimmoncross.Message{
 		Kind:   persimmoncross.MessagePreVoteReply,
-		Reject: refused,
+		Reject: rejected,
 		Term:   m.Term,
 	}
-	if refused {
-		answer.Term = c.hard.Term
+	if rejected {
+		reply.Term = c.hardState.Term
 	}
-	c.reply(m, answer)
+	c.replyAfterSync(m, reply)
 }
 
 func (c *Core) onVote(m persimmoncross.Message) {
-	free := c.hard.Vote == 0 || c.hard.Vote == m.From
-	grant := free && c.leader == 0 && c.upToDate(m)
-	if grant && c.hard.Vote == 0 {
-		c.hard.Vote = m.From
-		c.dirtyHard = true
+	canVote := c.hardState.Vote == 0 || c.hardState.Vote == m.From
+	granted := canVote && c.leader == 0 && c.isCandidateUpToDate(m)
+	if granted && c.hardState.Vote == 0 {
+		c.hardState.Vote = m.From
+		c.hardStateChanged = true
 	}
-	if grant {
-		c.resetTimer()
+	if granted {
+		c.resetElectionTimer()
 	}
-	c.reply(m, persimmoncross.Message{
+	c.replyAfterSync(m, persimmoncross.Message{
 		Kind:   persimmoncross.MessageVoteReply,
-		Reject: !grant,
+		Reject: !granted,
 	})
 }
 
 func (c *Core) onVoteReply(m persimmoncross.Message) {
-	pre := m.Kind == persimmoncross.MessagePreVoteReply
-	if pre && (c.role != PreCandidate || (!m.Reject && m.Term != c.hard.Term+1)) {
+	isPreVote := m.Kind == persimmoncross.MessagePreVoteReply
+	if isPreVote && (c.role != PreCandidate || (!m.Reject && m.Term != c.hardState.Term+1)) {
 		return
 	}
-	if !pre && c.role != Candidate {
+	if !isPreVote && c.role != Candidate {
 		return
 	}
 	c.votes[m.From] = !m.Reject
@@ -97,60 +97,60 @@
 
 func (c *Core) countVotes() {
 	granted := 0
-	for _, v := range c.set.Voters {
+	for _, v := range c.config.Voters {
 		if c.votes[v.ID] {
 			granted++
 		}
 	}
-	if granted < c.quorum() {
+	if granted < c.quorumSize() {
 		return
 	}
 	if c.role == PreCandidate {
 		c.campaign(Candidate, false)
 		return
 	}
-	c.lead()
+	c.becomeLeader()
 }
 
-func (c *Core) quorum() int { return len(c.set.Voters)/2 + 1 }
+func (c *Core) quorumSize() int { return len(c.config.Voters)/2 + 1 }
 
-// lead makes the member the leader. The empty entry commits what earlier terms
+// becomeLeader makes the member the leader. The empty entry commits what earlier terms
 // left, which a leader may not count as committed by itself (Raft, 5.4.2).
-func (c *Core) lead() {
+func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.ID
 	c.votes = nil
-	c.transfer = transfer{}
+	c.transfer = leadershipTransfer{}
 	c.followers = map[persimmoncross.MemberID]*progress{}
-	c.order = nil
-	for _, v := range c.set.Voters {
-		c.track(v.ID, v.VM)
+	c.followerOrder = nil
+	for _, v := range c.config.Voters {
+		c.addFollower(v.ID, v.VM)
 	}
-	c.appendOwn(persimmoncross.EntryNoop, nil, persimmoncross.Config{})
-	c.heartbeat()
+	c.appendEntry(persimmoncross.EntryNoop, nil, persimmoncross.Config{})
+	c.broadcastHeartbeat()
 }
 
-// track starts to follow what a member holds.
-func (c *Core) track(id persimmoncross.MemberID, vm string) *progress {
+// addFollower starts to follow what a member holds.
+func (c *Core) addFollower(id persimmoncross.MemberID, vm string) *progress {
 	if id == c.ID {
 		return nil
 	}
 	p, ok := c.followers[id]
 	if !ok {
 		p = &progress{
-			vm:    vm,
-			next:  c.log.last() + 1,
-			acked: c.now,
-			heard: c.now,
+			vm:                vm,
+			nextIndex:         c.log.lastIndex() + 1,
+			lastAckedSendTime: c.now,
+			lastContact:       c.now,
 		}
 		c.followers[id] = p
-		c.order = append(c.order, id)
+		c.followerOrder = append(c.followerOrder, id)
 	}
 	return p
 }
 
-// untrack stops following a member.
-func (c *Core) untrack(id persimmoncross.MemberID) {
+// removeFollower stops following a member.
+func (c *Core) removeFollower(id persimmoncross.MemberID) {
 	delete(c.followers, id)
-	c.order = slices.DeleteFunc(slices.Clone(c.order), func(o persimmoncross.MemberID) bool { return o == id })
+	c.followerOrder = slices.DeleteFunc(slices.Clone(c.followerOrder), func(o persimmoncross.MemberID) bool { return o == id })
 }
--- a/core/coordination/consensus/error.go
+++ b/core/coordination/consensus/error.go
@@ -29,7 +29,7 @@
 	return ok && e.Kind == NotLeader
 }
 
-func failure(operation string, kind Kind, format string, args ...any) *Error {
+func newError(operation string, kind Kind, format string, args ...any) *Error {
 	return &Error{
 		Operation: operation,
 		Kind:      kind,
--- a/core/coordination/consensus/facts.go
+++ b/core/coordination/consensus/facts.go
@@ -19,18 +19,18 @@
 	if c.role != Leader {
 		return nil
 	}
-	var all []Known
-	for _, id := range c.order {
+	var statuses []Known
+	for _, id := range c.followerOrder {
 		p := c.followers[id]
-		all = append(all, Known{
+		statuses = append(statuses, Known{
 			Member: persimmoncross.Member{
 				ID: id,
 				VM: p.vm,
 			},
-			Voter:    c.set.Has(id),
-			Silence:  now.Sub(p.heard),
-			CaughtUp: p.match+caughtUpLag >= c.commit && now.Sub(p.acked) <= c.Election,
+			Voter:    c.config.Has(id),
+			Silence:  now.Sub(p.lastContact),
+			CaughtUp: p.matchIndex+maxCaughtUpLag >= c.commitIndex && now.Sub(p.lastAckedSendTime) <= c.Election,
 		})
 	}
-	return all
+	return statuses
 }
--- a/core/coordination/consensus/lease.go
+++ b/core/coordination/consensus/lease.go
@@ -18,76 +18,76 @@
 // accepts later than the confirmation, and so at most the lease's time before
 // the lease ends.
 
-// lease is a follower's side.
-type lease struct {
-	asked  time.Time // the latest probe written into a reply
-	from   time.Time // the latest probe that came back confirmed
-	commit uint64    // what must be applied for the lease to count
+// leaseState is a follower's side.
+type leaseState struct {
+	lastProbe     time.Time // the latest probe written into a reply
+	start         time.Time // the latest probe that came back confirmed
+	requiredIndex uint64    // what must be applied for the lease to count
 }
 
-// ask returns the probe for a reply.
-func (l *lease) ask(c *Core) time.Duration {
-	l.asked = c.now
-	return c.wire(c.now)
+// newProbe returns the probe for a reply.
+func (l *leaseState) newProbe(c *Core) time.Duration {
+	l.lastProbe = c.now
+	return c.toWireTime(c.now)
 }
 
-// extend takes a confirmed probe. One that this process never wrote since the
+// renew takes a confirmed probe. One that this process never wrote since the
 // leader was found is older than its time origin or newer than the last asked.
-func (l *lease) extend(c *Core, m persimmoncross.Message) {
+func (l *leaseState) renew(c *Core, m persimmoncross.Message) {
 	if m.Probe == 0 {
 		return
 	}
-	from := c.local(m.Probe)
-	if from.Before(c.origin) || from.After(l.asked) || !from.After(l.from) {
+	start := c.fromWireTime(m.Probe)
+	if start.Before(c.startTime) || start.After(l.lastProbe) || !start.After(l.start) {
 		return
 	}
-	l.from = from
-	l.commit = m.Confirmed
+	l.start = start
+	l.requiredIndex = m.Confirmed
 }
 
 // LeaseUntil returns the time until which the VM may take new work, and the
 // index that must have been applied before. A zero time is no lease.
-func (c *Core) LeaseUntil() (until time.Time, index uint64) {
-	if c.lease.from.IsZero() {
+func (c *Core) LeaseUntil() (expiry time.Time, requiredIndex uint64) {
+	if c.lease.start.IsZero() {
 		return time.Time{}, 0
 	}
-	return c.lease.from.Add(c.Lease), c.lease.commit
+	return c.lease.start.Add(c.Lease), c.lease.requiredIndex
 }
 
-// probe is a leader's record of a follower's request for a lease. Two places
+// leaseProbe is a leader's record of a follower's request for a lease. Two places
 // let one be confirmed while the next already waits.
-type probe struct {
-	waiting   time.Duration
-	at        time.Time // when it came
-	confirmed time.Duration
-	commit    uint64
+type leaseProbe struct {
+	pending     time.Duration
+	receivedAt  time.Time // when it came
+	confirmed   time.Duration
+	commitIndex uint64
 }
 
-func (p *probe) note(value time.Duration, now time.Time) {
-	if value == 0 || p.waiting != 0 {
+func (p *leaseProbe) record(value time.Duration, now time.Time) {
+	if value == 0 || p.pending != 0 {
 		return
 	}
-	p.waiting = value
-	p.at = now
+	p.pending = value
+	p.receivedAt = now
 }
 
 // confirmProbes renews the leader's own lease and confirms the probes that came before the latest message that a
 // quorum has answered was sent.
 func (c *Core) confirmProbes() {
-	if term, _ := c.log.term(c.commit); term != c.hard.Term {
+	if term, _ := c.log.term(c.commitIndex); term != c.hardState.Term {
 		return
 	}
-	acked := c.quorumAcked()
-	if acked.After(c.lease.from) {
-		c.lease.from = acked // its own
-		c.lease.commit = c.commit
+	ackedSendTime := c.quorumAckedSendTime()
+	if ackedSendTime.After(c.lease.start) {
+		c.lease.start = ackedSendTime // its own
+		c.lease.requiredIndex = c.commitIndex
 	}
 	for _, p := range c.followers {
-		if p.probe.waiting == 0 || acked.Before(p.probe.at) {
+		if p.probe.pending == 0 || ackedSendTime.Before(p.probe.receivedAt) {
 			continue
 		}
-		p.probe.confirmed = p.probe.waiting
-		p.probe.commit = c.commit
-		p.probe.waiting = 0
+		p.probe.confirmed = p.probe.pending
+		p.probe.commitIndex = c.commitIndex
+		p.probe.pending = 0
 	}
 }
--- a/core/coordination/consensus/membership.go
+++ b/core/coordination/consensus/membership.go
@@ -7,67 +7,67 @@
 	"persimmoncross"
 )
 
-// transfer is a hand-over of leadership under way.
-type transfer struct {
-	to    persimmoncross.MemberID
-	until time.Time
-	asked bool
+// leadershipTransfer is a hand-over of leadership under way.
+type leadershipTransfer struct {
+	target         persimmoncross.MemberID
+	deadline       time.Time
+	timeoutNowSent bool
 }
 
 // AddVoter proposes a set of voters with one more. The member must hold nearly
 // all of the log, so that it can count at once.
 func (c *Core) AddVoter(now time.Time, m persimmoncross.Member) (index, term uint64, err error) {
-	if err := c.mayChange(now, "add voter"); err != nil {
+	if err := c.checkVoterChange(now, "add voter"); err != nil {
 		return 0, 0, err
 	}
-	if c.set.Has(m.ID) {
-		return 0, 0, failure("add voter", Unsafe, "%s votes already", m.VM)
+	if c.config.Has(m.ID) {
+		return 0, 0, newError("add voter", Unsafe, "%s votes already", m.VM)
 	}
 	p := c.followers[m.ID]
-	if p == nil || p.match+caughtUpLag < c.commit || now.Sub(p.acked) > c.Election {
-		return 0, 0, failure("add voter", NotCaughtUp, "%s has not caught up yet", m.VM)
+	if p == nil || p.matchIndex+maxCaughtUpLag < c.commitIndex || now.Sub(p.lastAckedSendTime) > c.Election {
+		return 0, 0, newError("add voter", NotCaughtUp, "%s has not caught up yet", m.VM)
 	}
-	set := persimmoncross.Config{
-		Voters: append(slices.Clone(c.set.Voters), m),
+	config := persimmoncross.Config{
+		Voters: append(slices.Clone(c.config.Voters), m),
 	}
-	return c.appendOwn(persimmoncross.EntryConfig, nil, set), c.hard.Term, nil
+	return c.appendEntry(persimmoncross.EntryConfig, nil, config), c.hardState.Term, nil
 }
 
 // RemoveVoter proposes a set of voters without the member, unless those left
 // that answer would be no quorum.
 func (c *Core) RemoveVoter(now time.Time, id persimmoncross.MemberID) (index, term uint64, err error) {
-	if err := c.mayChange(now, "remove voter"); err != nil {
+	if err := c.checkVoterChange(now, "remove voter"); err != nil {
 		return 0, 0, err
 	}
-	if !c.set.Has(id) {
-		return 0, 0, failure("remove voter", Unsafe, "no such voter")
+	if !c.config.Has(id) {
+		return 0, 0, newError("remove voter", Unsafe, "no such voter")
 	}
-	set := persimmoncross.Config{}
-	alive := 0
-	for _, v := range c.set.Voters {
+	config := persimmoncross.Config{}
+	responsive := 0
+	for _, v := range c.config.Voters {
 		if v.ID == id {
 			continue
 		}
-		set.Voters = append(set.Voters, v)
-		if v.ID == c.ID || now.Sub(c.followers[v.ID].acked) <= c.Election {
-			alive++
+		config.Voters = append(config.Voters, v)
+		if v.ID == c.ID || now.Sub(c.followers[v.ID].lastAckedSendTime) <= c.Election {
+			responsive++
 		}
 	}
-	if alive < len(set.Voters)/2+1 {
-		return 0, 0, failure("remove voter", Unsafe, "of the %d voters left only %d answer", len(set.Voters), alive)
+	if responsive < len(config.Voters)/2+1 {
+		return 0, 0, newError("remove voter", Unsafe, "of the %d voters left only %d answer", len(config.Voters), responsive)
 	}
-	return c.appendOwn(persimmoncross.EntryConfig, nil, set), c.hard.Term, nil
+	return c.appendEntry(persimmoncross.EntryConfig, nil, config), c.hardState.Term, nil
 }
 
-// mayChange checks what every change of voters needs: that this member leads,
+// checkVoterChange checks what every change of voters needs: that this member leads,
 // has committed an entry of its own term, and that no change is under way.
-func (c *Core) mayChange(now time.Time, operation string) error {
+func (c *Core) checkVoterChange(now time.Time, operation string) error {
 	c.now = now
 	if c.role != Leader {
-		return failure(operation, NotLeader, "this member does not lead")
+		return newError(operation, NotLeader, "this member does not lead")
 	}
-	if term, _ := c.log.term(c.commit); term != c.hard.Term || c.setAt > c.commit {
-		return failure(operation, Busy, "an earlier change is not committed yet")
+	if term, _ := c.log.term(c.commitIndex); term != c.hardState.Term || c.configIndex > c.commitIndex {
+		return newError(operation, Busy, "an earlier change is not committed yet")
 	}
 	return nil
 }
@@ -75,11 +75,11 @@
 // stepDownIfRemoved ends the leadership of a leader that no longer votes, once
 // that is committed.
 func (c *Core) stepDownIfRemoved() {
-	if c.set.Has(c.ID) || c.setAt > c.commit {
+	if c.config.Has(c.ID) || c.configIndex > c.commitIndex {
 		return
 	}
-	c.heartbeat() // the others learn of the commit first
-	c.follow(c.hard.Term, 0)
+	c.broadcastHeartbeat() // the others learn of the commit first
+	c.becomeFollower(c.hardState.Term, 0)
 }
 
 // Transfer hands leadership to the voter that holds most of the log and
@@ -89,34 +89,34 @@
 	if c.role != Leader {
 		return false
 	}
-	var best persimmoncross.MemberID
-	for _, v := range c.set.Voters {
+	var target persimmoncross.MemberID
+	for _, v := range c.config.Voters {
 		p := c.followers[v.ID]
-		if p == nil || now.Sub(p.acked) > c.Election {
+		if p == nil || now.Sub(p.lastAckedSendTime) > c.Election {
 			continue
 		}
-		if best == 0 || p.match > c.followers[best].match {
-			best = v.ID
+		if target == 0 || p.matchIndex > c.followers[target].matchIndex {
+			target = v.ID
 		}
 	}
-	if best == 0 {
+	if target == 0 {
 		return false
 	}
-	c.transfer = transfer{
-		to:    best,
-		until: now.Add(c.Election),
+	c.transfer = leadershipTransfer{
+		target:   target,
+		deadline: now.Add(c.Election),
 	}
-	c.finishTransfer(best, c.followers[best])
+	c.sendTimeoutNowIfReady(target, c.followers[target])
 	return true
 }
 
-// finishTransfer asks the receiver to stand once it holds the whole log.
-func (c *Core) finishTransfer(id persimmoncross.MemberID, p *progress) {
-	if c.transfer.to != id || c.transfer.asked || p.match < c.log.last() {
+// sendTimeoutNowIfReady asks the receiver to stand once it holds the whole log.
+func (c *Core) sendTimeoutNowIfReady(id persimmoncross.MemberID, p *progress) {
+	if c.transfer.target != id || c.transfer.timeoutNowSent || p.matchIndex < c.log.lastIndex() {
 		return
 	}
-	c.transfer.asked = true
-	c.send(id, persimmoncross.Message{
+	c.transfer.timeoutNowSent = true
+	c.sendBeforeSync(id, persimmoncross.Message{
 		Kind: persimmoncross.MessageTimeoutNow,
 	})
 }
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -9,66 +9,66 @@
 
 // progress is what a leader knows of one follower or learner.
 type progress struct {
-	vm        string
-	match     uint64    // last entry known to be on its disk
-	told      uint64    // last entry of its log as it told itself when it looked for a leader
-	next      uint64    // first entry to send
-	acked     time.Time // the leader's time of sending, of the latest message it answered
-	heard     time.Time
-	offset    uint64 // of the snapshot being sent
-	sending   uint64 // that snapshot's index, or 0
-	sentChunk time.Time
-	probe     probe
+	vm                string
+	matchIndex        uint64    // last entry known to be on its disk
+	reportedLastIndex uint64    // last entry of its log as it told itself when it looked for a leader
+	nextIndex         uint64    // first entry to send
+	lastAckedSendTime time.Time // the leader's time of sending, of the latest message it answered
+	lastContact       time.Time
+	snapshotOffset    uint64 // of the snapshot being sent
+	snapshotIndex     uint64 // that snapshot's index, or 0
+	chunkSentAt       time.Time
+	probe             leaseProbe
 }
 
-// incoming is a snapshot being received.
-type incoming struct {
-	from  persimmoncross.MemberID
-	index uint64
-	term  uint64
-	set   persimmoncross.Config
-	data  []byte
+// incomingSnapshot is a snapshot being received.
+type incomingSnapshot struct {
+	from   persimmoncross.MemberID
+	index  uint64
+	term   uint64
+	config persimmoncross.Config
+	data   []byte
 }
 
-// learnerSilence is how long a leader keeps sending to a silent learner.
-const learnerSilence = 30 * time.Second
+// learnerTimeout is how long a leader keeps sending to a silent learner.
+const learnerTimeout = 30 * time.Second
 
 // Propose appends a command, if the member leads.
 func (c *Core) Propose(now time.Time, data []byte) (index, term uint64, err error) {
 	c.now = now
 	if c.role != Leader {
-		return 0, 0, failure("propose", NotLeader, "this member does not lead")
+		return 0, 0, newError("propose", NotLeader, "this member does not lead")
 	}
-	if c.transfer.to != 0 {
-		return 0, 0, failure("propose", NotLeader, "leadership is being handed over")
+	if c.transfer.target != 0 {
+		return 0, 0, newError("propose", NotLeader, "leadership is being handed over")
 	}
-	index = c.appendOwn(persimmoncross.EntryCommand, data, persimmoncross.Config{})
-	return index, c.hard.Term, nil
+	index = c.appendEntry(persimmoncross.EntryCommand, data, persimmoncross.Config{})
+	return index, c.hardState.Term, nil
 }
 
-func (c *Core) appendOwn(kind persimmoncross.EntryKind, data []byte, set persimmoncross.Config) uint64 {
+func (c *Core) appendEntry(kind persimmoncross.EntryKind, data []byte, config persimmoncross.Config) uint64 {
 	e := persimmoncross.Entry{
-		Index: c.log.last() + 1,
-		Term:  c.hard.Term,
+		Index: c.log.lastIndex() + 1,
+		Term:  c.hardState.Term,
 		Kind:  kind,
 		Data:  data,
-		Set:   set,
+		Set:   config,
 	}
 	c.log.append(e)
-	c.unsynced = append(c.unsynced, e)
-	c.adopt(e)
+	c.unsyncedEntries = append(c.unsyncedEntries, e)
+	c.activateConfig(e)
 	return e.Index
 }
 
 // replicate sends each follower what it lacks, as far as may be under way. A
 // follower that lacks nothing learns of a new commit index at once.
 func (c *Core) replicate() {
-	for _, id := range c.order {
+	for _, id := range c.followerOrder {
 		p := c.followers[id]
-		if c.announce && p.sending == 0 && p.next > c.log.last() {
-			c.sendEmpty(id, p)
+		if c.commitAdvanced && p.snapshotIndex == 0 && p.nextIndex > c.log.lastIndex() {
+			c.sendEmptyAppend(id, p)
 		}
-		for p.sending == 0 && p.next <= c.log.last() && c.mayFly(p) {
+		for p.snapshotIndex == 0 && p.nextIndex <= c.log.lastIndex() && c.canSendMore(p) {
 			if !c.sendEntries(id, p) {
 				break
 			}
@@ -76,115 +76,115 @@
 	}
 }
 
-// mayFly reports whether more may be under way to the follower. Before its first
+// canSendMore reports whether more may be under way to the follower. Before its first
 // word it is not known what is.
-func (c *Core) mayFly(p *progress) bool {
-	if p.next-p.match > maxInflight {
+func (c *Core) canSendMore(p *progress) bool {
+	if p.nextIndex-p.matchIndex > maxInflightEntries {
 		return false
 	}
-	held := max(p.match, p.told)
-	return held == 0 || c.log.size(held, p.next-1) <= maxInflightSize
+	knownIndex := max(p.matchIndex, p.reportedLastIndex)
+	return knownIndex == 0 || c.log.sizeBetween(knownIndex, p.nextIndex-1) <= maxInflightBytes
 }
 
 // sendEntries sends the next batch, or starts a snapshot if the log no longer
 // holds it. It returns false if nothing more can be sent now.
 func (c *Core) sendEntries(id persimmoncross.MemberID, p *progress) bool {
-	before := p.next - 1
-	term, ok := c.log.term(before)
+	prevIndex := p.nextIndex - 1
+	prevTerm, ok := c.log.term(prevIndex)
 	if !ok {
-		c.startSnapshot(id, p)
+		c.startSnapshotTransfer(id, p)
 		return false
 	}
-	entries := c.log.from(before, maxBatch, maxBatchSize)
-	c.sendAppend(id, p, before, term, entries)
-	p.next += uint64(len(entries))
+	entries := c.log.entriesAfter(prevIndex, maxBatchEntries, maxBatchBytes)
+	c.sendAppend(id, p, prevIndex, prevTerm, entries)
+	p.nextIndex += uint64(len(entries))
 	return len(entries) > 0
 }
 
-func (c *Core) sendAppend(id persimmoncross.MemberID, p *progress, before, term uint64, entries []persimmoncross.Entry) {
-	c.send(id, persimmoncross.Message{
+func (c *Core) sendAppend(id persimmoncross.MemberID, p *progress, prevIndex, prevTerm uint64, entries []persimmoncross.Entry) {
+	c.sendBeforeSync(id, persimmoncross.Message{
 		Kind:      persimmoncross.MessageAppend,
-		Index:     before,
-		LogTerm:   term,
-		Commit:    c.commit,
+		Index:     prevIndex,
+		LogTerm:   prevTerm,
+		Commit:    c.commitIndex,
 		Entries:   entries,
-		Sent:      c.wire(c.now),
+		Sent:      c.toWireTime(c.now),
 		Probe:     p.probe.confirmed,
-		Confirmed: p.probe.commit,
+		Confirmed: p.probe.commitIndex,
 	})
 }
 
-// heartbeat sends every follower an empty append, or the chunk that got lost.
-func (c *Core) heartbeat() {
-	c.beat = c.now
-	for _, id := range c.order {
+// broadcastHeartbeat sends every follower an empty append, or the chunk that got lost.
+func (c *Core) broadcastHeartbeat() {
+	c.lastHeartbeat = c.now
+	for _, id := range c.followerOrder {
 		p := c.followers[id]
-		if !c.set.Has(id) && c.now.Sub(p.heard) > learnerSilence {
-			c.untrack(id)
+		if !c.config.Has(id) && c.now.Sub(p.lastContact) > learnerTimeout {
+			c.removeFollower(id)
 			continue
 		}
-		if p.sending != 0 && c.now.Sub(p.sentChunk) >= 2*c.Heartbeat {
-			c.sendChunk(id, p)
+		if p.snapshotIndex != 0 && c.now.Sub(p.chunkSentAt) >= 2*c.Heartbeat {
+			c.sendSnapshotChunk(id, p)
 		}
-		c.sendEmpty(id, p)
+		c.sendEmptyAppend(id, p)
 	}
 }
 
-func (c *Core) sendEmpty(id persimmoncross.MemberID, p *progress) {
-	before := min(p.next-1, c.log.last())
-	term, ok := c.log.term(before)
+func (c *Core) sendEmptyAppend(id persimmoncross.MemberID, p *progress) {
+	prevIndex := min(p.nextIndex-1, c.log.lastIndex())
+	prevTerm, ok := c.log.term(prevIndex)
 	if !ok {
-		before, term = c.log.base, c.log.baseTerm
+		prevIndex, prevTerm = c.log.compactedIndex, c.log.compactedTerm
 	}
-	c.sendAppend(id, p, before, term, nil)
+	c.sendAppend(id, p, prevIndex, prevTerm, nil)
 }
 
 func (c *Core) tickLeader() {
 	c.confirmProbes()
-	if c.now.Sub(c.quorumAcked()) > c.Election {
-		c.follow(c.hard.Term, 0) // check-quorum
+	if c.now.Sub(c.quorumAckedSendTime()) > c.Election {
+		c.becomeFollower(c.hardState.Term, 0) // check-quorum
 		return
 	}
-	if c.transfer.to != 0 && c.now.After(c.transfer.until) {
-		c.transfer = transfer{}
+	if c.transfer.target != 0 && c.now.After(c.transfer.deadline) {
+		c.transfer = leadershipTransfer{}
 	}
-	if c.now.Sub(c.beat) >= c.Heartbeat {
-		c.heartbeat()
+	if c.now.Sub(c.lastHeartbeat) >= c.Heartbeat {
+		c.broadcastHeartbeat()
 	}
 }
 
-// quorumAcked returns the latest time of sending that a quorum has answered.
-func (c *Core) quorumAcked() time.Time {
-	var times []time.Time
-	for _, v := range c.set.Voters {
+// quorumAckedSendTime returns the latest time of sending that a quorum has answered.
+func (c *Core) quorumAckedSendTime() time.Time {
+	var sendTimes []time.Time
+	for _, v := range c.config.Voters {
 		if v.ID == c.ID {
-			times = append(times, c.now)
+			sendTimes = append(sendTimes, c.now)
 			continue
 		}
 		if p, ok := c.followers[v.ID]; ok {
-			times = append(times, p.acked)
+			sendTimes = append(sendTimes, p.lastAckedSendTime)
 			continue
 		}
-		times = append(times, time.Time{})
+		sendTimes = append(sendTimes, time.Time{})
 	}
-	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
-	return times[c.quorum()-1]
+	slices.SortFunc(sendTimes, func(a, b time.Time) int { return b.Compare(a) })
+	return sendTimes[c.quorumSize()-1]
 }
 
-// advance moves the commit index to what a quorum has on disk.
-func (c *Core) advance() {
-	var matches []uint64
-	for _, v := range c.set.Voters {
+// advanceCommitIndex moves the commit index to what a quorum has on disk.
+func (c *Core) advanceCommitIndex() {
+	var matchIndexes []uint64
+	for _, v := range c.config.Voters {
 		switch p, ok := c.followers[v.ID]; {
 		case v.ID == c.ID:
-			matches = append(matches, c.synced)
+			matchIndexes = append(matchIndexes, c.syncedIndex)
 		case ok:
-			matches = append(matches, p.match)
+			matchIndexes = append(matchIndexes, p.matchIndex)
 		default:
-			matches = append(matches, 0)
+			matchIndexes = append(matchIndexes, 0)
 		}
 	}
-	slices.SortFunc(matches, func(a, b uint64) int {
+	slices.SortFunc(matchIndexes, func(a, b uint64) int {
 		switch {
 		case a > b:
 			return -1
@@ -193,58 +193,58 @@
 		}
 		return 0
 	})
-	index := matches[c.quorum()-1]
-	if term, ok := c.log.term(index); !ok || term != c.hard.Term || index <= c.commit {
+	index := matchIndexes[c.quorumSize()-1]
+	if term, ok := c.log.term(index); !ok || term != c.hardState.Term || index <= c.commitIndex {
 		return
 	}
-	c.commit = index
-	c.announce = c.Announce
+	c.commitIndex = index
+	c.commitAdvanced = c.Announce
 	c.stepDownIfRemoved()
 }
 
 func (c *Core) onAppend(m persimmoncross.Message) {
 	if c.role != Follower || c.leader != m.From {
-		c.follow(m.Term, m.From)
+		c.becomeFollower(m.Term, m.From)
 	}
-	c.heard = c.now
-	c.resetTimer()
-	c.lease.extend(c, m)
-	answer := persimmoncross.Message{
+	c.lastLeaderContact = c.now
+	c.resetElectionTimer()
+	c.lease.renew(c, m)
+	reply := persimmoncross.Message{
 		Kind:  persimmoncross.MessageAppendReply,
 		Sent:  m.Sent,
-		Probe: c.lease.ask(c),
+		Probe: c.lease.newProbe(c),
 	}
 	term, ok := c.log.term(m.Index)
-	if m.Index < c.log.base {
+	if m.Index < c.log.compactedIndex {
 		// What a snapshot covers is committed, so it matches.
-		answer.Index = c.log.base
-		c.reply(m, answer)
+		reply.Index = c.log.compactedIndex
+		c.replyAfterSync(m, reply)
 		return
 	}
 	if !ok || term != m.LogTerm {
-		answer.Reject = true
-		answer.Hint = c.hint(m)
-		c.reply(m, answer)
+		reply.Reject = true
+		reply.Hint = c.rejectHint(m)
+		c.replyAfterSync(m, reply)
 		return
 	}
 	last := m.Index + uint64(len(m.Entries))
-	c.accept(m.Entries)
-	c.commit = max(c.commit, min(m.Commit, last))
-	answer.Index = last
-	c.reply(m, answer)
+	c.appendFromLeader(m.Entries)
+	c.commitIndex = max(c.commitIndex, min(m.Commit, last))
+	reply.Index = last
+	c.replyAfterSync(m, reply)
 }
 
-// hint names the entry after which the leader should send again. It skips the
+// rejectHint names the entry after which the leader should send again. It skips the
 // whole term that contradicts the leader's log, but nothing committed.
-func (c *Core) hint(m persimmoncross.Message) uint64 {
-	index := min(m.Index, c.log.last())
-	conflict, held := c.log.term(m.Index)
-	if !held {
+func (c *Core) rejectHint(m persimmoncross.Message) uint64 {
+	index := min(m.Index, c.log.lastIndex())
+	conflictTerm, found := c.log.term(m.Index)
+	if !found {
 		return index
 	}
-	for index > c.commit {
+	for index > c.commitIndex {
 		term, _ := c.log.term(index)
-		if term != conflict {
+		if term != conflictTerm {
 			break
 		}
 		index--
@@ -252,10 +252,10 @@
 	return index
 }
 
-// accept appends the entries that the log lacks and drops what contradicts them.
-func (c *Core) accept(entries []persimmoncross.Entry) {
+// appendFromLeader appends the entries that the log lacks and drops what contradicts them.
+func (c *Core) appendFromLeader(entries []persimmoncross.Entry) {
 	for i, e := range entries {
-		if e.Index <= c.log.base {
+		if e.Index <= c.log.compactedIndex {
 			continue
 		}
 		term, ok := c.log.term(e.Index)
@@ -264,20 +264,20 @@
 		}
 		if ok {
 			c.log.truncate(e.Index)
-			c.restoreSet(e.Index)
-			c.synced = min(c.synced, e.Index-1)
-			c.unsynced = dropFrom(c.unsynced, e.Index)
+			c.revertConfig(e.Index)
+			c.syncedIndex = min(c.syncedIndex, e.Index-1)
+			c.unsyncedEntries = truncateFrom(c.unsyncedEntries, e.Index)
 		}
 		c.log.append(entries[i:]...)
-		c.unsynced = append(c.unsynced, entries[i:]...)
+		c.unsyncedEntries = append(c.unsyncedEntries, entries[i:]...)
 		for _, n := range entries[i:] {
-			c.adopt(n)
+			c.activateConfig(n)
 		}
 		return
 	}
 }
 
-func dropFrom(entries []persimmoncross.Entry, index uint64) []persimmoncross.Entry {
+func truncateFrom(entries []persimmoncross.Entry, index uint64) []persimmoncross.Entry {
 	for i, e := range entries {
 		if e.Index >= index {
 			return entries[:i:i]
@@ -287,29 +287,29 @@
 }
 
 func (c *Core) onAppendReply(m persimmoncross.Message) {
-	p := c.heardFrom(m)
+	p := c.recordReply(m)
 	if p == nil {
 		return
 	}
 	if m.Reject {
-		if p.sending == 0 {
-			p.next = max(min(m.Hint+1, c.log.last()+1), p.match+1)
+		if p.snapshotIndex == 0 {
+			p.nextIndex = max(min(m.Hint+1, c.log.lastIndex()+1), p.matchIndex+1)
 		}
 		return
 	}
-	if m.Index > p.match {
-		p.match = m.Index
-		p.next = max(p.next, m.Index+1)
-		if p.sending != 0 && m.Index >= p.sending {
-			p.sending = 0
+	if m.Index > p.matchIndex {
+		p.matchIndex = m.Index
+		p.nextIndex = max(p.nextIndex, m.Index+1)
+		if p.snapshotIndex != 0 && m.Index >= p.snapshotIndex {
+			p.snapshotIndex = 0
 		}
-		c.advance()
+		c.advanceCommitIndex()
 	}
-	c.finishTransfer(m.From, p)
+	c.sendTimeoutNowIfReady(m.From, p)
 }
 
-// heardFrom notes an answer; nil means that the sender is not being followed.
-func (c *Core) heardFrom(m persimmoncross.Message) *progress {
+// recordReply notes an answer; nil means that the sender is not being followed.
+func (c *Core) recordReply(m persimmoncross.Message) *progress {
 	if c.role != Leader {
 		return nil
 	}
@@ -317,29 +317,29 @@
 	if p == nil {
 		return nil
 	}
-	p.heard = c.now
-	if sent := c.local(m.Sent); sent.After(p.acked) && !sent.After(c.now) {
-		p.acked = sent
+	p.lastContact = c.now
+	if sent := c.fromWireTime(m.Sent); sent.After(p.lastAckedSendTime) && !sent.After(c.now) {
+		p.lastAckedSendTime = sent
 	}
-	p.probe.note(m.Probe, c.now)
+	p.probe.record(m.Probe, c.now)
 	c.confirmProbes()
 	return p
 }
 
-// hello asks the voters for the log, while no leader is heard.
-func (c *Core) hello() {
-	if c.now.Sub(c.heard) < c.Election || c.now.Sub(c.beat) < c.Heartbeat {
+// sendHelloIfDue asks the voters for the log, while no leader is heard.
+func (c *Core) sendHelloIfDue() {
+	if c.now.Sub(c.lastLeaderContact) < c.Election || c.now.Sub(c.lastHeartbeat) < c.Heartbeat {
 		return
 	}
-	c.beat = c.now
+	c.lastHeartbeat = c.now
 	c.leader = 0
 	c.sendHello()
 }
 
 func (c *Core) sendHello() {
-	c.eager = append(c.eager, c.fill(0, "", persimmoncross.Message{
+	c.messagesBeforeSync = append(c.messagesBeforeSync, c.withHeader(0, "", persimmoncross.Message{
 		Kind:  persimmoncross.MessageHello,
-		Index: c.log.last(),
+		Index: c.log.lastIndex(),
 	}))
 }
 
@@ -348,67 +348,67 @@
 	if c.role != Leader || m.From == c.ID {
 		return
 	}
-	p := c.track(m.From, m.VM)
-	p.heard = c.now
-	p.told = m.Index
-	p.next = max(p.match+1, min(p.next, m.Index+1))
+	p := c.addFollower(m.From, m.VM)
+	p.lastContact = c.now
+	p.reportedLastIndex = m.Index
+	p.nextIndex = max(p.matchIndex+1, min(p.nextIndex, m.Index+1))
 }
 
-func (c *Core) startSnapshot(id persimmoncross.MemberID, p *progress) {
-	p.sending = c.snapshot.Index
-	p.offset = 0
-	c.sendChunk(id, p)
+func (c *Core) startSnapshotTransfer(id persimmoncross.MemberID, p *progress) {
+	p.snapshotIndex = c.snapshot.Index
+	p.snapshotOffset = 0
+	c.sendSnapshotChunk(id, p)
 }
 
-func (c *Core) sendChunk(id persimmoncross.MemberID, p *progress) {
-	if p.sending != c.snapshot.Index {
+func (c *Core) sendSnapshotChunk(id persimmoncross.MemberID, p *progress) {
+	if p.snapshotIndex != c.snapshot.Index {
 		// A newer snapshot has replaced the one under way.
-		p.sending = c.snapshot.Index
-		p.offset = 0
+		p.snapshotIndex = c.snapshot.Index
+		p.snapshotOffset = 0
 	}
 	size := uint64(len(c.snapshot.Data))
-	end := min(p.offset+chunkSize, size)
-	p.sentChunk = c.now
-	c.send(id, persimmoncross.Message{
+	end := min(p.snapshotOffset+maxChunkBytes, size)
+	p.chunkSentAt = c.now
+	c.sendBeforeSync(id, persimmoncross.Message{
 		Kind:    persimmoncross.MessageChunk,
 		Index:   c.snapshot.Index,
 		LogTerm: c.snapshot.Term,
 		Set:     c.snapshot.Set,
-		Offset:  p.offset,
+		Offset:  p.snapshotOffset,
 		Total:   size,
-		Data:    c.snapshot.Data[p.offset:end],
-		Sent:    c.wire(c.now),
+		Data:    c.snapshot.Data[p.snapshotOffset:end],
+		Sent:    c.toWireTime(c.now),
 	})
 }
 
 func (c *Core) onChunk(m persimmoncross.Message) {
 	if c.role != Follower || c.leader != m.From {
-		c.follow(m.Term, m.From)
+		c.becomeFollower(m.Term, m.From)
 	}
-	c.heard = c.now
-	c.resetTimer()
-	if m.Index <= c.commit {
-		c.reply(m, persimmoncross.Message{
+	c.lastLeaderContact = c.now
+	c.resetElectionTimer()
+	if m.Index <= c.commitIndex {
+		c.replyAfterSync(m, persimmoncross.Message{
 			Kind:  persimmoncross.MessageAppendReply,
-			Index: c.commit,
+			Index: c.commitIndex,
 			Sent:  m.Sent,
 		})
 		return
 	}
-	if c.incoming == nil || c.incoming.from != m.From || c.incoming.index != m.Index || c.incoming.term != m.LogTerm {
-		c.incoming = &incoming{
-			from:  m.From,
-			index: m.Index,
-			term:  m.LogTerm,
-			set:   m.Set,
+	if c.incomingSnapshot == nil || c.incomingSnapshot.from != m.From || c.incomingSnapshot.index != m.Index || c.incomingSnapshot.term != m.LogTerm {
+		c.incomingSnapshot = &incomingSnapshot{
+			from:   m.From,
+			index:  m.Index,
+			term:   m.LogTerm,
+			config: m.Set,
 		}
 	}
-	in := c.incoming
+	in := c.incomingSnapshot
 	if m.Offset == uint64(len(in.data)) {
 		in.data = append(in.data, m.Data...)
 	}
 	if uint64(len(in.data)) < m.Total {
-		c.reply(m, persimmoncross.Message{
+		c.replyAfterSync(m, persimmoncross.Message{
 			Kind:   persimmoncross.MessageChunkReply,
 			Index:  m.Index,
 			Offset: uint64(len(in.data)),
@@ -417,39 +417,39 @@
 		return
 	}
 	c.installSnapshot(in)
-	c.reply(m, persimmoncross.Message{
+	c.replyAfterSync(m, persimmoncross.Message{
 		Kind:  persimmoncross.MessageAppendReply,
 		Index: m.Index,
 		Sent:  m.Sent,
 	})
 }
 
-func (c *Core) installSnapshot(in *incoming) {
-	c.incoming = nil
+func (c *Core) installSnapshot(in *incomingSnapshot) {
+	c.incomingSnapshot = nil
 	s := persimmoncross.Snapshot{
 		Index: in.index,
 		Term:  in.term,
-		Set:   in.set,
+		Set:   in.config,
 		Data:  in.data,
 	}
-	c.install = &s
+	c.snapshotToInstall = &s
 	c.snapshot = s
 	c.log.reset(s.Index, s.Term)
-	c.unsynced = nil
-	c.older = nil
-	c.set = s.Set
-	c.setAt = s.Index
-	c.commit = s.Index
-	c.taken = s.Index
-	c.applied = s.Index
-	c.synced = s.Index
+	c.unsyncedEntries = nil
+	c.previousConfigs = nil
+	c.config = s.Set
+	c.configIndex = s.Index
+	c.commitIndex = s.Index
+	c.deliveredIndex = s.Index
+	c.appliedIndex = s.Index
+	c.syncedIndex = s.Index
 }
 
 func (c *Core) onChunkReply(m persimmoncross.Message) {
-	p := c.heardFrom(m)
-	if p == nil || p.sending != m.Index || m.Offset > uint64(len(c.snapshot.Data)) {
+	p := c.recordReply(m)
+	if p == nil || p.snapshotIndex != m.Index || m.Offset > uint64(len(c.snapshot.Data)) {
 		return
 	}
-	p.offset = m.Offset
-	c.sendChunk(m.From, p)
+	p.snapshotOffset = m.Offset
+	c.sendSnapshotChunk(m.From, p)
 }
--- a/core/coordination/consensus/safety_test.go
+++ b/core/coordination/consensus/safety_test.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	self  = persimmoncross.MemberID(1)
-	other = persimmoncross.MemberID(2)
-	third = persimmoncross.MemberID(3)
+	selfID   = persimmoncross.MemberID(1)
+	secondID = persimmoncross.MemberID(2)
+	thirdID  = persimmoncross.MemberID(3)
 )
 
-// voter returns one of three that holds one entry of term 2 behind its
+// newThreeVoterCore returns one of three that holds one entry of term 2 behind its
 // snapshot, which nobody knows to be committed.
-func voter(now time.Time) *Core {
+func newThreeVoterCore(now time.Time) *Core {
 	c := &Core{
 		Group:     "g",
-		ID:        self,
+		ID:        selfID,
 		VM:        "vm1",
 		Heartbeat: 100 * time.Millisecond,
 		Election:  500 * time.Millisecond,
@@ -33,15 +33,15 @@
 		Set: persimmoncross.Config{
 			Voters: []persimmoncross.Member{
 				{
-					ID: self,
+					ID: selfID,
 					VM: "vm1",
 				},
 				{
-					ID: other,
+					ID: secondID,
 					VM: "vm2",
 				},
 				{
-					ID: third,
+					ID: thirdID,
 					VM: "vm3",
 				},
 			},
@@ -56,8 +56,8 @@
 	return c
 }
 
-// elect makes the member the leader of term 3.
-func elect(t *testing.T, c *Core, now time.Time) {
+// electLeader makes the member the leader of term 3.
+func electLeader(t *testing.T, c *Core, now time.Time) {
 	t.Helper()
 	c.Tick(now)
 	for _, kind := range []persimmoncross.MessageKind{persimmoncross.MessagePreVoteReply, persimmoncross.MessageVoteReply} {
@@ -65,8 +65,8 @@
 		c.Step(now, persimmoncross.Message{
 			Group: "g",
 			Kind:  kind,
-			From:  other,
-			To:    self,
+			From:  secondID,
+			To:    selfID,
 			Term:  3,
 		})
 	}
@@ -78,18 +78,18 @@
 // A leader counts copies only of entries of its own term (Raft, 5.4.2): a copy
 // of an older entry on a majority may still be replaced by a later leader that
 // has none.
-func TestCopiesOfAnOlderTermCommitNothing(t *testing.T) {
+func TestEntriesOfOlderTermAreNotCommittedByCount(t *testing.T) {
 	now := time.Unix(100, 0)
-	c := voter(now)
+	c := newThreeVoterCore(now)
 	now = now.Add(2 * time.Second)
-	elect(t, c, now)
+	electLeader(t, c, now)
 	c.Take()
 	c.Synced(3)
 	reply := persimmoncross.Message{
 		Group: "g",
 		Kind:  persimmoncross.MessageAppendReply,
-		From:  other,
-		To:    self,
+		From:  secondID,
+		To:    selfID,
 		Term:  3,
 		Index: 2,
 	}
@@ -106,7 +106,7 @@
 
 // A vote goes only to a candidate whose log holds at least what this one does.
 // The candidate may not have asked for a pre-vote.
-func TestVoteComparesLogs(t *testing.T) {
+func TestVoteRequiresUpToDateLog(t *testing.T) {
 	tests := []struct {
 		name    string
 		index   uint64
@@ -139,12 +139,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(100, 0)
-			c := voter(now)
+			c := newThreeVoterCore(now)
 			c.Step(now, persimmoncross.Message{
 				Group:   "g",
 				Kind:    persimmoncross.MessageVote,
-				From:    other,
-				To:      self,
+				From:    secondID,
+				To:      selfID,
 				VM:      "vm2",
 				Term:    5,
 				Index:   tt.index,
@@ -157,7 +157,7 @@
 			if granted := !a.Messages[0].Reject; granted != tt.granted {
 				t.Errorf("granted %v, want %v", granted, tt.granted)
 			}
-			if tt.granted && (a.Hard == nil || a.Hard.Vote != other) {
+			if tt.granted && (a.Hard == nil || a.Hard.Vote != secondID) {
 				t.Error("the vote is not kept before it is told")
 			}
 		})
@@ -166,10 +166,10 @@
 
 // After a start nobody waits for a leader for long, and a member that hears one
 // does not stand.
-func TestFirstElectionComesSoon(t *testing.T) {
+func TestFirstElectionTimeoutIsShort(t *testing.T) {
 	for seed := range uint64(50) {
 		now := time.Unix(100, 0)
-		c := voter(now)
+		c := newThreeVoterCore(now)
 		c.Random = rand.New(rand.NewPCG(seed, 1))
 		c.Start(now, persimmoncross.HardState{
 			Term: 2,
--- a/core/coordination/forecast/forecast.go
+++ b/core/coordination/forecast/forecast.go
@@ -7,110 +7,110 @@
 
 // Of the estimate of how long a model takes to begin an answer.
 const (
-	beginWeight = 0.15 // of one answer
-	beginFade   = 5 * time.Second
-	// lineWeight is that of one answer in the line through times and prompts: what
+	firstTokenWeight     = 0.15 // of one answer
+	queueEstimateTimeout = 5 * time.Second
+	// minRegressionWeight is that of one answer in the line through times and prompts: what
 	// a token adds changes slowly, and the queue's noise is far larger. Of fewer
 	// answers than its inverse all weigh the same.
-	lineWeight = 0.02
+	minRegressionWeight = 0.02
 )
 
 // Heads fits a line through the times of heads and the sizes of prompts: what
 // does not grow with the prompt is the queue. The zero value knows nothing.
 type Heads struct {
-	mean    float64 // seconds, lately
-	prompt  float64 // mean tokens, lately
-	at      time.Time
-	waiting map[uint64]awaited
-	next    uint64
-	line    line
+	meanSeconds      float64 // seconds, lately
+	meanPromptTokens float64 // mean tokens, lately
+	lastUpdate       time.Time
+	pending          map[uint64]pendingRequest
+	lastRequestID    uint64
+	prefill          prefillRegression
 }
 
-// awaited is a head that has not come yet.
-type awaited struct {
-	since  time.Time
-	prompt float64
+// pendingRequest is a head that has not come yet.
+type pendingRequest struct {
+	sentAt       time.Time
+	promptTokens float64
 }
 
 // Await notes that a head is awaited, and returns its number for Came.
-func (h *Heads) Await(prompt int, now time.Time) uint64 {
-	if h.waiting == nil {
-		h.waiting = map[uint64]awaited{}
+func (e *Heads) Await(promptTokens int, now time.Time) uint64 {
+	if e.pending == nil {
+		e.pending = map[uint64]pendingRequest{}
 	}
-	h.next++
-	h.waiting[h.next] = awaited{
-		since:  now,
-		prompt: float64(prompt),
+	e.lastRequestID++
+	e.pending[e.lastRequestID] = pendingRequest{
+		sentAt:       now,
+		promptTokens: float64(promptTokens),
 	}
-	return h.next
+	return e.lastRequestID
 }
 
 // Came ends the wait for a head; ok tells whether it came. One that was ended
 // early says nothing.
-func (h *Heads) Came(number uint64, ok bool, now time.Time) {
-	a := h.waiting[number]
-	delete(h.waiting, number)
-	took := now.Sub(a.since).Seconds()
-	if !ok && took < h.mean {
+func (e *Heads) Came(requestID uint64, received bool, now time.Time) {
+	request := e.pending[requestID]
+	delete(e.pending, requestID)
+	seconds := now.Sub(request.sentAt).Seconds()
+	if !received && seconds < e.meanSeconds {
 		return
 	}
-	weight := beginWeight
-	if h.mean == 0 {
+	weight := firstTokenWeight
+	if e.meanSeconds == 0 {
 		weight = 1
 	}
-	h.mean += weight * (took - h.mean)
-	h.prompt += weight * (a.prompt - h.prompt)
-	h.at = now
-	h.line.take(took, a.prompt)
+	e.meanSeconds += weight * (seconds - e.meanSeconds)
+	e.meanPromptTokens += weight * (request.promptTokens - e.meanPromptTokens)
+	e.lastUpdate = now
+	e.prefill.add(seconds, request.promptTokens)
 }
 
 // Reading estimates how long the model takes to read a prompt of so many tokens,
 // without what it waits for that; zero if nothing is known.
-func (h *Heads) Reading(prompt int) time.Duration {
-	return time.Duration(h.line.slope() * float64(prompt) * float64(time.Second))
+func (e *Heads) Reading(promptTokens int) time.Duration {
+	return time.Duration(e.prefill.secondsPerToken() * float64(promptTokens) * float64(time.Second))
 }
 
 // Begin estimates how long the model takes to begin an answer to a prompt of so
 // many tokens now; zero if nothing is known. A queue is seen before its requests
 // come out of it: the heads that are awaited count by their age.
-func (h *Heads) Begin(prompt int, now time.Time) time.Duration {
-	slope := h.line.slope()
-	queue := h.mean - slope*h.prompt
-	if now.Sub(h.at) > beginFade && len(h.waiting) == 0 {
-		queue = 0
+func (e *Heads) Begin(promptTokens int, now time.Time) time.Duration {
+	secondsPerToken := e.prefill.secondsPerToken()
+	queueSeconds := e.meanSeconds - secondsPerToken*e.meanPromptTokens
+	if now.Sub(e.lastUpdate) > queueEstimateTimeout && len(e.pending) == 0 {
+		queueSeconds = 0
 	}
-	age := 0.0
-	for _, a := range h.waiting {
-		age += (now.Sub(a.since).Seconds() - slope*a.prompt) / float64(len(h.waiting))
+	pendingSeconds := 0.0
+	for _, request := range e.pending {
+		pendingSeconds += (now.Sub(request.sentAt).Seconds() - secondsPerToken*request.promptTokens) / float64(len(e.pending))
 	}
-	return time.Duration((max(queue, age) + slope*float64(prompt)) * float64(time.Second))
+	return time.Duration((max(queueSeconds, pendingSeconds) + secondsPerToken*float64(promptTokens)) * float64(time.Second))
 }
 
-// line is a regression of seconds on tokens.
-type line struct {
-	count   float64 // of answers
-	time    float64 // mean seconds
-	tokens  float64 // mean
-	square  float64 // mean square of the tokens
-	product float64 // mean of tokens times seconds
+// prefillRegression is a regression of seconds on tokens.
+type prefillRegression struct {
+	count             float64 // of answers
+	meanSeconds       float64 // mean seconds
+	meanTokens        float64 // mean
+	meanSquaredTokens float64 // mean square of the tokens
+	meanTokenSeconds  float64 // mean of tokens times seconds
 }
 
-// take adds an answer.
-func (l *line) take(took, prompt float64) {
-	l.count++
-	weight := max(lineWeight, 1/l.count)
-	l.time += weight * (took - l.time)
-	l.tokens += weight * (prompt - l.tokens)
-	l.square += weight * (prompt*prompt - l.square)
-	l.product += weight * (prompt*took - l.product)
+// add adds an answer.
+func (r *prefillRegression) add(seconds, promptTokens float64) {
+	r.count++
+	weight := max(minRegressionWeight, 1/r.count)
+	r.meanSeconds += weight * (seconds - r.meanSeconds)
+	r.meanTokens += weight * (promptTokens - r.meanTokens)
+	r.meanSquaredTokens += weight * (promptTokens*promptTokens - r.meanSquaredTokens)
+	r.meanTokenSeconds += weight * (promptTokens*seconds - r.meanTokenSeconds)
 }
 
-// slope returns the seconds that a token of the prompt adds.
-func (l *line) slope() float64 {
-	variance := l.square - l.tokens*l.tokens
+// secondsPerToken returns the seconds that a token of the prompt adds.
+func (r *prefillRegression) secondsPerToken() float64 {
+	variance := r.meanSquaredTokens - r.meanTokens*r.meanTokens
 	if variance <= 1 {
 		return 0
 	}
-	most := l.time / max(l.tokens, 1) // the line does not cross zero before the empty prompt
-	return min(max((l.product-l.tokens*l.time)/variance, 0), most)
+	maxSlope := r.meanSeconds / max(r.meanTokens, 1) // the line does not cross zero before the empty prompt
+	return min(max((r.meanTokenSeconds-r.meanTokens*r.meanSeconds)/variance, 0), maxSlope)
 }
--- a/core/coordination/forecast/forecast_test.go
+++ b/core/coordination/forecast/forecast_test.go
@@ -7,41 +7,41 @@
 
 // Nothing known is no wait; what is awaited shows before it comes; what was ended
 // early says nothing.
-func TestHeads(t *testing.T) {
+func TestFirstTokenEstimator(t *testing.T) {
 	now := time.Unix(100, 0)
-	h := &Heads{}
-	if h.Begin(1000, now) != 0 || h.Reading(1000) != 0 {
+	estimator := &Heads{}
+	if estimator.Begin(1000, now) != 0 || estimator.Reading(1000) != 0 {
 		t.Error("an unknown model takes time")
 	}
 	for i := range 300 {
-		prompt := 1000 * (1 + i%7)
-		n := h.Await(prompt, now)
-		h.Came(n, true, now.Add(time.Duration(prompt)*50*time.Microsecond))
+		promptTokens := 1000 * (1 + i%7)
+		n := estimator.Await(promptTokens, now)
+		estimator.Came(n, true, now.Add(time.Duration(promptTokens)*50*time.Microsecond))
 	}
-	if got := h.Reading(10_000); got < 450*time.Millisecond || got > 550*time.Millisecond {
+	if got := estimator.Reading(10_000); got < 450*time.Millisecond || got > 550*time.Millisecond {
 		t.Errorf("10,000 tokens are read in %v, want 500 ms", got)
 	}
-	n := h.Await(1000, now)
-	if got := h.Begin(1000, now.Add(3*time.Second)); got < 2*time.Second {
+	n := estimator.Await(1000, now)
+	if got := estimator.Begin(1000, now.Add(3*time.Second)); got < 2*time.Second {
 		t.Errorf("with a head awaited for 3 s one begins in %v", got)
 	}
-	h.Came(n, false, now.Add(time.Millisecond))
-	if got := h.Begin(1000, now.Add(time.Millisecond)); got > 300*time.Millisecond {
+	estimator.Came(n, false, now.Add(time.Millisecond))
+	if got := estimator.Begin(1000, now.Add(time.Millisecond)); got > 300*time.Millisecond {
 		t.Errorf("after an attempt that was ended at once one begins in %v", got)
 	}
 }
 
 // Prompts of one size say nothing of what a token adds.
-func TestOneSize(t *testing.T) {
+func TestEqualPromptSizesGiveNoPrefillTime(t *testing.T) {
 	now := time.Unix(100, 0)
-	h := &Heads{}
+	estimator := &Heads{}
 	for range 50 {
-		h.Came(h.Await(1000, now), true, now.Add(time.Second))
+		estimator.Came(estimator.Await(1000, now), true, now.Add(time.Second))
 	}
-	if got := h.Reading(50_000); got != 0 {
+	if got := estimator.Reading(50_000); got != 0 {
 		t.Errorf("50,000 tokens are read in %v", got)
 	}
-	if got := h.Begin(1000, now); got != time.Second {
+	if got := estimator.Begin(1000, now); got != time.Second {
 		t.Errorf("one begins in %v, want 1 s", got)
 	}
 }
--- a/core/coordination/group/error.go
+++ b/core/coordination/group/error.go
@@ -33,7 +33,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func failure(operation string, kind Kind, leader string, err error) *Error {
+func newError(operation string, kind Kind, leader string, err error) *Error {
 	return &Error{
 		Operation: operation,
 		Kind:      kind,
--- a/core/coordination/group/group.go
+++ b/core/coordination/group/group.go
@@ -19,15 +19,15 @@
 
 // Sizes of the ring, of one round and of the log kept behind a snapshot.
 const (
-	ringSize      = 4096
-	roundSize     = 1024
-	snapshotEvery = 8192    // applied entries
-	keepBehind    = 2048    // entries
-	snapshotBytes = 8 << 20 // of applied commands: bounds the log in memory and on disk
+	maxQueuedEvents         = 4096
+	maxEventsPerRound       = 1024
+	maxEntriesSinceSnapshot = 8192    // applied entries
+	retainedEntries         = 2048    // entries
+	maxBytesSinceSnapshot   = 8 << 20 // of applied commands: bounds the log in memory and on disk
 )
 
-// retryDisk is the pause after a failed write.
-const retryDisk = 100 * time.Millisecond
+// diskRetryInterval is the pause after a failed write.
+const diskRetryInterval = 100 * time.Millisecond
 
 // View is what others may know of the group; it never changes.
 type View struct {
@@ -59,286 +59,286 @@
 	Metrics metrics.Registry
 	Log     zerolog.Logger
 
-	ring    chan event
-	done    chan struct{}
-	view    atomic.Pointer[View]
-	waiting map[uint64]waiter
-	applied uint64
-	snapped uint64
-	bytes   int // of the commands applied since the last snapshot
-	disk    string
+	events             chan event
+	done               chan struct{}
+	view               atomic.Pointer[View]
+	pendingProposals   map[uint64]pendingProposal
+	appliedIndex       uint64
+	snapshotIndex      uint64
+	bytesSinceSnapshot int // of the commands applied since the last snapshot
+	diskError          string
 }
 
 // event is what is posted to the ring: one of its fields is set.
 type event struct {
-	message *persimmoncross.Message
-	propose *proposal
-	act     func(now time.Time)
+	message  *persimmoncross.Message
+	proposal *proposal
+	execute  func(now time.Time)
 }
 
 type proposal struct {
 	data  []byte
-	reply chan outcome
+	reply chan response
 }
 
-type outcome struct {
+type response struct {
 	result []byte
 	err    error
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term  uint64
-	reply chan outcome
+	reply chan response
 }
 
 // now returns the time with that for which the VM was suspended: a lease and an
 // election run out meanwhile. A leader that wakes would else pass for recent for what
 // its lease had left, though another one has accepted changes since.
-func (g *Group) now() time.Time {
-	now := g.Clock.Now()
-	if c, ok := g.Clock.(persimmoncross.SuspendClock); ok {
+func (r *Group) now() time.Time {
+	now := r.Clock.Now()
+	if c, ok := r.Clock.(persimmoncross.SuspendClock); ok {
 		now = now.Add(c.Suspended())
 	}
 	return now
 }
 
 // Leased reports whether new work may be taken now: see [View.Leased].
-func (g *Group) Leased() bool { return g.View().Leased(g.now()) }
+func (r *Group) Leased() bool { return r.View().Leased(r.now()) }
 
 // Open loads the member's disk and restores the state machine. It comes before
 // Run, so that a broken disk stops the start.
-func (g *Group) Open() error {
-	hard, snapshot, entries, err := g.Storage.Load()
+func (r *Group) Open() error {
+	hardState, snapshot, entries, err := r.Storage.Load()
 	if err != nil {
 		return err
 	}
-	if err := g.Machine.Restore(snapshot.Data); err != nil {
+	if err := r.Machine.Restore(snapshot.Data); err != nil {
 		return err
 	}
-	g.ring = make(chan event, ringSize)
-	g.done = make(chan struct{})
-	g.waiting = map[uint64]waiter{}
-	g.applied = snapshot.Index
-	g.snapped = snapshot.Index
-	g.Core.Start(g.now(), hard, snapshot, entries)
-	g.publish()
+	r.events = make(chan event, maxQueuedEvents)
+	r.done = make(chan struct{})
+	r.pendingProposals = map[uint64]pendingProposal{}
+	r.appliedIndex = snapshot.Index
+	r.snapshotIndex = snapshot.Index
+	r.Core.Start(r.now(), hardState, snapshot, entries)
+	r.publishView()
 	return nil
 }
 
 // View returns the group's state as of the latest round.
-func (g *Group) View() *View { return g.view.Load() }
+func (r *Group) View() *View { return r.view.Load() }
 
 // Done is closed when the group has stopped.
-func (g *Group) Done() <-chan struct{} { return g.done }
+func (r *Group) Done() <-chan struct{} { return r.done }
 
 // Run owns the member until the context ends.
-func (g *Group) Run(ctx context.Context) {
-	defer close(g.done)
-	defer g.failWaiting(Stopped)
+func (r *Group) Run(ctx context.Context) {
+	defer close(r.done)
+	defer r.failPendingProposals(Stopped)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-g.ring:
-			g.handle(e)
-			g.drain()
-		case <-g.Clock.After(g.Core.Heartbeat / 2):
+		case e := <-r.events:
+			r.handleEvent(e)
+			r.handleQueuedEvents()
+		case <-r.Clock.After(r.Core.Heartbeat / 2):
 		}
-		g.Core.Tick(g.now())
-		g.settle(ctx)
+		r.Core.Tick(r.now())
+		r.processActions(ctx)
 	}
 }
 
-// drain handles what else waits, so that one sync serves many.
-func (g *Group) drain() {
-	for range roundSize {
+// handleQueuedEvents handles what else waits, so that one sync serves many.
+func (r *Group) handleQueuedEvents() {
+	for range maxEventsPerRound {
 		select {
-		case e := <-g.ring:
-			g.handle(e)
+		case e := <-r.events:
+			r.handleEvent(e)
 		default:
 			return
 		}
 	}
 }
 
-func (g *Group) handle(e event) {
-	now := g.now()
+func (r *Group) handleEvent(e event) {
+	now := r.now()
 	switch {
 	case e.message != nil:
-		g.Core.Step(now, *e.message)
-	case e.propose != nil:
-		index, term, err := g.Core.Propose(now, e.propose.data)
+		r.Core.Step(now, *e.message)
+	case e.proposal != nil:
+		index, term, err := r.Core.Propose(now, e.proposal.data)
 		if err != nil {
-			e.propose.reply <- outcome{
-				err: failure("propose", NotLeader, g.Core.Leader(), nil),
+			e.proposal.reply <- response{
+				err: newError("propose", NotLeader, r.Core.Leader(), nil),
 			}
 			return
 		}
-		g.waiting[index] = waiter{
+		r.pendingProposals[index] = pendingProposal{
 			term:  term,
-			reply: e.propose.reply,
+			reply: e.proposal.reply,
 		}
-	case e.act != nil:
-		e.act(now)
+	case e.execute != nil:
+		e.execute(now)
 	}
 }
 
-// settle carries out actions until none are left.
-func (g *Group) settle(ctx context.Context) {
+// processActions carries out actions until none are left.
+func (r *Group) processActions(ctx context.Context) {
 	for {
-		a := g.Core.Take()
-		g.sendAll(a.Eager)
-		if a.Install != nil && !g.install(ctx, a.Install) {
+		a := r.Core.Take()
+		r.sendAll(a.Eager)
+		if a.Install != nil && !r.installSnapshot(ctx, a.Install) {
 			return
 		}
-		if !g.sync(ctx, a) {
+		if !r.persist(ctx, a) {
 			return
 		}
-		g.sendAll(a.Messages)
-		g.apply(a.Committed)
-		g.publish()
+		r.sendAll(a.Messages)
+		r.apply(a.Committed)
+		r.publishView()
 		if len(a.Committed) == 0 && len(a.Entries) == 0 && a.Install == nil {
 			break
 		}
 	}
-	if g.Core.Role() != consensus.Leader {
-		g.failWaiting(Lost)
+	if r.Core.Role() != consensus.Leader {
+		r.failPendingProposals(Lost)
 	}
-	g.compact()
+	r.snapshotIfDue()
 }
 
-func (g *Group) sendAll(messages []persimmoncross.Message) {
+func (r *Group) sendAll(messages []persimmoncross.Message) {
 	for _, m := range messages {
-		g.Sender.Send(m)
+		r.Sender.Send(m)
 	}
 }
 
-// sync writes until it succeeds. While the disk refuses, the member answers
+// persist writes until it succeeds. While the disk refuses, the member answers
 // nobody, so the others elect a leader that can write.
-func (g *Group) sync(ctx context.Context, a consensus.Actions) bool {
+func (r *Group) persist(ctx context.Context, a consensus.Actions) bool {
 	if a.Hard == nil && len(a.Entries) == 0 {
 		return true
 	}
-	if !g.persist(ctx, func() error { return g.Storage.Append(a.Hard, a.Entries) }) {
+	if !r.writeWithRetry(ctx, func() error { return r.Storage.Append(a.Hard, a.Entries) }) {
 		return false
 	}
 	if n := len(a.Entries); n > 0 {
-		g.Core.Synced(a.Entries[n-1].Index)
-		g.counter("synced").Inc(int64(n))
-		g.counter("syncs").Inc(1)
+		r.Core.Synced(a.Entries[n-1].Index)
+		r.counter("synced").Inc(int64(n))
+		r.counter("syncs").Inc(1)
 	}
 	return true
 }
 
-func (g *Group) persist(ctx context.Context, write func() error) bool {
+func (r *Group) writeWithRetry(ctx context.Context, write func() error) bool {
 	for {
 		err := write()
 		if err == nil {
-			g.disk = ""
+			r.diskError = ""
 			return true
 		}
-		g.counter("disk.errors").Inc(1)
-		if g.disk == "" {
-			g.Log.Error().Err(err).Str("group", g.Core.Group).Msg("disk write failed: nothing is acknowledged until it succeeds")
+		r.counter("disk.errors").Inc(1)
+		if r.diskError == "" {
+			r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("disk write failed: nothing is acknowledged until it succeeds")
 		}
-		g.disk = err.Error()
-		g.publish()
+		r.diskError = err.Error()
+		r.publishView()
 		select {
 		case <-ctx.Done():
 			return false
-		case <-g.Clock.After(retryDisk):
+		case <-r.Clock.After(diskRetryInterval):
 		}
 	}
 }
 
-func (g *Group) install(ctx context.Context, s *persimmoncross.Snapshot) bool {
-	if !g.persist(ctx, func() error { return g.Storage.Compact(*s, s.Index) }) {
+func (r *Group) installSnapshot(ctx context.Context, s *persimmoncross.Snapshot) bool {
+	if !r.writeWithRetry(ctx, func() error { return r.Storage.Compact(*s, s.Index) }) {
 		return false
 	}
-	if err := g.Machine.Restore(s.Data); err != nil {
-		g.Log.Error().Err(err).Str("group", g.Core.Group).Msg("snapshot cannot be restored")
+	if err := r.Machine.Restore(s.Data); err != nil {
+		r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot cannot be restored")
 		return false
 	}
-	g.applied = s.Index
-	g.snapped = s.Index
-	g.counter("snapshots.installed").Inc(1)
+	r.appliedIndex = s.Index
+	r.snapshotIndex = s.Index
+	r.counter("snapshots.installed").Inc(1)
 	return true
 }
 
-func (g *Group) apply(entries []persimmoncross.Entry) {
+func (r *Group) apply(entries []persimmoncross.Entry) {
 	for _, e := range entries {
 		var result []byte
 		if e.Kind == persimmoncross.EntryCommand {
-			result = g.Machine.Apply(e)
-			g.bytes += len(e.Data)
+			result = r.Machine.Apply(e)
+			r.bytesSinceSnapshot += len(e.Data)
 		}
-		g.applied = e.Index
-		w, ok := g.waiting[e.Index]
+		r.appliedIndex = e.Index
+		w, ok := r.pendingProposals[e.Index]
 		if !ok {
 			continue
 		}
-		delete(g.waiting, e.Index)
+		delete(r.pendingProposals, e.Index)
 		if w.term != e.Term {
-			w.reply <- outcome{
-				err: failure("propose", Lost, g.Core.Leader(), nil),
+			w.reply <- response{
+				err: newError("propose", Lost, r.Core.Leader(), nil),
 			}
 			continue
 		}
-		w.reply <- outcome{
+		w.reply <- response{
 			result: result,
 		}
 	}
-	g.Core.Applied(g.applied)
+	r.Core.Applied(r.appliedIndex)
 }
 
-func (g *Group) compact() {
-	large := g.bytes >= snapshotBytes
-	if g.applied-g.snapped < snapshotEvery && !large {
+func (r *Group) snapshotIfDue() {
+	exceedsBytes := r.bytesSinceSnapshot >= maxBytesSinceSnapshot
+	if r.appliedIndex-r.snapshotIndex < maxEntriesSinceSnapshot && !exceedsBytes {
 		return
 	}
-	s := g.Core.Snapshot(g.applied)
-	s.Data = g.Machine.Snapshot()
-	keep := s.Index - min(keepBehind, s.Index)
-	if large {
-		keep = s.Index
+	s := r.Core.Snapshot(r.appliedIndex)
+	s.Data = r.Machine.Snapshot()
+	compactIndex := s.Index - min(retainedEntries, s.Index)
+	if exceedsBytes {
+		compactIndex = s.Index
 	}
-	if err := g.Storage.Compact(s, keep); err != nil {
-		g.counter("disk.errors").Inc(1)
-		g.Log.Error().Err(err).Str("group", g.Core.Group).Msg("snapshot not written")
+	if err := r.Storage.Compact(s, compactIndex); err != nil {
+		r.counter("disk.errors").Inc(1)
+		r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot not written")
 		return
 	}
-	g.snapped = s.Index
-	g.bytes = 0
-	g.Core.Compact(s, keep)
-	g.counter("snapshots.written").Inc(1)
+	r.snapshotIndex = s.Index
+	r.bytesSinceSnapshot = 0
+	r.Core.Compact(s, compactIndex)
+	r.counter("snapshots.written").Inc(1)
 }
 
-// failWaiting answers the proposals whose outcome this member can't learn.
-func (g *Group) failWaiting(kind Kind) {
-	for index, w := range g.waiting {
-		delete(g.waiting, index)
-		w.reply <- outcome{
-			err: failure("propose", kind, g.Core.Leader(), nil),
+// failPendingProposals answers the proposals whose outcome this member can't learn.
+func (r *Group) failPendingProposals(kind Kind) {
+	for index, w := range r.pendingProposals {
+		delete(r.pendingProposals, index)
+		w.reply <- response{
+			err: newError("propose", kind, r.Core.Leader(), nil),
 		}
 	}
 }
 
-func (g *Group) publish() {
-	until, index := g.Core.LeaseUntil()
-	g.view.Store(&View{
-		Role:       g.Core.Role(),
-		Term:       g.Core.Term(),
-		Leader:     g.Core.Leader(),
-		Commit:     g.Core.Commit(),
-		Applied:    g.applied,
-		Last:       g.Core.Last(),
-		Set:        g.Core.Set(),
-		LeaseUntil: until,
-		LeaseIndex: index,
-		DiskError:  g.disk,
+func (r *Group) publishView() {
+	leaseExpiry, requiredIndex := r.Core.LeaseUntil()
+	r.view.Store(&View{
+		Role:       r.Core.Role(),
+		Term:       r.Core.Term(),
+		Leader:     r.Core.Leader(),
+		Commit:     r.Core.Commit(),
+		Applied:    r.appliedIndex,
+		Last:       r.Core.Last(),
+		Set:        r.Core.Set(),
+		LeaseUntil: leaseExpiry,
+		LeaseIndex: requiredIndex,
+		DiskError:  r.diskError,
 	})
 }
 
-func (g *Group) counter(name string) metrics.Counter {
-	return metrics.GetOrRegisterCounter("log."+g.Core.Group+"."+name, g.Metrics)
+func (r *Group) counter(name string) metrics.Counter {
+	return metrics.GetOrRegisterCounter("log."+r.Core.Group+"."+name, r.Metrics)
 }
--- a/core/coordination/group/lease_test.go
+++ b/core/coordination/group/lease_test.go
@@ -7,22 +7,22 @@
 	"persimmoncross"
 )
 
-// sleeper is a clock whose VM was suspended for a while.
-type sleeper struct {
-	now  time.Time
-	away time.Duration
+// suspendedClock is a clock whose VM was suspended for a while.
+type suspendedClock struct {
+	now       time.Time
+	suspended time.Duration
 }
 
-func (c *sleeper) Now() time.Time                       { return c.now }
-func (c *sleeper) After(time.Duration) <-chan time.Time { return nil }
-func (c *sleeper) Suspended() time.Duration             { return c.away }
+func (c *suspendedClock) Now() time.Time                       { return c.now }
+func (c *suspendedClock) After(time.Duration) <-chan time.Time { return nil }
+func (c *suspendedClock) Suspended() time.Duration             { return c.suspended }
 
 // A VM that is suspended over the end of its lease has none when it wakes, though its
 // steady clock has not moved: another leader may have accepted changes meanwhile.
-func TestLeaseEndsWhileSuspended(t *testing.T) {
-	c := &sleeper{
-		now:  time.Unix(1000, 0),
-		away: time.Hour, // of earlier days: it is the same before and after
+func TestLeaseExpiresWhileVMIsSuspended(t *testing.T) {
+	c := &suspendedClock{
+		now:       time.Unix(1000, 0),
+		suspended: time.Hour, // of earlier days: it is the same before and after
 	}
 	g := &Group{
 		Clock: c,
@@ -34,14 +34,14 @@
 		t.Error("no lease before")
 	}
 	c.now = c.now.Add(100 * time.Millisecond)
-	c.away += 5 * time.Second
+	c.suspended += 5 * time.Second
 	if g.Leased() {
 		t.Error("the lease outlived five seconds")
 	}
 }
 
 // The system's clock never goes back for it.
-func TestSystemClockSuspended(t *testing.T) {
+func TestSystemClockSuspendedDoesNotDecrease(t *testing.T) {
 	var c persimmoncross.SuspendClock = persimmoncross.SystemClock{}
 	before := c.Suspended()
 	if after := c.Suspended(); before < 0 || after < before-time.Second {
--- a/core/coordination/group/post.go
+++ b/core/coordination/group/post.go
@@ -10,51 +10,51 @@
 
 // Receive posts a peer's message. A full ring drops it: consensus messages are
 // sent again.
-func (g *Group) Receive(m persimmoncross.Message) {
-	if !g.post(event{
+func (r *Group) Receive(m persimmoncross.Message) {
+	if !r.enqueue(event{
 		message: &m,
 	}) {
-		g.counter("refused.message").Inc(1)
+		r.counter("refused.message").Inc(1)
 	}
 }
 
 // Propose appends a command if this member leads, and returns the result that
 // the state machine gave.
-func (g *Group) Propose(ctx context.Context, data []byte) ([]byte, error) {
+func (r *Group) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	p := &proposal{
 		data:  data,
-		reply: make(chan outcome, 1),
+		reply: make(chan response, 1),
 	}
-	if !g.post(event{
-		propose: p,
+	if !r.enqueue(event{
+		proposal: p,
 	}) {
-		g.counter("refused.propose").Inc(1)
-		return nil, failure("propose", RingFull, "", nil)
+		r.counter("refused.propose").Inc(1)
+		return nil, newError("propose", RingFull, "", nil)
 	}
-	return g.wait(ctx, p.reply)
+	return r.awaitResponse(ctx, p.reply)
 }
 
 // AddVoter makes a caught-up member a voter.
-func (g *Group) AddVoter(ctx context.Context, m persimmoncross.Member) error {
-	return g.change(ctx, func(now time.Time) (uint64, uint64, error) {
-		return g.Core.AddVoter(now, m)
+func (r *Group) AddVoter(ctx context.Context, m persimmoncross.Member) error {
+	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
+		return r.Core.AddVoter(now, m)
 	})
 }
 
 // RemoveVoter takes a member's vote, unless that would lose the quorum.
-func (g *Group) RemoveVoter(ctx context.Context, id persimmoncross.MemberID) error {
-	return g.change(ctx, func(now time.Time) (uint64, uint64, error) {
-		return g.Core.RemoveVoter(now, id)
+func (r *Group) RemoveVoter(ctx context.Context, id persimmoncross.MemberID) error {
+	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
+		return r.Core.RemoveVoter(now, id)
 	})
 }
 
 // Transfer hands leadership to another voter. It returns false if this member
 // does not lead or nobody can take over.
-func (g *Group) Transfer(ctx context.Context) bool {
+func (r *Group) Transfer(ctx context.Context) bool {
 	reply := make(chan bool, 1)
-	act := func(now time.Time) { reply <- g.Core.Transfer(now) }
-	if !g.post(event{
-		act: act,
+	execute := func(now time.Time) { reply <- r.Core.Transfer(now) }
+	if !r.enqueue(event{
+		execute: execute,
 	}) {
 		return false
 	}
@@ -62,56 +62,56 @@
 	case ok := <-reply:
 		return ok
 	case <-ctx.Done():
-	case <-g.done:
+	case <-r.done:
 	}
 	return false
 }
 
-func (g *Group) change(ctx context.Context, propose func(time.Time) (uint64, uint64, error)) error {
-	reply := make(chan outcome, 1)
-	act := func(now time.Time) {
+func (r *Group) changeVoters(ctx context.Context, propose func(time.Time) (uint64, uint64, error)) error {
+	reply := make(chan response, 1)
+	execute := func(now time.Time) {
 		index, term, err := propose(now)
 		if err != nil {
-			reply <- outcome{
-				err: g.changeError(err),
+			reply <- response{
+				err: r.voterChangeError(err),
 			}
 			return
 		}
-		g.waiting[index] = waiter{
+		r.pendingProposals[index] = pendingProposal{
 			term:  term,
 			reply: reply,
 		}
 	}
-	if !g.post(event{
-		act: act,
+	if !r.enqueue(event{
+		execute: execute,
 	}) {
-		return failure("change voters", RingFull, "", nil)
+		return newError("change voters", RingFull, "", nil)
 	}
-	_, err := g.wait(ctx, reply)
+	_, err := r.awaitResponse(ctx, reply)
 	return err
 }
 
-func (g *Group) changeError(err error) error {
+func (r *Group) voterChangeError(err error) error {
 	if consensus.IsNotLeader(err) {
-		return failure("change voters", NotLeader, g.Core.Leader(), nil)
+		return newError("change voters", NotLeader, r.Core.Leader(), nil)
 	}
-	return failure("change voters", Refused, g.Core.Leader(), err)
+	return newError("change voters", Refused, r.Core.Leader(), err)
 }
 
-func (g *Group) wait(ctx context.Context, reply chan outcome) ([]byte, error) {
+func (r *Group) awaitResponse(ctx context.Context, reply chan response) ([]byte, error) {
 	select {
 	case o := <-reply:
 		return o.result, o.err
 	case <-ctx.Done():
-		return nil, failure("propose", Lost, "", ctx.Err())
-	case <-g.done:
-		return nil, failure("propose", Stopped, "", nil)
+		return nil, newError("propose", Lost, "", ctx.Err())
+	case <-r.done:
+		return nil, newError("propose", Stopped, "", nil)
 	}
 }
 
-func (g *Group) post(e event) bool {
+func (r *Group) enqueue(e event) bool {
 	select {
-	case g.ring <- e:
+	case r.events <- e:
 		return true
 	default:
 		return false
@@ -119,19 +119,19 @@
 }
 
 // Members returns what this member knows of the others, if it leads the group.
-func (g *Group) Members(ctx context.Context) []consensus.Known {
+func (r *Group) Members(ctx context.Context) []consensus.Known {
 	reply := make(chan []consensus.Known, 1)
-	act := func(now time.Time) { reply <- g.Core.Members(now) }
-	if !g.post(event{
-		act: act,
+	execute := func(now time.Time) { reply <- r.Core.Members(now) }
+	if !r.enqueue(event{
+		execute: execute,
 	}) {
 		return nil
 	}
 	select {
-	case all := <-reply:
-		return all
+	case statuses := <-reply:
+		return statuses
 	case <-ctx.Done():
-	case <-g.done:
+	case <-r.done:
 	}
 	return nil
 }
--- a/core/coordination/steward/steward.go
+++ b/core/coordination/steward/steward.go
@@ -40,10 +40,10 @@
 // A learner at the address of a voter proves that this voter's disk is gone:
 // only an empty folder gets a new identity. The lost vote is removed first, so
 // that it counts no more, and the successor added once it has caught up.
-func Decide(f Facts) Change {
-	for _, l := range f.Learners {
-		for _, v := range f.Voters {
-			if v.VM == l.Member.VM && v.ID != l.Member.ID && v.ID != f.Self {
+func Decide(status Facts) Change {
+	for _, l := range status.Learners {
+		for _, v := range status.Voters {
+			if v.VM == l.Member.VM && v.ID != l.Member.ID && v.ID != status.Self {
 				return Change{
 					Remove: v.ID,
 					Reason: "its VM came back with an empty disk",
@@ -51,8 +51,8 @@
 			}
 		}
 	}
-	if len(f.Voters) <= f.Wanted {
-		for _, l := range f.Learners {
+	if len(status.Voters) <= status.Wanted {
+		for _, l := range status.Learners {
 			if l.CaughtUp {
 				return Change{
 					Add:    l.Member,
@@ -62,16 +62,16 @@
 		}
 		return Change{}
 	}
-	longest := Change{}
-	most := f.Patience
-	for _, v := range f.Voters {
-		if s := f.Silence[v.ID]; v.ID != f.Self && s > most {
-			most = s
-			longest = Change{
+	removal := Change{}
+	longestSilence := status.Patience
+	for _, v := range status.Voters {
+		if s := status.Silence[v.ID]; v.ID != status.Self && s > longestSilence {
+			longestSilence = s
+			removal = Change{
 				Remove: v.ID,
 				Reason: "it is silent and has a successor",
 			}
 		}
 	}
-	return longest
+	return removal
 }
--- a/core/coordination/steward/steward_test.go
+++ b/core/coordination/steward/steward_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestDecide(t *testing.T) {
+func TestNextChange(t *testing.T) {
 	tests := []struct {
-		name     string
-		voters   []persimmoncross.Member
-		learners []steward.Learner
-		silence  map[persimmoncross.MemberID]time.Duration
-		add      persimmoncross.MemberID
-		remove   persimmoncross.MemberID
+		name             string
+		voters           []persimmoncross.Member
+		learners         []steward.Learner
+		timeSinceContact map[persimmoncross.MemberID]time.Duration
+		add              persimmoncross.MemberID
+		remove           persimmoncross.MemberID
 	}{
 		{
 			name:   "nothing to do",
@@ -61,27 +61,27 @@
 			remove:   4,
 		},
 		{
-			name:     "a successor at another address is added first",
-			voters:   members(1, 2, 3, 4, 5),
-			learners: []steward.Learner{learner(9, "vm9", true)},
-			silence:  map[persimmoncross.MemberID]time.Duration{5: time.Minute},
-			add:      9,
+			name:             "a successor at another address is added first",
+			voters:           members(1, 2, 3, 4, 5),
+			learners:         []steward.Learner{learner(9, "vm9", true)},
+			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute},
+			add:              9,
 		},
 		{
-			name:    "then the lost one is removed",
-			voters:  members(1, 2, 3, 4, 5, 9),
-			silence: map[persimmoncross.MemberID]time.Duration{5: time.Minute, 3: 3 * time.Second},
-			remove:  5,
+			name:             "then the lost one is removed",
+			voters:           members(1, 2, 3, 4, 5, 9),
+			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute, 3: 3 * time.Second},
+			remove:           5,
 		},
 		{
-			name:    "a short silence is borne",
-			voters:  members(1, 2, 3, 4, 5, 9),
-			silence: map[persimmoncross.MemberID]time.Duration{5: time.Second},
+			name:             "a short silence is borne",
+			voters:           members(1, 2, 3, 4, 5, 9),
+			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Second},
 		},
 		{
-			name:    "a silent voter without a successor keeps its vote",
-			voters:  members(1, 2, 3, 4, 5),
-			silence: map[persimmoncross.MemberID]time.Duration{5: time.Minute},
+			name:             "a silent voter without a successor keeps its vote",
+			voters:           members(1, 2, 3, 4, 5),
+			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute},
 		},
 		{
 			name:     "no seventh voter",
@@ -94,7 +94,7 @@
 			c := steward.Decide(steward.Facts{
 				Self:     1,
 				Voters:   tt.voters,
-				Silence:  tt.silence,
+				Silence:  tt.timeSinceContact,
 				Learners: tt.learners,
 				Wanted:   5,
 				Patience: 2 * time.Second,
--- a/core/coordination/upgrade/judge_test.go
+++ b/core/coordination/upgrade/judge_test.go
@@ -10,26 +10,26 @@
 	"persimmoncross/core/state/register"
 )
 
-// times returns a count of answers that took the seconds, give or take spread.
-func times(n int, mean, spread float64) upgrade.Count {
+// timedAnswers returns a count of answers that took the seconds, give or take spread.
+func timedAnswers(n int, mean, spread float64) upgrade.Count {
 	c := upgrade.Count{
 		Runs:  uint64(n),
 		Timed: uint64(n),
 	}
 	for i := range n {
-		x := mean + spread*(float64(2*(i%2))-1)
-		c.Time += x
-		c.Square += x * x
+		seconds := mean + spread*(float64(2*(i%2))-1)
+		c.Time += seconds
+		c.Square += seconds * seconds
 	}
 	return c
 }
 
-// few is the evidence on one route with few answers, and on another with many.
-func few(failed, runs, oldFailed, oldRuns uint64) upgrade.Pool {
+// evidenceWithSmallRoute is the evidence on one route with evidenceWithSmallRoute answers, and on another with many.
+func evidenceWithSmallRoute(failed, answers, oldFailed, oldAnswers uint64) upgrade.Pool {
 	return upgrade.Pool{
 		New: map[string]upgrade.Count{
 			"few": {
-				Runs:   runs,
+				Runs:   answers,
 				Failed: failed,
 			},
 			"many": {
@@ -38,7 +38,7 @@
 		},
 		Old: map[string]upgrade.Count{
 			"few": {
-				Runs:   oldRuns,
+				Runs:   oldAnswers,
 				Failed: oldFailed,
 			},
 			"many": {
@@ -48,25 +48,25 @@
 	}
 }
 
-func TestDecide(t *testing.T) {
+func TestNextStage(t *testing.T) {
 	const route = "r"
-	one := func(c upgrade.Count) map[string]upgrade.Count {
+	onRoute := func(c upgrade.Count) map[string]upgrade.Count {
 		return map[string]upgrade.Count{
 			route: c,
 		}
 	}
 	good := upgrade.Pool{
-		New: one(times(60, 0.025, 0.01)),
-		Old: one(times(600, 0.055, 0.04)),
+		New: onRoute(timedAnswers(60, 0.025, 0.01)),
+		Old: onRoute(timedAnswers(600, 0.055, 0.04)),
 	}
 	// 0.15 of 20 s: all requests go to the new version after 19 s.
 	tests := []struct {
-		name    string
-		stage   register.Stage
-		elapsed time.Duration
-		pool    upgrade.Pool
-		unready bool
-		want    register.Stage
+		name     string
+		stage    register.Stage
+		elapsed  time.Duration
+		evidence upgrade.Pool
+		notReady bool
+		want     register.Stage
 	}{
 		{
 			name:    "sessions are collected",
@@ -81,69 +81,69 @@
 			want:    register.Trial,
 		},
 		{
-			name:    "a trial goes on",
-			stage:   register.Trial,
-			elapsed: 5 * time.Second,
-			pool:    good,
-			want:    register.Trial,
+			name:     "a trial goes on",
+			stage:    register.Trial,
+			elapsed:  5 * time.Second,
+			evidence: good,
+			want:     register.Trial,
 		},
 		{
-			name:    "until the exposure that is left is enough",
-			stage:   register.Trial,
-			elapsed: 18 * time.Second,
-			pool:    good,
-			want:    register.Trial,
+			name:     "until the exposure that is left is enough",
+			stage:    register.Trial,
+			elapsed:  18 * time.Second,
+			evidence: good,
+			want:     register.Trial,
 		},
 		{
 			// As it was seen once: the version failed 0.45 of the route's answers.
-			name:    "but not where two of a route's few answers failed",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    few(2, 6, 0, 179),
-			want:    register.Withdrawn,
+			name:     "but not where two of a route's few answers failed",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: evidenceWithSmallRoute(2, 6, 0, 179),
+			want:     register.Withdrawn,
 		},
 		{
-			name:    "which is no mark before the trial's end",
-			stage:   register.Trial,
-			elapsed: 18 * time.Second,
-			pool:    few(2, 6, 0, 179),
-			want:    register.Trial,
+			name:     "which is no mark before the trial's end",
+			stage:    register.Trial,
+			elapsed:  18 * time.Second,
+			evidence: evidenceWithSmallRoute(2, 6, 0, 179),
+			want:     register.Trial,
 		},
 		{
-			name:    "nor where the old version's fail as well",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    few(2, 6, 12, 179),
-			want:    register.Shift,
+			name:     "nor where the old version's fail as well",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: evidenceWithSmallRoute(2, 6, 12, 179),
+			want:     register.Shift,
 		},
 		{
-			name:    "nor is one",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    few(1, 3, 0, 179),
-			want:    register.Shift,
+			name:     "nor is one",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: evidenceWithSmallRoute(1, 3, 0, 179),
+			want:     register.Shift,
 		},
 		{
-			name:    "nor are two where nothing is known of the old version",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    few(2, 6, 0, 0),
-			want:    register.Shift,
+			name:     "nor are two where nothing is known of the old version",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: evidenceWithSmallRoute(2, 6, 0, 0),
+			want:     register.Shift,
 		},
 		{
-			name:    "then all requests go",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    good,
-			want:    register.Shift,
+			name:     "then all requests go",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: good,
+			want:     register.Shift,
 		},
 		{
-			name:    "not before there are upstreams",
-			stage:   register.Trial,
-			elapsed: 19100 * time.Millisecond,
-			pool:    good,
-			unready: true,
-			want:    register.Trial,
+			name:     "not before there are upstreams",
+			stage:    register.Trial,
+			elapsed:  19100 * time.Millisecond,
+			evidence: good,
+			notReady: true,
+			want:     register.Trial,
 		},
 		{
 			name:    "without traffic too",
@@ -152,36 +152,36 @@
 			want:    register.Shift,
 		},
 		{
-			name:    "too late to begin",
-			stage:   register.Trial,
-			elapsed: 21 * time.Second,
-			unready: true,
-			want:    register.Withdrawn,
+			name:     "too late to begin",
+			stage:    register.Trial,
+			elapsed:  21 * time.Second,
+			notReady: true,
+			want:     register.Withdrawn,
 		},
 		{
-			name:    "the old version's answers go on",
-			stage:   register.Shift,
-			elapsed: 19200 * time.Millisecond,
-			pool:    good,
-			want:    register.Shift,
+			name:     "the old version's answers go on",
+			stage:    register.Shift,
+			elapsed:  19200 * time.Millisecond,
+			evidence: good,
+			want:     register.Shift,
 		},
 		{
-			name:    "completed before the time is over",
-			stage:   register.Shift,
-			elapsed: 19400 * time.Millisecond,
-			pool:    good,
-			want:    register.Completed,
+			name:     "completed before the time is over",
+			stage:    register.Shift,
+			elapsed:  19400 * time.Millisecond,
+			evidence: good,
+			want:     register.Completed,
 		},
 		{
 			name:    "failures",
 			stage:   register.Trial,
 			elapsed: 3 * time.Second,
-			pool: upgrade.Pool{
-				New: one(upgrade.Count{
+			evidence: upgrade.Pool{
+				New: onRoute(upgrade.Count{
 					Runs:   12,
 					Failed: 5,
 				}),
-				Old: one(upgrade.Count{
+				Old: onRoute(upgrade.Count{
 					Runs: 100,
 				}),
 			},
@@ -191,7 +191,7 @@
 			name:    "failures on one route only",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			pool: upgrade.Pool{
+			evidence: upgrade.Pool{
 				New: map[string]upgrade.Count{"a": {
 					Runs: 300,
 				}, "b": {
@@ -210,12 +210,12 @@
 			name:    "failures that the old version has too",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			pool: upgrade.Pool{
-				New: one(upgrade.Count{
+			evidence: upgrade.Pool{
+				New: onRoute(upgrade.Count{
 					Runs:   40,
 					Failed: 7,
 				}),
-				Old: one(upgrade.Count{
+				Old: onRoute(upgrade.Count{
 					Runs:   400,
 					Failed: 60,
 				}),
@@ -226,9 +226,9 @@
 			name:    "slow between events",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			pool: upgrade.Pool{
-				New: one(times(14, 0.110, 0.015)),
-				Old: one(times(300, 0.055, 0.04)),
+			evidence: upgrade.Pool{
+				New: onRoute(timedAnswers(14, 0.110, 0.015)),
+				Old: onRoute(timedAnswers(300, 0.055, 0.04)),
 			},
 			want: register.Withdrawn,
 		},
@@ -236,9 +236,9 @@
 			name:    "slow for a half of the requests",
 			stage:   register.Trial,
 			elapsed: 12 * time.Second,
-			pool: upgrade.Pool{
-				New: one(times(30, 0.270, 0.210)),
-				Old: one(times(300, 0.060, 0.040)),
+			evidence: upgrade.Pool{
+				New: onRoute(timedAnswers(30, 0.270, 0.210)),
+				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
 			want: register.Withdrawn,
 		},
@@ -246,9 +246,9 @@
 			name:    "times that differ much among themselves",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			pool: upgrade.Pool{
-				New: one(times(12, 0.080, 0.075)),
-				Old: one(times(300, 0.060, 0.040)),
+			evidence: upgrade.Pool{
+				New: onRoute(timedAnswers(12, 0.080, 0.075)),
+				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
 			want: register.Trial,
 		},
@@ -256,14 +256,14 @@
 			name:    "slow on routes with few answers each",
 			stage:   register.Trial,
 			elapsed: 9 * time.Second,
-			pool: upgrade.Pool{
+			evidence: upgrade.Pool{
 				New: map[string]upgrade.Count{
-					"a": times(7, 0.270, 0.210),
-					"b": times(7, 0.270, 0.210),
+					"a": timedAnswers(7, 0.270, 0.210),
+					"b": timedAnswers(7, 0.270, 0.210),
 				},
 				Old: map[string]upgrade.Count{
-					"a": times(100, 0.060, 0.040),
-					"b": times(100, 0.060, 0.040),
+					"a": timedAnswers(100, 0.060, 0.040),
+					"b": timedAnswers(100, 0.060, 0.040),
 				},
 			},
 			want: register.Withdrawn,
@@ -272,9 +272,9 @@
 			name:    "found slow after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			pool: upgrade.Pool{
-				New: one(times(30, 0.270, 0.210)),
-				Old: one(times(300, 0.060, 0.040)),
+			evidence: upgrade.Pool{
+				New: onRoute(timedAnswers(30, 0.270, 0.210)),
+				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
 			want: register.Withdrawn,
 		},
@@ -283,25 +283,25 @@
 			name:    "slower after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			pool: upgrade.Pool{
-				New: one(times(100, 0.110, 0.015)),
-				Old: one(times(300, 0.055, 0.04)),
+			evidence: upgrade.Pool{
+				New: onRoute(timedAnswers(100, 0.110, 0.015)),
+				Old: onRoute(timedAnswers(300, 0.055, 0.04)),
 			},
 			want: register.Shift,
 		},
 		{
-			name:    "withdrawn stays",
-			stage:   register.Withdrawn,
-			elapsed: 18 * time.Second,
-			pool:    good,
-			want:    register.Withdrawn,
+			name:     "withdrawn stays",
+			stage:    register.Withdrawn,
+			elapsed:  18 * time.Second,
+			evidence: good,
+			want:     register.Withdrawn,
 		},
 		{
 			name:    "completed stays",
 			stage:   register.Completed,
 			elapsed: 19 * time.Second,
-			pool: upgrade.Pool{
-				New: one(upgrade.Count{
+			evidence: upgrade.Pool{
+				New: onRoute(upgrade.Count{
 					Runs:   10,
 					Failed: 10,
 				}),
@@ -315,9 +315,9 @@
 				Stage:    tt.stage,
 				Duration: 20 * time.Second,
 			}
-			got, why := upgrade.Decide(u, tt.elapsed, upgrade.Exposure{Share: 0.15}, tt.pool, !tt.unready)
+			got, reason := upgrade.Decide(u, tt.elapsed, upgrade.Exposure{Share: 0.15}, tt.evidence, !tt.notReady)
 			if got != tt.want {
-				t.Errorf("stage %s (%s), want %s", got, why, tt.want)
+				t.Errorf("stage %s (%s), want %s", got, reason, tt.want)
 			}
 		})
 	}
@@ -325,7 +325,7 @@
 
 // A version that shows no mark gets no more than the share allowed, whatever the
 // share and the time.
-func TestExposureStaysWithinItsShare(t *testing.T) {
+func TestExposureStaysWithinLimit(t *testing.T) {
 	for _, share := range []float64{0.05, 0.0975, 0.15, 0.3} {
 		for _, duration := range []time.Duration{12 * time.Second, 24 * time.Second, 2 * time.Minute} {
 			u := register.Upgrade{
@@ -334,22 +334,22 @@
 			}
 			exposed := 0.0
 			const step = 10 * time.Millisecond
-			for at := time.Duration(0); at < duration; at += step {
-				u.Stage, _ = upgrade.Decide(u, at, upgrade.Exposure{Share: share}, upgrade.Pool{}, true)
-				part := upgrade.TrialShare(duration, share)
+			for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
+				u.Stage, _ = upgrade.Decide(u, elapsed, upgrade.Exposure{Share: share}, upgrade.Pool{}, true)
+				newShare := upgrade.TrialShare(duration, share)
 				switch u.Stage {
 				case register.Prepare:
-					part = 0
+					newShare = 0
 				case register.Shift, register.Completed:
-					part = 1
+					newShare = 1
 				}
-				exposed += part * float64(step) / float64(duration)
+				exposed += newShare * float64(step) / float64(duration)
 			}
 			if u.Stage != register.Completed {
 				t.Errorf("share %g of %v: not completed in time: %s", share, duration, u.Stage)
 			}
 			// The least trial and the completion in time need some.
-			if most := max(share, 0.02+1.06/duration.Seconds()); exposed > most {
+			if maxExposed := max(share, 0.02+1.06/duration.Seconds()); exposed > maxExposed {
 				t.Errorf("share %g of %v: exposed to %.3f", share, duration, exposed)
 			}
 		}
@@ -360,96 +360,96 @@
 // a version that fails half of its answers on one route from a good one. As it was seen:
 // 14 answers spoke for it, and after the completion 337 requests went to it. With the
 // requests that are allowed beside the share the shift is longer, and shows it.
-func TestFewRequests(t *testing.T) {
+func TestDecisionsWithFewRequests(t *testing.T) {
 	type route struct {
-		rate, fails float64 // a second; of the old version's answers
+		requestsPerSecond, failureRate float64 // a second; of the old version's answers
 	}
 	routes := []route{{12.1, 0.004}, {5.27, 0.14}}
 	const (
-		share, plays = 0.15, 400
-		duration     = 12 * time.Second
-		step         = 200 * time.Millisecond
-		late         = 500 * time.Millisecond // from an answer to the leader
+		share, simulations = 0.15, 400
+		duration           = 12 * time.Second
+		step               = 200 * time.Millisecond
+		reportDelay        = 500 * time.Millisecond // from an answer to the leader
 	)
-	play := func(random *rand.Rand, slack float64, bad []float64) (completed bool, exposed int, allowed float64) {
+	simulate := func(random *rand.Rand, extraRequests float64, badRates []float64) (completed bool, exposed int, allowed float64) {
 		u := register.Upgrade{
 			Service:  "s",
 			Target:   "v2",
 			Duration: duration,
 			Stage:    register.Prepare,
 		}
-		seen := upgrade.Pool{New: map[string]upgrade.Count{}, Old: map[string]upgrade.Count{}}
+		evidence := upgrade.Pool{New: map[string]upgrade.Count{}, Old: map[string]upgrade.Count{}}
 		type answer struct {
-			at         time.Duration
-			name       string
-			fresh, bad bool
+			reportedAt    time.Duration
+			name          string
+			isNew, failed bool
 		}
-		var under []answer
-		all := 0
-		for at := time.Duration(0); at < duration && !u.Stage.Ended(); at += step {
-			for len(under) > 0 && under[0].at <= at {
-				side := seen.Old
-				if under[0].fresh {
-					side = seen.New
+		var unreported []answer
+		requests := 0
+		for elapsed := time.Duration(0); elapsed < duration && !u.Stage.Ended(); elapsed += step {
+			for len(unreported) > 0 && unreported[0].reportedAt <= elapsed {
+				byRoute := evidence.Old
+				if unreported[0].isNew {
+					byRoute = evidence.New
 				}
-				c := side[under[0].name]
+				c := byRoute[unreported[0].name]
 				c.Runs++
-				if under[0].bad {
+				if unreported[0].failed {
 					c.Failed++
 				}
-				side[under[0].name] = c
-				under = under[1:]
+				byRoute[unreported[0].name] = c
+				unreported = unreported[1:]
 			}
-			u.Stage, _ = upgrade.Decide(u, at, upgrade.Exposure{Share: share, Slack: slack}, seen, true)
-			part := map[register.Stage]float64{register.Trial: upgrade.TrialShare(duration, share), register.Shift: 1}[u.Stage]
+			u.Stage, _ = upgrade.Decide(u, elapsed, upgrade.Exposure{Share: share, Slack: extraRequests}, evidence, true)
+			newShare := map[register.Stage]float64{register.Trial: upgrade.TrialShare(duration, share), register.Shift: 1}[u.Stage]
 			for i, r := range routes {
 				for range 20 {
-					if random.Float64() > r.rate*step.Seconds()/20 {
+					if random.Float64() > r.requestsPerSecond*step.Seconds()/20 {
 						continue
 					}
-					all++
-					fresh := random.Float64() < part
-					fails := r.fails
-					if fresh {
+					requests++
+					isNew := random.Float64() < newShare
+					failureRate := r.failureRate
+					if isNew {
 						exposed++
-						fails = 1 - (1-r.fails)*(1-bad[i])
+						failureRate = 1 - (1-r.failureRate)*(1-badRates[i])
 					}
-					under = append(under, answer{at + late, fmt.Sprint("route ", i), fresh, random.Float64() < fails})
+					unreported = append(unreported, answer{elapsed + reportDelay, fmt.Sprint("route ", i), isNew, random.Float64() < failureRate})
 				}
 			}
 		}
-		rest := float64(all) / 12 * 0.65 // until the end of the time
-		return u.Stage == register.Completed, exposed, share*(float64(all)+rest) + slack
+		remainingRequests := float64(requests) / 12 * 0.65 // until the end of the time
+		return u.Stage == register.Completed, exposed, share*(float64(requests)+remainingRequests) + extraRequests
 	}
 	for _, tt := range []struct {
-		what  string
-		slack float64
-		bad   []float64
-		most  int // plays that end otherwise than they should
+		name             string
+		extraRequests    float64
+		badRates         []float64
+		maxWrongOutcomes int // plays that end otherwise than they should
 	}{
-		{"good", 30, []float64{0, 0}, plays / 20},
-		{"half of all answers fail, and no slack", 0, []float64{0.5, 0.5}, plays / 5},
+		{"good", 30, []float64{0, 0}, simulations / 20},
+		{"half of all answers fail, and no slack", 0, []float64{0.5, 0.5}, simulations / 5},
 		{"half of all answers fail", 30, []float64{0.5, 0.5}, 1},
 		{"half of one route's answers fail", 30, []float64{0.5, 0}, 4},
-		{"half of the other's", 30, []float64{0, 0.5}, plays / 4},
+		{"half of the other's", 30, []float64{0, 0.5}, simulations / 4},
 	} {
 		random := rand.New(rand.NewPCG(7, 7))
-		wrong, over := 0, 0
-		for range plays {
-			completed, exposed, allowed := play(random, tt.slack, tt.bad)
-			if good := tt.bad[0]+tt.bad[1] == 0; completed != good {
-				wrong++
+		wrongOutcomes, overexposed := 0, 0
+		for range simulations {
+			completed, exposed, allowed := simulate(random, tt.extraRequests, tt.badRates)
+			if good := tt.badRates[0]+tt.badRates[1] == 0; completed != good {
+				wrongOutcomes++
 			}
-			if tt.slack > 0 && float64(exposed) > allowed {
-				over++
+			if tt.extraRequests > 0 && float64(exposed) > allowed {
+				overexposed++
 			}
 		}
-		t.Logf("%s: %d of %d end otherwise, %d over the exposure", tt.what, wrong, plays, over)
-		if wrong > tt.most {
-			t.Errorf("%s: %d of %d plays end otherwise than they should, at most %d", tt.what, wrong, plays, tt.most)
+		t.Logf("%s: %d of %d end otherwise, %d over the exposure", tt.name, wrongOutcomes, simulations, overexposed)
+		if wrongOutcomes > tt.maxWrongOutcomes {
+			t.Errorf("%s: %d of %d plays end otherwise than they should, at most %d", tt.name, wrongOutcomes, simulations, tt.maxWrongOutcomes)
 		}
-		if over > 0 {
-			t.Errorf("%s: %d plays over the exposure allowed", tt.what, over)
+		if overexposed > 0 {
+			t.Errorf("%s: %d plays over the exposure allowed", tt.name, overexposed)
 		}
 	}
 }
