--- a/core/coordination/relay/answer.go
+++ b/core/coordination/relay/answer.go
@@ -15,182 +15,182 @@
 
 // Sizes of answers.
 const (
-	// wholeLimit is the size up to which an answer is read whole before its head
+	// maxBufferedBody is the size up to which an answer is read whole before its head
 	// is sent, so that one that breaks off can be replaced or refused.
-	wholeLimit = 256 << 10
-	readSize   = 4 << 10
+	maxBufferedBody = 256 << 10
+	readBufferSize  = 4 << 10
 )
 
-var buffers = sync.Pool{
-	New: func() any { return new([readSize]byte) },
+var readBuffers = sync.Pool{
+	New: func() any { return new([readBufferSize]byte) },
 }
 
-// plain carries an answer that is no stream of events.
-func (t *trip) plain(ctx context.Context, target *Target, a persimmoncross.PassageAnswer) verdict {
-	head := a.Head()
-	body, err := io.ReadAll(io.LimitReader(a, wholeLimit))
+// forwardResponse carries an answer that is no stream of events.
+func (c *call) forwardResponse(ctx context.Context, target *Target, response persimmoncross.PassageAnswer) outcome {
+	head := response.Head()
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBody))
 	if err != nil {
-		return t.broke(ctx, target, err)
+		return c.handleInterruption(ctx, target, err)
 	}
-	if len(body) == wholeLimit {
-		return t.large(ctx, target, head, body, a)
+	if len(body) == maxBufferedBody {
+		return c.forwardLargeResponse(ctx, target, head, body, response)
 	}
-	t.record.Whole(t.relay.Clock.Now())
-	if head.Status >= http.StatusInternalServerError && t.mayRepeat() {
-		if t.held == nil {
-			t.held = &heldAnswer{
+	c.quarantineRun.Whole(c.relay.Clock.Now())
+	if head.Status >= http.StatusInternalServerError && c.canRetry() {
+		if c.fallback == nil {
+			c.fallback = &bufferedResponse{
 				head: head,
 				body: body,
 			}
 		}
-		t.last = &persimmoncross.AttemptError{
+		c.lastError = &persimmoncross.AttemptError{
 			Reason: "status",
 			Run:    persimmoncross.Ran,
 			Status: head.Status,
 		}
-		t.line().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", t.sends).Msg("upstream failed")
-		return verdictAgain
+		c.logEventWithDigest().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", c.attempts).Msg("upstream failed")
+		return outcomeRetry
 	}
-	if t.started {
+	if c.headSent {
 		// A failure in place of the rest of a stream can't be sent any more.
-		t.last = &persimmoncross.AttemptError{
+		c.lastError = &persimmoncross.AttemptError{
 			Reason: "status",
 			Run:    persimmoncross.Ran,
 			Status: head.Status,
 		}
-		return verdictAgain
+		return outcomeRetry
 	}
-	t.deliver(head, body)
-	return verdictDone
+	c.sendBuffered(head, body)
+	return outcomeDone
 }
 
-// mayRepeat reports whether the passage may run at another upstream.
-func (t *trip) mayRepeat() bool {
-	return t.route.Repeat != persimmoncross.RepeatNever && t.runs < t.maxRuns() && t.sends < maxSends
+// canRetry reports whether the passage may run at another upstream.
+func (c *call) canRetry() bool {
+	return c.route.Repeat != persimmoncross.RepeatNever && c.executions < c.maxExecutions() && c.attempts < maxAttempts
 }
 
-// deliver sends a whole answer. A caller that is gone needs none.
-func (t *trip) deliver(head persimmoncross.PassageHead, body []byte) {
-	t.started = true
-	if t.passage.Method != http.MethodHead {
+// sendBuffered sends a whole answer. A caller that is gone needs none.
+func (c *call) sendBuffered(head persimmoncross.PassageHead, body []byte) {
+	c.headSent = true
+	if c.passage.Method != http.MethodHead {
 		head.Header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	if t.sink.Head(head) != nil {
+	if c.sink.Head(head) != nil {
 		return
 	}
-	if len(body) > 0 && t.sink.Write(body) != nil {
+	if len(body) > 0 && c.sink.Write(body) != nil {
 		return
 	}
-	t.sink.Flush()
+	c.sink.Flush()
 }
 
-// large passes on an answer that is too large to be kept.
-func (t *trip) large(ctx context.Context, target *Target, head persimmoncross.PassageHead, body []byte, rest io.Reader) verdict {
-	t.started = true
-	if t.sink.Head(head) != nil || t.sink.Write(body) != nil {
-		return verdictDone
+// forwardLargeResponse passes on an answer that is too forwardLargeResponse to be kept.
+func (c *call) forwardLargeResponse(ctx context.Context, target *Target, head persimmoncross.PassageHead, body []byte, rest io.Reader) outcome {
+	c.headSent = true
+	if c.sink.Head(head) != nil || c.sink.Write(body) != nil {
+		return outcomeDone
 	}
-	b := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(b)
+	b := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(b)
 	for {
 		n, err := rest.Read(b[:])
-		if n > 0 && t.sink.Write(b[:n]) != nil {
-			return verdictDone
+		if n > 0 && c.sink.Write(b[:n]) != nil {
+			return outcomeDone
 		}
 		if errors.Is(err, io.EOF) {
-			t.record.Whole(t.relay.Clock.Now())
-			t.sink.Flush()
-			return verdictDone
+			c.quarantineRun.Whole(c.relay.Clock.Now())
+			c.sink.Flush()
+			return outcomeDone
 		}
 		if err != nil {
-			t.broke(ctx, target, err)
-			return verdictFinal
+			c.handleInterruption(ctx, target, err)
+			return outcomeNoRetry
 		}
 	}
 }
 
-// broke takes an answer that ended before its end.
-func (t *trip) broke(ctx context.Context, target *Target, err error) verdict {
-	e := attemptError(err, "cut", persimmoncross.Ran)
-	t.last = e
-	t.cut(ctx, target, e)
+// handleInterruption takes an answer that ended before its end.
+func (c *call) handleInterruption(ctx context.Context, target *Target, err error) outcome {
+	e := asAttemptError(err, "cut", persimmoncross.Ran)
+	c.lastError = e
+	c.recordCut(ctx, target, e)
 	if ctx.Err() == nil {
-		t.note(target, true)
+		c.recordResult(target, true)
 	}
-	t.line().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", t.lastEvent).Int("send", t.sends).Msg("answer broke off")
-	if t.route.Repeat == persimmoncross.RepeatNever || (t.started && t.route.Repeat != persimmoncross.RepeatResume) {
-		return verdictFinal
+	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("answer broke off")
+	if c.route.Repeat == persimmoncross.RepeatNever || (c.headSent && c.route.Repeat != persimmoncross.RepeatResume) {
+		return outcomeNoRetry
 	}
-	return verdictAgain
+	return outcomeRetry
 }
 
-// stream carries events as they come, only whole ones. What breaks off goes on
+// forwardStream carries events as they come, only whole ones. What breaks off goes on
 // at another upstream after the last event that the caller has.
-func (t *trip) stream(ctx context.Context, target *Target, a persimmoncross.PassageAnswer, w *watch) verdict {
-	head := a.Head()
-	if t.askLarger(head.Confidence) {
-		return verdictAgain
+func (c *call) forwardStream(ctx context.Context, target *Target, response persimmoncross.PassageAnswer, detector *stallDetector) outcome {
+	head := response.Head()
+	if c.escalateModel(head.Confidence) {
+		return outcomeRetry
 	}
-	if !t.started {
-		t.started = true
-		if t.sink.Head(head) != nil {
-			return verdictDone
+	if !c.headSent {
+		c.headSent = true
+		if c.sink.Head(head) != nil {
+			return outcomeDone
 		}
-		if t.sink.Flush() != nil {
-			return verdictDone
+		if c.sink.Flush() != nil {
+			return outcomeDone
 		}
 	}
-	b := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(b)
-	var carry []byte
-	target.flowing.Add(1)
-	defer target.flowing.Add(-1)
-	flow := flow{
-		began: t.relay.Clock.Now(),
+	b := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(b)
+	var pending []byte
+	target.activeStreams.Add(1)
+	defer target.activeStreams.Add(-1)
+	timing := streamTiming{
+		headReceived: c.relay.Clock.Now(),
 	}
 	for {
-		asked := t.relay.Clock.Now()
-		n, err := a.Read(b[:])
-		carry = append(carry, b[:n]...)
-		whole := wholeEvents(carry)
-		if whole > 0 {
-			now := t.relay.Clock.Now()
-			w.seen(now)
-			target.hear(now)
-			good, taken := t.takeEvents(carry[:whole])
-			target.pause(flow.take(now, taken), now)
-			t.relay.eventsCame(target.DataCentre, now.Sub(asked), taken, now)
-			if good > 0 && (t.sink.Write(carry[:good]) != nil || t.sink.Flush() != nil) {
-				return verdictDone
+		readStart := c.relay.Clock.Now()
+		n, err := response.Read(b[:])
+		pending = append(pending, b[:n]...)
+		completeLen := completeEventsLen(pending)
+		if completeLen > 0 {
+			now := c.relay.Clock.Now()
+			detector.recordBytes(now)
+			target.recordReceived(now)
+			acceptedLen, acceptedEvents := c.acceptEvents(pending[:completeLen])
+			target.recordPause(timing.recordEvents(now, acceptedEvents), now)
+			c.relay.recordEventBatch(target.DataCentre, now.Sub(readStart), acceptedEvents, now)
+			if acceptedLen > 0 && (c.sink.Write(pending[:acceptedLen]) != nil || c.sink.Flush() != nil) {
+				return outcomeDone
 			}
-			if good < whole {
-				return t.broke(ctx, target, errOrder)
+			if acceptedLen < completeLen {
+				return c.handleInterruption(ctx, target, errEventOrder)
 			}
-			carry = append(carry[:0], carry[whole:]...)
+			pending = append(pending[:0], pending[completeLen:]...)
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && len(carry) == 0:
-			t.record.Whole(t.relay.Clock.Now())
-			t.answered(target, flow)
-			return verdictDone
+		case errors.Is(err, io.EOF) && len(pending) == 0:
+			c.quarantineRun.Whole(c.relay.Clock.Now())
+			c.recordCompletedStream(target, timing)
+			return outcomeDone
 		case errors.Is(err, io.EOF):
-			return t.broke(ctx, target, errHalfEvent)
-		case w.stop():
-			return t.silent(target, w, t.relay.Clock.Now().Sub(flow.began))
+			return c.handleInterruption(ctx, target, errIncompleteEvent)
+		case detector.stop():
+			return c.handleStall(target, detector, c.relay.Clock.Now().Sub(timing.headReceived))
 		default:
-			return t.broke(ctx, target, err)
+			return c.handleInterruption(ctx, target, err)
 		}
 	}
 }
 
 var (
-	errOrder = &persimmoncross.AttemptError{
+	errEventOrder = &persimmoncross.AttemptError{
 		Reason: "order",
 		Run:    persimmoncross.Ran,
 		Detail: "an event does not follow the one before",
 	}
-	errHalfEvent = &persimmoncross.AttemptError{
+	errIncompleteEvent = &persimmoncross.AttemptError{
 		Reason: "half",
 		Run:    persimmoncross.Ran,
 		Cut:    true,
@@ -198,16 +198,16 @@
 	}
 )
 
-// objective is the time in which the answer should begin.
-func (t *trip) objective() time.Duration {
-	if t.route.Objective > 0 {
-		return t.route.Objective
+// latencyObjective is the time in which the answer should begin.
+func (c *call) latencyObjective() time.Duration {
+	if c.route.Objective > 0 {
+		return c.route.Objective
 	}
-	return t.route.Timeout
+	return c.route.Timeout
 }
 
-// wholeEvents returns how many of the bytes are whole events.
-func wholeEvents(b []byte) int {
+// completeEventsLen returns how many of the bytes are whole events.
+func completeEventsLen(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -218,52 +218,52 @@
 	return end
 }
 
-// pacedEvents is the number of events from which the time between them is that
+// minPacedEvents is the number of events from which the time between them is that
 // of the version, not of the prompts that were read meanwhile.
-const pacedEvents = 5
+const minPacedEvents = 5
 
-// answered tells of a whole stream.
-func (t *trip) answered(target *Target, f flow) {
-	took := t.relay.Clock.Now().Sub(f.began)
-	if f.events >= pacedEvents {
-		t.relay.Evidence.time(t.upgrade, t.trialKey(target), took/time.Duration(f.events-1))
+// recordCompletedStream tells of a whole stream.
+func (c *call) recordCompletedStream(target *Target, timing streamTiming) {
+	took := c.relay.Clock.Now().Sub(timing.headReceived)
+	if timing.events >= minPacedEvents {
+		c.relay.Evidence.recordDuration(c.upgrade, c.canaryKey(target), took/time.Duration(timing.events-1))
 	}
-	t.relay.line(t.passage).Str("route", t.route.Name).Str("upstream", target.Incarnation).Str("datacentre", target.DataCentre).Str("version", target.Version).Str("model", t.modelName()).
-		Int("events", f.events).Dur("took", took).Dur("pause", f.pause).Int("pauseAt", f.pauseAt).Int("atOnce", f.atOnce).Int("sends", t.sends).Msg("answered")
+	c.relay.logEvent(c.passage).Str("route", c.route.Name).Str("upstream", target.Incarnation).Str("datacentre", target.DataCentre).Str("version", target.Version).Str("model", c.modelName()).
+		Int("events", timing.events).Dur("took", took).Dur("pause", timing.longestPause).Int("pauseAt", timing.eventsBeforePause).Int("atOnce", timing.eventsAfterPause).Int("sends", c.attempts).Msg("answered")
 }
 
-// flow is how the events of one attempt came.
-type flow struct {
-	began   time.Time // when the head came
-	last    time.Time // when events came last
-	events  int
-	pause   time.Duration // the longest between two reads of events
-	pauseAt int           // events before it
-	atOnce  int           // events in the read that ended it
+// streamTiming is how the events of one attempt came.
+type streamTiming struct {
+	headReceived      time.Time // when the head came
+	lastReceived      time.Time // when events came last
+	events            int
+	longestPause      time.Duration // the longest between two reads of events
+	eventsBeforePause int           // events before it
+	eventsAfterPause  int           // events in the read that ended it
 }
 
-// take notes events that came together, and returns the pause before them.
-func (f *flow) take(now time.Time, events int) time.Duration {
-	last := f.last
-	if last.IsZero() {
-		last = f.began
+// recordEvents notes events that came together, and returns the pause before them.
+func (s *streamTiming) recordEvents(now time.Time, events int) time.Duration {
+	previous := s.lastReceived
+	if previous.IsZero() {
+		previous = s.headReceived
 	}
-	pause := now.Sub(last)
-	if pause > f.pause {
-		f.pause = pause
-		f.pauseAt = f.events
-		f.atOnce = events
+	pause := now.Sub(previous)
+	if pause > s.longestPause {
+		s.longestPause = pause
+		s.eventsBeforePause = s.events
+		s.eventsAfterPause = events
 	}
-	f.last = now
-	f.events += events
+	s.lastReceived = now
+	s.events += events
 	return pause
 }
 
-// takeEvents notes the ids of whole events, and returns the bytes up to the first
+// acceptEvents notes the ids of whole events, and returns the bytes up to the first
 // one that does not follow the event before it, and how many events they are.
-func (t *trip) takeEvents(b []byte) (taken, events int) {
-	for taken < len(b) {
-		rest := b[taken:]
+func (c *call) acceptEvents(b []byte) (acceptedLen, events int) {
+	for acceptedLen < len(b) {
+		rest := b[acceptedLen:]
 		end := len(rest)
 		if i := bytes.Index(rest, []byte("\n\n")); i >= 0 {
 			end = i + 2
@@ -272,15 +272,15 @@
 			end = i + 4
 		}
 		if id := eventID(rest[:end]); id != "" {
-			if t.lastEvent != "" && !nextID(t.lastEvent, id) {
-				return taken, events
+			if c.lastEventID != "" && !isNextID(c.lastEventID, id) {
+				return acceptedLen, events
 			}
-			t.lastEvent = id
+			c.lastEventID = id
 		}
-		taken += end
+		acceptedLen += end
 		events++
 	}
-	return taken, events
+	return acceptedLen, events
 }
 
 // eventID returns the id of an event, "" if it has none.
@@ -293,13 +293,13 @@
 	return ""
 }
 
-// nextID reports whether two events may follow each other: ids that are whole
+// isNextID reports whether two events may follow each other: ids that are whole
 // numbers grow by one.
-func nextID(last, id string) bool {
-	x, err := strconv.ParseUint(last, 10, 64)
+func isNextID(last, id string) bool {
+	lastNumber, err := strconv.ParseUint(last, 10, 64)
 	if err != nil {
 		return true
 	}
-	y, err := strconv.ParseUint(id, 10, 64)
-	return err == nil && y == x+1
+	number, err := strconv.ParseUint(id, 10, 64)
+	return err == nil && number == lastNumber+1
 }
--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -14,19 +14,19 @@
 func (t *Target) Bears(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.bears(now)
+	return t.isAvailableLocked(now)
 }
 
-// bears is Bears for a caller that holds mu.
-func (t *Target) bears(now time.Time) bool {
-	return t.start.Allows(now) && t.limit.Allows(now) && t.backoff.Remaining(now) == 0
+// isAvailableLocked is Bears for a caller that holds mu.
+func (t *Target) isAvailableLocked(now time.Time) bool {
+	return t.slowStart.Allows(now) && t.rateLimit.Allows(now) && t.backoff.Remaining(now) == 0
 }
 
-// take reports the same, and accounts for a request if so.
-func (t *Target) take(now time.Time) bool {
+// acquire reports the same, and accounts for a request if so.
+func (t *Target) acquire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.bears(now) && t.limit.Take(now) && t.start.Take(now)
+	return t.isAvailableLocked(now) && t.rateLimit.Take(now) && t.slowStart.Take(now)
 }
 
 // Why a target gets no requests from this entry; also names of counters.
@@ -38,91 +38,91 @@
 
 // availableIn returns how long the target gets no requests from this entry and why, 0 if
 // it may get one at any time.
-func (t *Target) availableIn(now time.Time) (in time.Duration, why string) {
+func (t *Target) availableIn(now time.Time) (wait time.Duration, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if in = t.limit.Wait(now); in > 0 {
-		why = blockedLimit
+	if wait = t.rateLimit.Wait(now); wait > 0 {
+		reason = blockedLimit
 	}
-	if cold := t.start.Opens().Sub(now); cold > in {
-		in, why = cold, blockedCold
+	if cold := t.slowStart.Opens().Sub(now); cold > wait {
+		wait, reason = cold, blockedCold
 	}
-	if backoff := t.backoff.Remaining(now); backoff > in {
-		in, why = backoff, blockedBackoff
+	if backoff := t.backoff.Remaining(now); backoff > wait {
+		wait, reason = backoff, blockedBackoff
 	}
-	return in, why
+	return wait, reason
 }
 
-// backOff keeps requests from the target until then.
-func (t *Target) backOff(until time.Time) {
+// extendBackoff keeps requests from the target until then.
+func (t *Target) extendBackoff(until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.backoff.Extend(until)
 }
 
-// setLimit sets the target's limit in requests per second of all entries, 0 for none. It
+// setRateLimit sets the target's limit in requests per second of all entries, 0 for none. It
 // reports whether that is a change.
-func (t *Target) setLimit(rate float64, entries int, now time.Time) (changed bool) {
+func (t *Target) setRateLimit(rate float64, entryCount int, now time.Time) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if rate > 0 {
-		return t.limit.SetLimit(rate, entries, now, rand.Float64())
+		return t.rateLimit.SetLimit(rate, entryCount, now, rand.Float64())
 	}
-	changed = t.limit.Rate() > 0
-	t.limit.Clear()
+	changed = t.rateLimit.Rate() > 0
+	t.rateLimit.Clear()
 	return changed
 }
 
-// setEntries sets the number of entries that share the target's limit.
-func (t *Target) setEntries(entries int, now time.Time) {
+// setEntryCount sets the number of entries that share the target's limit.
+func (t *Target) setEntryCount(entryCount int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limit.SetEntries(entries, now, rand.Float64())
+	t.rateLimit.SetEntries(entryCount, now, rand.Float64())
 }
 
-// unlimited handles an answer without a limit to a request that was sent at the given
+// endRateLimit handles an answer without a limit to a request that was sent at the given
 // time, and reports whether it ends one.
-func (t *Target) unlimited(sent time.Time) (ended bool) {
+func (t *Target) endRateLimit(sent time.Time) (ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limit.Unlimited(sent)
+	return t.rateLimit.Unlimited(sent)
 }
 
-// observe handles what the head of an answer asks for, to an attempt that began at the
+// applyFeedback handles what the head of an answer asks for, to an attempt that began at the
 // given time. A misdirected answer is from another upstream.
-func (t *trip) observe(target *Target, head persimmoncross.PassageHead, began time.Time) {
+func (c *call) applyFeedback(target *Target, head persimmoncross.PassageHead, start time.Time) {
 	if head.Misdirected {
 		return
 	}
-	t.observeLimit(target, head, began)
+	c.applyRateLimit(target, head, start)
 	if head.RetryAfter > 0 {
-		t.relay.count("backoff")
-		target.backOff(t.relay.Clock.Now().Add(head.RetryAfter))
+		c.relay.incrementCounter("backoff")
+		target.extendBackoff(c.relay.Clock.Now().Add(head.RetryAfter))
 	}
-	if head.Leaving && target.leave() {
-		t.relay.count("leaving")
-		t.relay.line(t.passage).Str("upstream", target.Incarnation).Bool("listed", target.Leaving).Msg("upstream is leaving")
+	if head.Leaving && target.markDraining() {
+		c.relay.incrementCounter("leaving")
+		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Leaving).Msg("upstream is leaving")
 	}
 }
 
-// observeLimit updates the target's limit and reports changes to the other entries. The
+// applyRateLimit updates the target's limit and reports changes to the other entries. The
 // absence of a limit from a rejection or a failure means nothing.
-func (t *trip) observeLimit(target *Target, head persimmoncross.PassageHead, began time.Time) {
-	r := t.relay
+func (c *call) applyRateLimit(target *Target, head persimmoncross.PassageHead, start time.Time) {
+	r := c.relay
 	now := r.Clock.Now()
 	switch {
 	case head.Limit > 0:
-		r.count("limit.named")
-		entries := r.View().entries()
-		if target.setLimit(head.Limit, entries, now) {
-			r.count("limit.set")
-			r.line(t.passage).Str("upstream", target.Incarnation).Float64("limit", head.Limit).Int("entries", entries).Msg("upstream limit set")
+		r.incrementCounter("limit.named")
+		entryCount := r.View().entryCountOrDefault()
+		if target.setRateLimit(head.Limit, entryCount, now) {
+			r.incrementCounter("limit.set")
+			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.Limit).Int("entries", entryCount).Msg("upstream limit set")
 		}
-	case head.NotRun || head.Status >= 500 || !target.unlimited(began):
+	case head.NotRun || head.Status >= 500 || !target.endRateLimit(start):
 		return
 	default:
-		r.count("limit.cleared")
-		r.line(t.passage).Str("upstream", target.Incarnation).Msg("upstream limit cleared")
+		r.incrementCounter("limit.cleared")
+		r.logEvent(c.passage).Str("upstream", target.Incarnation).Msg("upstream limit cleared")
 	}
 	if r.Limits == nil {
 		return
@@ -138,50 +138,50 @@
 
 // availableIn returns how long it takes until the first of the service's blocked upstreams
 // may get a request, and why it is blocked; 0 if none is.
-func (t *trip) availableIn() (first time.Duration, why string) {
-	now := t.relay.Clock.Now()
-	for _, u := range t.targets() {
-		in, blocked := u.availableIn(now)
-		if !u.Leaves(now) && in > 0 && (first == 0 || in < first) {
-			first, why = in, blocked
+func (c *call) availableIn() (shortest time.Duration, reason string) {
+	now := c.relay.Clock.Now()
+	for _, u := range c.eligibleTargets() {
+		wait, blocked := u.availableIn(now)
+		if !u.Leaves(now) && wait > 0 && (shortest == 0 || wait < shortest) {
+			shortest, reason = wait, blocked
 		}
 	}
-	return first, why
+	return shortest, reason
 }
 
 // noneAvailable reports whether none of the service's upstreams may get a request now.
-func (t *trip) noneAvailable() bool {
-	now := t.relay.Clock.Now()
-	return !slices.ContainsFunc(t.targets(), func(u *Target) bool { return !u.Leaves(now) && u.Bears(now) })
+func (c *call) noneAvailable() bool {
+	now := c.relay.Clock.Now()
+	return !slices.ContainsFunc(c.eligibleTargets(), func(u *Target) bool { return !u.Leaves(now) && u.Bears(now) })
 }
 
 // MergeLimits adds limits that other entries have observed.
-func (p *Pool) MergeLimits(list []ratelimit.Observation) {
+func (p *Pool) MergeLimits(observations []ratelimit.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
-	for _, o := range p.Limits.Merge(list, now) {
-		if t := p.byLife[o.Life]; t != nil {
-			t.setLimit(o.Rate, p.sharers(), now)
+	for _, o := range p.Limits.Merge(observations, now) {
+		if t := p.byInstanceID[o.Life]; t != nil {
+			t.setRateLimit(o.Rate, p.entryCountOrDefault(), now)
 		}
 	}
 }
 
-// sharers returns how many entries share the upstreams, or an estimate before that is
+// entryCountOrDefault returns how many entries share the upstreams, or an estimate before that is
 // known. The caller holds mu.
-func (p *Pool) sharers() int {
-	if p.entries == 0 {
-		return entriesIdle
+func (p *Pool) entryCountOrDefault() int {
+	if p.entryCount == 0 {
+		return defaultEntryCount
 	}
-	return p.entries
+	return p.entryCount
 }
 
 // SetEntries sets the number of entries that share the upstreams.
-func (p *Pool) SetEntries(entries int) {
+func (p *Pool) SetEntries(entryCount int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.entries = entries
-	for _, t := range p.byLife {
-		t.setEntries(entries, p.Clock.Now())
+	p.entryCount = entryCount
+	for _, t := range p.byInstanceID {
+		t.setEntryCount(entryCount, p.Clock.Now())
 	}
 }
--- a/core/coordination/relay/cold_test.go
+++ b/core/coordination/relay/cold_test.go
@@ -8,9 +8,9 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// pooled returns an env whose pool is at hand, with four upstreams in one data centre.
-func pooled(answers ...*answer) (*env, *Pool) {
-	e := newEnv(answers...)
+// newTestEnvWithPool returns an env whose pool is at hand, with four upstreams in one data centre.
+func newTestEnvWithPool(responses ...*fakeResponse) (*testEnv, *Pool) {
+	e := newTestEnv(responses...)
 	p := &Pool{
 		Clock: e.clock,
 	}
@@ -21,20 +21,20 @@
 		list = append(list, u)
 	}
 	e.view.Targets = p.Update(list)
-	e.targets = e.view.Targets[service]
+	e.targets = e.view.Targets[testService]
 	return e, p
 }
 
 // Cold upstreams get requests from their owners only, at their pace; the warm one gets
 // the rest. What was waited for is over with the time that was told, without a word.
-func TestColdUpstreamsAreSpared(t *testing.T) {
-	var answers []*answer
+func TestColdTargetsGetRequestsFromOwners(t *testing.T) {
+	var responses []*fakeResponse
 	for range 40 {
-		answers = append(answers, whole("x"))
+		responses = append(responses, okResponse("x"))
 	}
-	e, p := pooled(answers...)
+	e, p := newTestEnvWithPool(responses...)
 	now := time.Now()
-	told := map[string]slowstart.Cold{}
+	colds := map[string]slowstart.Cold{}
 	for i, u := range e.targets[:3] {
 		c := slowstart.Cold{
 			Until: now.Add(time.Hour),
@@ -42,20 +42,20 @@
 		if i == 0 {
 			c.Pause = time.Minute
 		}
-		told[u.Life()] = c
+		colds[u.Life()] = c
 	}
-	p.Chill(told)
-	reached := map[string]int{}
+	p.Chill(colds)
+	requestCounts := map[string]int{}
 	for range 20 {
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
-	for _, a := range e.forward.attempts {
-		reached[a.Upstream.Incarnation]++
+	for _, a := range e.forwarder.attempts {
+		requestCounts[a.Upstream.Incarnation]++
 	}
-	if reached["u1"] != 1 || reached["u2"]+reached["u3"] != 0 || reached["u4"] != 19 {
-		t.Errorf("reached: %v", reached)
+	if requestCounts["u1"] != 1 || requestCounts["u2"]+requestCounts["u3"] != 0 || requestCounts["u4"] != 19 {
+		t.Errorf("reached: %v", requestCounts)
 	}
 	p.Chill(map[string]slowstart.Cold{}) // told of no more: their time is not over
 	if e.targets[1].Bears(now) || !e.targets[1].Bears(now.Add(time.Hour)) {
@@ -65,26 +65,26 @@
 
 // Where all are cold and this entry owns none, callers are told at once that nothing
 // ran, and when to come back.
-func TestAllAreCold(t *testing.T) {
-	e, p := pooled()
-	p.Expect("a", map[string]time.Duration{service: 3 * time.Second})
-	e.clock.(*leaping).now = time.Now()
-	p.Expect("a", map[string]time.Duration{service: 3 * time.Second})
+func TestAllTargetsCold(t *testing.T) {
+	e, p := newTestEnvWithPool()
+	p.Expect("a", map[string]time.Duration{testService: 3 * time.Second})
+	e.clock.(*steppingClock).now = time.Now()
+	p.Expect("a", map[string]time.Duration{testService: 3 * time.Second})
 	for _, route := range []string{"once", "safe", "stream"} {
 		refusal := e.serve(t, route, nil)
 		if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.Code != persimmoncross.CodeNoUpstream {
 			t.Errorf("%s: %+v", route, refusal)
 		}
 	}
-	if n := len(e.forward.attempts); n > 0 {
+	if n := len(e.forwarder.attempts); n > 0 {
 		t.Errorf("%d were sent", n)
 	}
 }
 
 // A life that comes with a list is cold by what was told before the list, and by the
 // list's own word where nothing was told.
-func TestColdBeforeTheList(t *testing.T) {
-	e, p := pooled()
+func TestNewTargetUsesKnownCold(t *testing.T) {
+	e, p := newTestEnvWithPool()
 	now := e.clock.Now()
 	list := []persimmoncross.Upstream{e.targets[0].Upstream, e.targets[1].Upstream, e.targets[2].Upstream}
 	for i, id := range []string{"n1", "n2", "n3"} {
@@ -96,7 +96,7 @@
 			Until: now.Add(2 * time.Second),
 		},
 	})
-	for _, u := range p.Update(list)[service] {
+	for _, u := range p.Update(list)[testService] {
 		if want := u.Incarnation == "n1"; u.Bears(now) != want {
 			t.Errorf("%s bears requests: %v", u.Incarnation, !want)
 		}
--- a/core/coordination/relay/comeback_test.go
+++ b/core/coordination/relay/comeback_test.go
@@ -8,18 +8,18 @@
 	"persimmoncross"
 )
 
-// refusedAfter sends a passage at the clock's time and returns when its caller is
+// serveRetryAfter sends a passage at the clock's time and returns when its caller is
 // to come back, 0 if it was served.
-func refusedAfter(t *testing.T, e *env) time.Duration {
+func serveRetryAfter(t *testing.T, e *testEnv) time.Duration {
 	t.Helper()
 	r := e.relay.Serve(context.Background(), &persimmoncross.Passage{
 		ID:      "id",
 		Host:    "h",
 		Path:    "/once/x",
 		Target:  "/once/x",
-		Key:     key,
+		Key:     testKey,
 		Arrived: e.clock.Now(),
-	}, &recorder{})
+	}, &recordingSink{})
 	if r == nil {
 		return 0
 	}
@@ -32,63 +32,63 @@
 // While a service is away its callers are told to come back the later the longer
 // that has lasted, and not all at once; after an answer the next trouble begins
 // anew.
-func TestComeBackAfterAnOutage(t *testing.T) {
-	e := newEnv(whole("x"))
-	clock := e.clock.(*leaping)
+func TestRetryAfterGrowsWithOutage(t *testing.T) {
+	e := newTestEnv(okResponse("x"))
+	clock := e.clock.(*steppingClock)
 	clock.now = time.Now() // contexts end by the system's clock
-	away := *e.view
-	away.Targets = map[string][]*Target{
+	outageView := *e.view
+	outageView.Targets = map[string][]*Target{
 		"other": e.targets,
 	}
-	there := e.view
-	e.view = &away
-	first := refusedAfter(t, e)
-	clock.leap(2 * time.Second)
-	different := map[time.Duration]bool{}
+	healthyView := e.view
+	e.view = &outageView
+	first := serveRetryAfter(t, e)
+	clock.advance(2 * time.Second)
+	delays := map[time.Duration]bool{}
 	for range 20 {
-		later := refusedAfter(t, e)
+		later := serveRetryAfter(t, e)
 		if later < 2*time.Second || later > 4*time.Second {
 			t.Fatalf("after 2 s of outage a caller is sent away for %v", later)
 		}
-		different[later] = true
+		delays[later] = true
 	}
 	if first < 500*time.Millisecond || first > time.Second {
 		t.Errorf("the first caller is sent away for %v", first)
 	}
-	if len(different) < 10 {
-		t.Errorf("20 callers come back at %d times", len(different))
+	if len(delays) < 10 {
+		t.Errorf("20 callers come back at %d times", len(delays))
 	}
-	clock.leap(troubleGap + time.Second)
-	if again := refusedAfter(t, e); again > time.Second {
+	clock.advance(maxRefusalGap + time.Second)
+	if again := serveRetryAfter(t, e); again > time.Second {
 		t.Errorf("a trouble of long ago counts: %v", again)
 	}
-	clock.leap(2 * time.Second)
-	if later := refusedAfter(t, e); later < 2*time.Second {
+	clock.advance(2 * time.Second)
+	if later := serveRetryAfter(t, e); later < 2*time.Second {
 		t.Errorf("after 2 s of the next outage a caller is sent away for %v", later)
 	}
-	e.view = there
-	if refusedAfter(t, e) != 0 {
+	e.view = healthyView
+	if serveRetryAfter(t, e) != 0 {
 		t.Fatal("a service that is back does not serve")
 	}
-	clock.leap(3 * time.Second)
-	e.view = &away
-	if again := refusedAfter(t, e); again > time.Second {
+	clock.advance(3 * time.Second)
+	e.view = &outageView
+	if again := serveRetryAfter(t, e); again > time.Second {
 		t.Errorf("the trouble before counts: %v", again)
 	}
 }
 
 // Where upstreams have no room, their callers come back when the heads of answers
 // come lately.
-func TestComeBackToABusyService(t *testing.T) {
-	e := newEnv()
-	clock := e.clock.(*leaping)
+func TestRetryAfterOfBusyService(t *testing.T) {
+	e := newTestEnv()
+	clock := e.clock.(*steppingClock)
 	clock.now = time.Now()
-	for range maxSends {
-		e.forward.answers = append(e.forward.answers, rejection())
+	for range maxAttempts {
+		e.forwarder.responses = append(e.forwarder.responses, rejectedResponse())
 	}
-	came := e.relay.Pressure.begin(service, "", 0, clock.Now())
-	came(clock.Now().Add(1500*time.Millisecond), true)
-	if after := refusedAfter(t, e); after < 1500*time.Millisecond || after > 2250*time.Millisecond {
+	recordHead := e.relay.Pressure.awaitHead(testService, "", 0, clock.Now())
+	recordHead(clock.Now().Add(1500*time.Millisecond), true)
+	if after := serveRetryAfter(t, e); after < 1500*time.Millisecond || after > 2250*time.Millisecond {
 		t.Errorf("heads come after 1.5 s, and a caller is sent away for %v", after)
 	}
 }
--- a/core/coordination/relay/decide_test.go
+++ b/core/coordination/relay/decide_test.go
@@ -13,34 +13,34 @@
 
 // The estimate follows the prompt's size, and sees a queue in the heads that
 // are awaited before any of them has come.
-func TestPressure(t *testing.T) {
+func TestTimeToHeadEstimate(t *testing.T) {
 	p := &Pressure{}
 	now := time.Unix(0, 0)
 	for i := range 200 {
 		prompt := 1000 + 500*(i%9)
-		end := p.begin("s", "m", prompt, now)
+		recordHead := p.awaitHead("s", "m", prompt, now)
 		now = now.Add(100 * time.Millisecond)
-		end(now.Add(time.Duration(prompt)*50*time.Microsecond), true)
+		recordHead(now.Add(time.Duration(prompt)*50*time.Microsecond), true)
 	}
-	small := p.estimate("s", "m", 1000, now)
-	large := p.estimate("s", "m", 20000, now)
+	small := p.timeToHead("s", "m", 1000, now)
+	large := p.timeToHead("s", "m", 20000, now)
 	if ratio := float64(large-small) / float64(19000*50*time.Microsecond); ratio < 0.8 || ratio > 1.2 {
 		t.Errorf("a token adds %.2f of its time (small %v, large %v)", ratio, small, large)
 	}
-	end := p.begin("s", "m", 1000, now)
+	end := p.awaitHead("s", "m", 1000, now)
 	later := now.Add(3 * time.Second)
-	if got := p.estimate("s", "m", 1000, later); got < 2*time.Second {
+	if got := p.timeToHead("s", "m", 1000, later); got < 2*time.Second {
 		t.Errorf("a head that is awaited for 3 s gives an estimate of %v", got)
 	}
 	end(later, false)
-	if got := p.estimate("s", "other", 1000, later); got != 0 {
+	if got := p.timeToHead("s", "other", 1000, later); got != 0 {
 		t.Errorf("an unknown model begins in %v", got)
 	}
 }
 
-func targets(n int) []*Target {
+func newTargets(n int) []*Target {
 	pool := &Pool{
-		Clock: standing{},
+		Clock: frozenClock{},
 	}
 	var list []persimmoncross.Upstream
 	for i := range n {
@@ -53,33 +53,33 @@
 	return pool.Update(list)["s"]
 }
 
-// placed is place without what the target copies from.
-func placed(candidates []*Target, home string, reread time.Duration, now time.Time) *Target {
-	t, _ := place(candidates, prompted(home, reread), now, sound)
+// placeByPrefix is place without what the target copies from.
+func placeByPrefix(candidates []*Target, prefix string, reread time.Duration, now time.Time) *Target {
+	t, _ := placeRequest(candidates, newPrompt(prefix, reread), now, noLinkCost)
 	return t
 }
 
-// sound is the cost of links that lose nothing.
-func sound(*Target) time.Duration { return 0 }
+// noLinkCost is the cost of links that lose nothing.
+func noLinkCost(*Target) time.Duration { return 0 }
 
-func prompted(home string, reread time.Duration) placement.Prompt {
+func newPrompt(prefix string, reread time.Duration) placement.Prompt {
 	return placement.Prompt{
-		Home:   home,
+		Home:   prefix,
 		Reread: reread,
 	}
 }
 
-func TestPlaceKeepsHomes(t *testing.T) {
+func TestPrefixAffinityIsStable(t *testing.T) {
 	now := time.Unix(100, 0)
-	all := targets(6)
+	all := newTargets(6)
 	homes := map[string]string{}
 	for i := range 200 {
 		home := fmt.Sprint("part", i)
-		homes[home] = placed(all, home, 0, now).Incarnation
+		homes[home] = placeByPrefix(all, home, 0, now).Incarnation
 	}
 	count := map[string]int{}
 	for home, id := range homes {
-		if again := placed(all, home, 0, now).Incarnation; again != id {
+		if again := placeByPrefix(all, home, 0, now).Incarnation; again != id {
 			t.Fatalf("%s moved from %s to %s", home, id, again)
 		}
 		count[id]++
@@ -92,30 +92,30 @@
 	// With one upstream gone only its own prompts move.
 	gone := all[0].Incarnation
 	for home, id := range homes {
-		if got := placed(all[1:], home, 0, now).Incarnation; id != gone && got != id {
+		if got := placeByPrefix(all[1:], home, 0, now).Incarnation; id != gone && got != id {
 			t.Errorf("%s moved from %s to %s though %s was lost", home, id, got, gone)
 		}
 	}
 }
 
-func TestPlaceSpills(t *testing.T) {
+func TestPlacementLeavesBusyTarget(t *testing.T) {
 	now := time.Unix(100, 0)
-	all := targets(4)
-	home := placed(all, "part", 0, now)
+	all := newTargets(4)
+	home := placeByPrefix(all, "part", 0, now)
 	for range 9 {
 		home.inFlight.Add(1)
 	}
-	if got := placed(all, "part", 0, now); got == home {
+	if got := placeByPrefix(all, "part", 0, now); got == home {
 		t.Error("a home with 9 of 10 slots in use takes more, though the others are idle")
 	}
 	home.inFlight.Store(0)
-	end := home.ask(now, 0)
+	recordHead := home.awaitHead(now, 0)
 	later := now.Add(2 * time.Second)
-	if got := placed(all, "part", 0, later); got == home {
+	if got := placeByPrefix(all, "part", 0, later); got == home {
 		t.Error("a home that has not begun an answer for 2 s takes more")
 	}
-	end(later, true)
-	if got := placed(all, "part", 0, later.Add(time.Minute)); got != home {
+	recordHead(later, true)
+	if got := placeByPrefix(all, "part", 0, later.Add(time.Minute)); got != home {
 		t.Error("the home is not found again after the queue is gone")
 	}
 }
@@ -130,35 +130,35 @@
 		Target:  "v2",
 	}
 	moved := map[string]bool{}
-	onTrial := 0
+	onCanary := 0
 	for _, stage := range []register.Stage{register.Prepare, register.Trial, register.Shift, register.Completed} {
 		u.Stage = stage
 		for i := range 2000 {
 			session := fmt.Sprint("session", i)
-			one := (&Sessions{}).choose(u, session, "a", share, false, now)
-			other := (&Sessions{}).choose(u, session, "b", share, false, now)
+			one := (&Sessions{}).chooseVersions(u, session, "a", share, false, now)
+			other := (&Sessions{}).chooseVersions(u, session, "b", share, false, now)
 			if one != other {
 				t.Fatalf("%s: entries differ on %s", stage, session)
 			}
-			if moved[session] && !one.only {
+			if moved[session] && !one.targetOnly {
 				t.Fatalf("%s: %s goes back", stage, session)
 			}
-			moved[session] = one.only
-			if stage == register.Trial && one.only {
-				onTrial++
+			moved[session] = one.targetOnly
+			if stage == register.Trial && one.targetOnly {
+				onCanary++
 			}
 		}
 	}
-	if onTrial < 100 || onTrial > 260 {
-		t.Errorf("%d of 2000 sessions are on trial, want about %.0f", onTrial, 2000*share)
+	if onCanary < 100 || onCanary > 260 {
+		t.Errorf("%d of 2000 sessions are on trial, want about %.0f", onCanary, 2000*share)
 	}
 	u.Stage = register.Withdrawn
-	if g := (&Sessions{}).choose(u, "session1", "a", share, false, now); g.only || !g.strict {
+	if g := (&Sessions{}).chooseVersions(u, "session1", "a", share, false, now); g.targetOnly || !g.strict {
 		t.Error("a withdrawn version is allowed")
 	}
 	u.Stage = register.Trial
 	for i := range 500 {
-		if g := (&Sessions{}).choose(u, fmt.Sprint(i), "a", share, true, now); g.only || !g.strict {
+		if g := (&Sessions{}).chooseVersions(u, fmt.Sprint(i), "a", share, true, now); g.targetOnly || !g.strict {
 			t.Fatal("a braked version is allowed")
 		}
 	}
@@ -166,7 +166,7 @@
 
 // A session that runs on the old version when the trial begins stays there
 // until it has been idle.
-func TestTrialLeavesRunningSessions(t *testing.T) {
+func TestCanaryKeepsRunningSessions(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := &Sessions{
 		Idle: 5 * time.Second,
@@ -178,62 +178,62 @@
 	}
 	session := ""
 	for i := 0; session == ""; i++ {
-		if name := fmt.Sprint(i); s.choose(u, name, "a", 0.1, false, now).only {
+		if name := fmt.Sprint(i); s.chooseVersions(u, name, "a", 0.1, false, now).targetOnly {
 			session = name
 		}
 	}
-	ended := s.Begin("s", session, "v1", now)
-	if s.choose(u, session, "a", 0.1, false, now.Add(time.Minute)).only {
+	endRun := s.Begin("s", session, "v1", now)
+	if s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute)).targetOnly {
 		t.Error("a session was moved while its request ran")
 	}
-	ended(now.Add(time.Minute))
-	if s.choose(u, session, "a", 0.1, false, now.Add(time.Minute+4*time.Second)).only {
+	endRun(now.Add(time.Minute))
+	if s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute+4*time.Second)).targetOnly {
 		t.Error("a session was moved before it was idle")
 	}
-	if !s.choose(u, session, "a", 0.1, false, now.Add(time.Minute+6*time.Second)).only {
+	if !s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute+6*time.Second)).targetOnly {
 		t.Error("an idle session does not take part in the trial")
 	}
 }
 
 // Failures count by version and route; a few of them brake the entry itself.
-func TestEvidenceBrakes(t *testing.T) {
+func TestCanaryFailuresHaltEntry(t *testing.T) {
 	e := &Evidence{}
 	u := register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   7,
 	}
-	k := TrialKey{
+	oldKey := TrialKey{
 		Service: "s",
 		Version: "v1",
 		Route:   "r",
 		Order:   7,
 	}
-	n := k
-	n.Version = "v2"
+	newKey := oldKey
+	newKey.Version = "v2"
 	for i := range 20 {
-		e.note(&u, k, false)
-		e.time(&u, k, 100*time.Millisecond)
-		e.note(&u, n, i%2 == 0)
+		e.recordResult(&u, oldKey, false)
+		e.recordDuration(&u, oldKey, 100*time.Millisecond)
+		e.recordResult(&u, newKey, i%2 == 0)
 	}
-	if !e.braked(u) {
+	if !e.isHalted(u) {
 		t.Error("10 failures of 20 do not brake")
 	}
-	old := e.Counts()[k]
+	old := e.Counts()[oldKey]
 	if old.Runs != 20 || old.Failed != 0 || old.Timed != 20 || math.Abs(old.Time-2) > 1e-9 || math.Abs(old.Square-0.2) > 1e-9 {
 		t.Errorf("the old version's count is %+v", old)
 	}
 	e.Forget(map[uint64]bool{})
-	if len(e.Counts()) != 0 || e.braked(u) {
+	if len(e.Counts()) != 0 || e.isHalted(u) {
 		t.Error("an upgrade that is over is still counted")
 	}
 }
 
 // What this entry knows of an upstream outlives a change of the list.
-func TestPoolKeepsKnowledge(t *testing.T) {
+func TestPoolKeepsTargetState(t *testing.T) {
 	var gone []string
 	p := &Pool{
-		Clock: standing{},
+		Clock: frozenClock{},
 		Gone:  func(id string) { gone = append(gone, id) },
 	}
 	u := persimmoncross.Upstream{
@@ -260,7 +260,7 @@
 
 // A session that ran on the old version at any entry before the trial stays
 // there at all of them.
-func TestKeptSessionsStay(t *testing.T) {
+func TestPinnedSessionsStayAtAllEntries(t *testing.T) {
 	now := time.Unix(100, 0)
 	const share = 0.2
 	u := register.Upgrade{
@@ -273,7 +273,7 @@
 	}
 	for i := range 200 {
 		one.Begin("s", fmt.Sprint("session", i), "v1", now)(now)
-		if one.choose(u, fmt.Sprint("session", i), "a", share, false, now).only {
+		if one.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now).targetOnly {
 			t.Fatal("a session is on trial while the trial is prepared")
 		}
 	}
@@ -285,17 +285,17 @@
 	other := &Sessions{
 		Idle: 5 * time.Second,
 	}
-	onTrial := 0
+	onCanary := 0
 	for i := range 400 {
-		only := other.choose(u, fmt.Sprint("session", i), "a", share, false, now.Add(2*time.Second)).only
+		only := other.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now.Add(2*time.Second)).targetOnly
 		if i < 200 && only {
 			t.Errorf("session %d was moved at another entry", i)
 		}
 		if only {
-			onTrial++
+			onCanary++
 		}
 	}
-	if onTrial == 0 {
+	if onCanary == 0 {
 		t.Error("no new session takes part in the trial")
 	}
 	if n := len(one.Recent(u, share, now.Add(time.Minute))); n != 0 {
--- a/core/coordination/relay/env_test.go
+++ b/core/coordination/relay/env_test.go
@@ -21,57 +21,57 @@
 	"persimmoncross/core/state/register"
 )
 
-// leaping is a clock on which a short pause is over at once, and a longer wait
+// steppingClock is a clock on which a short pause is over at once, and a longer wait
 // never is: the limits of attempts do not race with the stand-ins' answers.
-type leaping struct {
+type steppingClock struct {
 	mu  sync.Mutex // guards now
 	now time.Time
 }
 
-func (c *leaping) Now() time.Time {
+func (c *steppingClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *leaping) leap(d time.Duration) {
+func (c *steppingClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-func (c *leaping) After(d time.Duration) <-chan time.Time {
+func (c *steppingClock) After(d time.Duration) <-chan time.Time {
 	if d > 100*time.Millisecond {
 		return nil
 	}
-	c.leap(d)
+	c.advance(d)
 	fired := make(chan time.Time, 1)
 	fired <- c.Now()
 	return fired
 }
 
-// standing is a clock that stands still: no wait is ever over.
-type standing struct{ now time.Time }
+// frozenClock is a clock that stands still: no wait is ever over.
+type frozenClock struct{ now time.Time }
 
-func (c standing) Now() time.Time                       { return c.now }
-func (c standing) After(time.Duration) <-chan time.Time { return nil }
+func (c frozenClock) Now() time.Time                       { return c.now }
+func (c frozenClock) After(time.Duration) <-chan time.Time { return nil }
 
-// answer is what a stand-in upstream answers to one attempt.
-type answer struct {
-	head    persimmoncross.PassageHead
-	body    string
-	cut     bool // the body breaks off
-	err     *persimmoncross.AttemptError
-	then    func()
-	read    *bytes.Reader
-	forward *forwarder
+// fakeResponse is what a stand-in upstream answers to one attempt.
+type fakeResponse struct {
+	head        persimmoncross.PassageHead
+	body        string
+	interrupted bool // the body breaks off
+	err         *persimmoncross.AttemptError
+	onAttempt   func()
+	reader      *bytes.Reader
+	forwarder   *fakeForwarder
 }
 
-func (a *answer) Head() persimmoncross.PassageHead { return a.head }
+func (r *fakeResponse) Head() persimmoncross.PassageHead { return r.head }
 
-func (a *answer) Read(p []byte) (int, error) {
-	n, err := a.read.Read(p)
-	if errors.Is(err, io.EOF) && a.cut {
+func (r *fakeResponse) Read(p []byte) (int, error) {
+	n, err := r.reader.Read(p)
+	if errors.Is(err, io.EOF) && r.interrupted {
 		return n, &persimmoncross.AttemptError{
 			Reason: "cut",
 			Run:    persimmoncross.Ran,
@@ -80,36 +80,36 @@
 	return n, err
 }
 
-func (a *answer) Close() error {
-	a.forward.mu.Lock()
-	defer a.forward.mu.Unlock()
-	a.forward.open--
+func (r *fakeResponse) Close() error {
+	r.forwarder.mu.Lock()
+	defer r.forwarder.mu.Unlock()
+	r.forwarder.openResponses--
 	return nil
 }
 
-// forwarder answers the attempts in order and keeps them.
-type forwarder struct {
-	answers []*answer
+// fakeForwarder answers the attempts in order and keeps them.
+type fakeForwarder struct {
+	responses []*fakeResponse
 
-	mu       sync.Mutex // guards all below
-	attempts []*persimmoncross.PassageAttempt
-	open     int
+	mu            sync.Mutex // guards all below
+	attempts      []*persimmoncross.PassageAttempt
+	openResponses int
 }
 
-func (f *forwarder) Forward(_ context.Context, a *persimmoncross.PassageAttempt) (persimmoncross.PassageAnswer, error) {
+func (f *fakeForwarder) Forward(_ context.Context, a *persimmoncross.PassageAttempt) (persimmoncross.PassageAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.attempts)
 	f.attempts = append(f.attempts, a)
-	if n >= len(f.answers) {
+	if n >= len(f.responses) {
 		return nil, &persimmoncross.AttemptError{
 			Reason: "connect",
 			Run:    persimmoncross.NotRun,
 		}
 	}
-	next := f.answers[n]
-	if next.then != nil {
-		next.then()
+	next := f.responses[n]
+	if next.onAttempt != nil {
+		next.onAttempt()
 	}
 	if next.err != nil {
 		return nil, next.err
@@ -117,19 +117,19 @@
 	if next.head.Header == nil {
 		next.head.Header = http.Header{}
 	}
-	next.read = bytes.NewReader([]byte(next.body))
-	next.forward = f
-	f.open++
+	next.reader = bytes.NewReader([]byte(next.body))
+	next.forwarder = f
+	f.openResponses++
 	return next, nil
 }
 
-// recorder is a caller.
-type recorder struct {
+// recordingSink is a caller.
+type recordingSink struct {
 	head *persimmoncross.PassageHead
 	body bytes.Buffer
 }
 
-func (r *recorder) Head(h persimmoncross.PassageHead) error {
+func (r *recordingSink) Head(h persimmoncross.PassageHead) error {
 	if r.head != nil {
 		return errors.New("a second head")
 	}
@@ -137,35 +137,35 @@
 	return nil
 }
 
-func (r *recorder) Write(p []byte) error {
+func (r *recordingSink) Write(p []byte) error {
 	_, err := r.body.Write(p)
 	return err
 }
 
-func (r *recorder) Flush() error { return nil }
+func (r *recordingSink) Flush() error { return nil }
 
-// env is a relay before stand-ins.
-type env struct {
-	relay   *Relay
-	forward *forwarder
-	caller  *recorder
-	clock   persimmoncross.Clock
-	view    *View
-	targets []*Target
+// testEnv is a relay before stand-ins.
+type testEnv struct {
+	relay     *Relay
+	forwarder *fakeForwarder
+	sink      *recordingSink
+	clock     persimmoncross.Clock
+	view      *View
+	targets   []*Target
 }
 
 const (
-	service = "s"
-	key     = "k"
+	testService = "s"
+	testKey     = "k"
 )
 
-func newEnv(answers ...*answer) *env {
-	e := &env{
-		forward: &forwarder{
-			answers: answers,
+func newTestEnv(responses ...*fakeResponse) *testEnv {
+	e := &testEnv{
+		forwarder: &fakeForwarder{
+			responses: responses,
 		},
-		caller: &recorder{},
-		clock: &leaping{
+		sink: &recordingSink{},
+		clock: &steppingClock{
 			now: time.Unix(1000, 0),
 		},
 	}
@@ -176,26 +176,26 @@
 	for _, id := range []string{"u1", "u2", "u3", "u4"} {
 		list = append(list, persimmoncross.Upstream{
 			Incarnation: id,
-			Service:     service,
+			Service:     testService,
 			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
 			Version:     "v1",
 			Slots:       8,
 		})
 	}
-	targets := pool.Update(list)
-	e.targets = targets[service]
+	targetsByService := pool.Update(list)
+	e.targets = targetsByService[testService]
 	c := &catalog.Catalog{
 		Number: 1,
 		Keyed:  true,
 		Services: map[string]*catalog.Service{
-			service: {
-				Name: service,
+			testService: {
+				Name: testService,
 			},
 		},
 		Organisations: []*catalog.Organisation{
 			{
 				Name:     "o",
-				Keys:     []string{key},
+				Keys:     []string{testKey},
 				Priority: -1,
 			},
 		},
@@ -222,7 +222,7 @@
 			MaxAttempts: 3,
 			Split: []catalog.Share{
 				{
-					Service: service,
+					Service: testService,
 					Weight:  1,
 				},
 			},
@@ -231,11 +231,11 @@
 	c.Index()
 	e.view = &View{
 		Catalog:  c,
-		Targets:  targets,
+		Targets:  targetsByService,
 		Upgrades: map[string]register.Upgrade{},
 	}
 	e.relay = &Relay{
-		Forwarder: e.forward,
+		Forwarder: e.forwarder,
 		View:      func() *View { return e.view },
 		Clock:     e.clock,
 		Bounds: Bounds{
@@ -260,7 +260,7 @@
 }
 
 // serve sends a passage on the route.
-func (e *env) serve(t *testing.T, route string, change func(p *persimmoncross.Passage)) *persimmoncross.Refusal {
+func (e *testEnv) serve(t *testing.T, route string, change func(p *persimmoncross.Passage)) *persimmoncross.Refusal {
 	t.Helper()
 	p := &persimmoncross.Passage{
 		ID:      "id",
@@ -268,7 +268,7 @@
 		Host:    "h",
 		Path:    "/" + route + "/x",
 		Target:  "/" + route + "/x",
-		Key:     key,
+		Key:     testKey,
 		Arrived: e.clock.Now(),
 	}
 	if change != nil {
@@ -277,17 +277,17 @@
 	// The deadlines of contexts are of the system's clock.
 	e.view.Catalog.Routes[0].Timeout = 20 * time.Second
 	p.Arrived = time.Now()
-	if l, ok := e.clock.(*leaping); ok {
+	if l, ok := e.clock.(*steppingClock); ok {
 		l.mu.Lock()
 		l.now = p.Arrived
 		l.mu.Unlock()
 	}
-	return e.relay.Serve(context.Background(), p, e.caller)
+	return e.relay.Serve(context.Background(), p, e.sink)
 }
 
-// whole is a good answer that is no stream.
-func whole(body string) *answer {
-	return &answer{
+// okResponse is a good answer that is no stream.
+func okResponse(body string) *fakeResponse {
+	return &fakeResponse{
 		head: persimmoncross.PassageHead{
 			Status:     http.StatusOK,
 			Signed:     true,
@@ -297,24 +297,24 @@
 	}
 }
 
-// failure is an upstream's own failure.
-func failure(status int) *answer {
-	a := whole("failed")
+// failedResponse is an upstream's own failedResponse.
+func failedResponse(status int) *fakeResponse {
+	a := okResponse("failed")
 	a.head.Status = status
 	return a
 }
 
-// rejection says that nothing ran.
-func rejection() *answer {
-	a := failure(http.StatusServiceUnavailable)
+// rejectedResponse says that nothing ran.
+func rejectedResponse() *fakeResponse {
+	a := failedResponse(http.StatusServiceUnavailable)
 	a.head.Signed = false
 	a.head.NotRun = true
 	return a
 }
 
-// lost is an attempt whose answer never came.
-func lost(run persimmoncross.Run) *answer {
-	return &answer{
+// lostResponse is an attempt whose answer never came.
+func lostResponse(run persimmoncross.Run) *fakeResponse {
+	return &fakeResponse{
 		err: &persimmoncross.AttemptError{
 			Reason: "cut",
 			Run:    run,
--- a/core/coordination/relay/evidence.go
+++ b/core/coordination/relay/evidence.go
@@ -7,9 +7,9 @@
 	"persimmoncross/core/state/register"
 )
 
-// brakeAfter failures that one entry saw by itself, more than a quarter of all,
+// minFailuresToHalt failures that one entry saw by itself, more than a quarter of all,
 // stop it from sending to the new version before the fleet decides.
-const brakeAfter = 5
+const minFailuresToHalt = 5
 
 // TrialKey names what is counted apart.
 type TrialKey struct {
@@ -34,78 +34,78 @@
 	counts map[TrialKey]*TrialCount
 }
 
-// note takes an answer; u is the upgrade of its service, nil if none is under
+// recordResult takes an answer; u is the upgrade of its service, nil if none is under
 // way.
-func (e *Evidence) note(u *register.Upgrade, k TrialKey, failed bool) {
+func (s *Evidence) recordResult(u *register.Upgrade, k TrialKey, failed bool) {
 	if u == nil {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	c := e.count(k)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.countFor(k)
 	c.Runs++
 	if failed {
 		c.Failed++
 	}
 }
 
-// time takes how long an answer took.
-func (e *Evidence) time(u *register.Upgrade, k TrialKey, took time.Duration) {
+// recordDuration takes how long an answer took.
+func (s *Evidence) recordDuration(u *register.Upgrade, k TrialKey, duration time.Duration) {
 	if u == nil {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	c := e.count(k)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.countFor(k)
 	c.Timed++
-	c.Time += took.Seconds()
-	c.Square += took.Seconds() * took.Seconds()
+	c.Time += duration.Seconds()
+	c.Square += duration.Seconds() * duration.Seconds()
 }
 
-func (e *Evidence) count(k TrialKey) *TrialCount {
-	if e.counts == nil {
-		e.counts = map[TrialKey]*TrialCount{}
+func (s *Evidence) countFor(k TrialKey) *TrialCount {
+	if s.counts == nil {
+		s.counts = map[TrialKey]*TrialCount{}
 	}
-	c := e.counts[k]
+	c := s.counts[k]
 	if c == nil {
 		c = &TrialCount{}
-		e.counts[k] = c
+		s.counts[k] = c
 	}
 	return c
 }
 
-// braked reports whether this entry has seen enough to stop by itself.
-func (e *Evidence) braked(u register.Upgrade) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	sum := TrialCount{}
-	for k, c := range e.counts {
+// isHalted reports whether this entry has seen enough to stop by itself.
+func (s *Evidence) isHalted(u register.Upgrade) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	total := TrialCount{}
+	for k, c := range s.counts {
 		if k.Order == u.Order && k.Version == u.Target && k.Service == u.Service {
-			sum.Runs += c.Runs
-			sum.Failed += c.Failed
+			total.Runs += c.Runs
+			total.Failed += c.Failed
 		}
 	}
-	return sum.Failed >= brakeAfter && 4*sum.Failed > sum.Runs
+	return total.Failed >= minFailuresToHalt && 4*total.Failed > total.Runs
 }
 
 // Counts returns a copy of all counts.
-func (e *Evidence) Counts() map[TrialKey]TrialCount {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	all := make(map[TrialKey]TrialCount, len(e.counts))
-	for k, c := range e.counts {
+func (s *Evidence) Counts() map[TrialKey]TrialCount {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make(map[TrialKey]TrialCount, len(s.counts))
+	for k, c := range s.counts {
 		all[k] = *c
 	}
 	return all
 }
 
 // Forget drops the counts of upgrades that are over.
-func (e *Evidence) Forget(running map[uint64]bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for k := range e.counts {
-		if !running[k.Order] {
-			delete(e.counts, k)
+func (s *Evidence) Forget(activeUpgrades map[uint64]bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for k := range s.counts {
+		if !activeUpgrades[k.Order] {
+			delete(s.counts, k)
 		}
 	}
 }
--- a/core/coordination/relay/fleet.go
+++ b/core/coordination/relay/fleet.go
@@ -7,9 +7,9 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// sharedAge is how old what all entries know is taken to be when it comes: half
+// fleetLoadDelay is how old what all entries know is taken to be when it comes: half
 // the interval of accounts and of updates, over two controllers.
-const sharedAge = 500 * time.Millisecond
+const fleetLoadDelay = 500 * time.Millisecond
 
 // FleetLoad is what all entries together know of an upstream.
 type FleetLoad struct {
@@ -22,26 +22,26 @@
 	Silence  time.Duration        // since then, at the controller
 }
 
-// fleet is the same, kept with its target.
-type fleet struct {
+// fleetState is the same, kept with its target.
+type fleetState struct {
 	FleetLoad
-	at time.Time // to which Work and Doubters belong
+	asOf time.Time // to which Work and Doubters belong
 }
 
-// told returns when the target told its load, zero if not lately.
-func (f fleet) told() time.Time {
+// reportedAt returns when the target reportedAt its load, zero if not lately.
+func (f fleetState) reportedAt() time.Time {
 	if f.Told == nil {
 		return time.Time{}
 	}
-	return f.at.Add(-f.Age)
+	return f.asOf.Add(-f.Age)
 }
 
-// heard returns when bytes came from the target to any entry, zero if not lately.
-func (f fleet) heard() time.Time {
+// receivedAt returns when bytes came from the target to any entry, zero if not lately.
+func (f fleetState) receivedAt() time.Time {
 	if !f.Heard {
 		return time.Time{}
 	}
-	return f.at.Add(-f.Silence)
+	return f.asOf.Add(-f.Silence)
 }
 
 // EntryLoad is what this entry knows of an upstream.
@@ -60,36 +60,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
-	var list []EntryLoad
-	for life, t := range p.byLife {
-		l := t.report(now)
+	var loads []EntryLoad
+	for instanceID, t := range p.byInstanceID {
+		l := t.collectLoad(now)
 		if l.Told == nil && l.Work == 0 && !l.Doubted && !l.Heard {
 			continue
 		}
-		l.Life = life
-		list = append(list, l)
+		l.Life = instanceID
+		loads = append(loads, l)
 	}
-	return list
+	return loads
 }
 
-func (t *Target) report(now time.Time) EntryLoad {
+func (t *Target) collectLoad(now time.Time) EntryLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := EntryLoad{
-		Doubted: t.stranger.Holds(now) || t.suspicion.Told(t.breaker.Open(), now),
+		Doubted: t.addressReuse.Holds(now) || t.suspicion.Told(t.breaker.Open(), now),
 	}
-	if t.news {
-		told := t.told
-		l.Told = &told
-		l.At = t.at
-		t.news = false
+	if t.loadUnpublished {
+		reported := t.reportedLoad
+		l.Told = &reported
+		l.At = t.reportedAt
+		t.loadUnpublished = false
 	}
-	if heard := t.heard.Load(); heard > t.heardTold {
+	if received := t.lastReceived.Load(); received > t.lastReceivedPublished {
 		l.Heard = true
-		l.Silence = max(now.Sub(t.origin.Add(time.Duration(heard))), 0)
-		t.heardTold = heard
+		l.Silence = max(now.Sub(t.clockOrigin.Add(time.Duration(received))), 0)
+		t.lastReceivedPublished = received
 	}
-	_, l.Work = t.since(time.Time{})
+	_, l.Work = t.pendingSince(time.Time{})
 	return l
 }
 
@@ -97,84 +97,84 @@
 func (p *Pool) Learn(loads []FleetLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.Clock.Now().Add(-sharedAge)
+	asOf := p.Clock.Now().Add(-fleetLoadDelay)
 	for _, l := range loads {
-		if t := p.byLife[l.Life]; t != nil {
-			t.learn(l, at)
+		if t := p.byInstanceID[l.Life]; t != nil {
+			t.applyFleetLoad(l, asOf)
 		}
 	}
 }
 
-func (t *Target) learn(l FleetLoad, at time.Time) {
+func (t *Target) applyFleetLoad(l FleetLoad, asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.all = fleet{
+	t.fleet = fleetState{
 		FleetLoad: l,
-		at:        at,
+		asOf:      asOf,
 	}
 }
 
-// avoided reports whether other targets are to be preferred for what other
+// isAvoidedByFleet reports whether other targets are to be preferred for what other
 // entries know: several doubt it and it has answered none. chance is between 0
 // and 1; by it a few requests try whether it works again.
-func (t *Target) avoided(now time.Time, entries int, chance float64) bool {
+func (t *Target) isAvoidedByFleet(now time.Time, entryCount int, chance float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.all.at) > loadAge {
+	if now.Sub(t.fleet.asOf) > maxLoadAge {
 		return false
 	}
-	all := outlier.Shared{
-		Doubters: t.all.Doubters,
-		Word:     now.Sub(t.all.told()) - sharedAge,
-		Entries:  entries,
+	shared := outlier.Shared{
+		Doubters: t.fleet.Doubters,
+		Word:     now.Sub(t.fleet.reportedAt()) - fleetLoadDelay,
+		Entries:  entryCount,
 	}
-	return all.Avoided(chance)
+	return shared.Avoided(chance)
 }
 
-// doubtedByOthers reports whether so many entries doubt the target that it is not
+// isSuspectedByOthers reports whether so many entries doubt the target that it is not
 // this one's link.
-func (t *Target) doubtedByOthers(now time.Time) bool {
+func (t *Target) isSuspectedByOthers(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.all.Doubters >= outlier.Doubters && now.Sub(t.all.at) <= loadAge
+	return t.fleet.Doubters >= outlier.Doubters && now.Sub(t.fleet.asOf) <= maxLoadAge
 }
 
-// since counts the requests whose heads are awaited and that were sent after the
+// pendingSince counts the requests whose heads are awaited and that were sent after the
 // time, and adds up the reading of their prompts. The caller holds mu.
-func (t *Target) since(at time.Time) (n int, work time.Duration) {
-	for _, a := range t.asked {
-		if a.at.After(at) {
+func (t *Target) pendingSince(sentAfter time.Time) (n int, prefillTime time.Duration) {
+	for _, a := range t.pendingHeads {
+		if a.sentAt.After(sentAfter) {
 			n++
-			work += a.work
+			prefillTime += a.prefillTime
 		}
 	}
-	return n, work
+	return n, prefillTime
 }
 
-// reading estimates how long the prompts take to be read that the target has to
+// pendingPrefill estimates how long the prompts take to be read that the target has to
 // read now: what all entries await there, and what this one has sent since.
-func (t *Target) reading(now time.Time) time.Duration {
+func (t *Target) pendingPrefill(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, own := t.since(time.Time{})
-	if now.Sub(t.all.at) > loadAge {
+	_, own := t.pendingSince(time.Time{})
+	if now.Sub(t.fleet.asOf) > maxLoadAge {
 		return own
 	}
-	_, sent := t.since(t.all.at)
-	return max(t.all.Work+sent, own)
+	_, sentSince := t.pendingSince(t.fleet.asOf)
+	return max(t.fleet.Work+sentSince, own)
 }
 
-// crowd estimates the requests at the target from what it told any entry. It is
+// fleetRequestEstimate estimates the requests at the target from what it told any entry. It is
 // half a second old: of use where requests last longer than that.
-func (t *Target) crowd(now time.Time) float64 {
+func (t *Target) fleetRequestEstimate(now time.Time) float64 {
 	t.mu.Lock()
-	all := t.all
-	told := all.told()
-	sent, _ := t.since(told)
-	newer := told.After(t.at) && now.Sub(told) <= loadAge
+	fleet := t.fleet
+	reportedAt := fleet.reportedAt()
+	sentSince, _ := t.pendingSince(reportedAt)
+	newer := reportedAt.After(t.reportedAt) && now.Sub(reportedAt) <= maxLoadAge
 	t.mu.Unlock()
 	if !newer {
-		return t.busy(now)
+		return t.requestEstimate(now)
 	}
-	return max(float64(all.Told.Running+all.Told.Waiting+sent), float64(t.inFlight.Load()))
+	return max(float64(fleet.Told.Running+fleet.Told.Waiting+sentSince), float64(t.inFlight.Load()))
 }
--- a/core/coordination/relay/fleet_test.go
+++ b/core/coordination/relay/fleet_test.go
@@ -10,63 +10,63 @@
 
 // One of many entries makes a small part of an upstream's work: what the others
 // await there turns a prompt away from its home too, for as long as it is known.
-func TestOthersWorkIsSeen(t *testing.T) {
+func TestFleetLoadAffectsPlacement(t *testing.T) {
 	now := time.Unix(100, 0)
 	reread := 50 * time.Millisecond
 	tests := []struct {
-		what   string
-		work   time.Duration // that others await at the home
-		told   *persimmoncross.Load
-		later  time.Duration // after the account came
-		reread time.Duration
-		moves  bool
+		name        string
+		prefillTime time.Duration // that others await at the home
+		reported    *persimmoncross.Load
+		elapsed     time.Duration // after the account came
+		reread      time.Duration
+		wantMoved   bool
 	}{
 		{
-			what:   "nothing is awaited",
+			name:   "nothing is awaited",
 			reread: reread,
 		},
 		{
-			what:   "less than the shared parts take to be read again",
-			work:   100*time.Millisecond + reread,
-			reread: reread,
+			name:        "less than the shared parts take to be read again",
+			prefillTime: 100*time.Millisecond + reread,
+			reread:      reread,
 		},
 		{
-			what:   "a long prompt is read",
-			work:   2 * time.Second,
-			reread: reread,
-			moves:  true,
+			name:        "a long prompt is read",
+			prefillTime: 2 * time.Second,
+			reread:      reread,
+			wantMoved:   true,
 		},
 		{
-			what:  "the account is old",
-			work:  2 * time.Second,
-			later: loadAge,
+			name:        "the account is old",
+			prefillTime: 2 * time.Second,
+			elapsed:     maxLoadAge,
 		},
 		{
-			what: "every slot is taken",
-			told: &persimmoncross.Load{
+			name: "every slot is taken",
+			reported: &persimmoncross.Load{
 				Running: 10,
 				Waiting: 4,
 			},
-			moves: true,
+			wantMoved: true,
 		},
 	}
 	for _, tt := range tests {
-		all := targets(4)
-		home := placed(all, "part", 0, now)
-		home.learn(FleetLoad{
-			Work: tt.work,
-			Told: tt.told,
+		all := newTargets(4)
+		home := placeByPrefix(all, "part", 0, now)
+		home.applyFleetLoad(FleetLoad{
+			Work: tt.prefillTime,
+			Told: tt.reported,
 		}, now)
-		if got := placed(all, "part", tt.reread, now.Add(tt.later+time.Millisecond)); (got != home) != tt.moves {
-			t.Errorf("%s: moved: %v, want %v", tt.what, got != home, tt.moves)
+		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != home) != tt.wantMoved {
+			t.Errorf("%s: moved: %v, want %v", tt.name, got != home, tt.wantMoved)
 		}
 	}
 }
 
 // What an entry awaits is in its account until the answer begins; what an
 // upstream told is in one account.
-func TestOwnLoads(t *testing.T) {
-	clock := &leaping{
+func TestCollectLoads(t *testing.T) {
+	clock := &steppingClock{
 		now: time.Unix(100, 0),
 	}
 	p := &Pool{
@@ -77,8 +77,8 @@
 		Service:     "s",
 	}
 	target := p.Update([]persimmoncross.Upstream{u})["s"][0]
-	end := target.ask(clock.Now(), time.Second)
-	target.note(&persimmoncross.Load{
+	recordHead := target.awaitHead(clock.Now(), time.Second)
+	target.recordLoad(&persimmoncross.Load{
 		Running: 3,
 		Waiting: 2,
 	}, clock.Now())
@@ -89,7 +89,7 @@
 	if next := p.Loads(); len(next) != 1 || next[0].Told != nil || next[0].Work != time.Second {
 		t.Errorf("the next account is %+v", next)
 	}
-	end(clock.Now(), true)
+	recordHead(clock.Now(), true)
 	if last := p.Loads(); len(last) != 0 {
 		t.Errorf("the account after the answer began is %+v", last)
 	}
@@ -102,54 +102,54 @@
 			Life: "gone",
 		},
 	})
-	if got := target.reading(clock.Now()); got != 3*time.Second {
+	if got := target.pendingPrefill(clock.Now()); got != 3*time.Second {
 		t.Errorf("%v of reading is awaited, want 3 s", got)
 	}
-	target.ask(clock.Now(), time.Second)
-	if got := target.reading(clock.Now()); got != 4*time.Second {
+	target.awaitHead(clock.Now(), time.Second)
+	if got := target.pendingPrefill(clock.Now()); got != 4*time.Second {
 		t.Errorf("with an own prompt sent since %v, want 4 s", got)
 	}
 }
 
 // The time that a model takes to read is what grows with the prompt, however long
 // the queue is meanwhile.
-func TestReadingTime(t *testing.T) {
+func TestPrefillTimeEstimate(t *testing.T) {
 	p := &Pressure{}
 	now := time.Unix(100, 0)
-	if got := p.reading("s", "m", 1000); got != 0 {
+	if got := p.prefillTime("s", "m", 1000); got != 0 {
 		t.Errorf("an unknown model reads in %v", got)
 	}
 	for i := range 300 {
 		prompt := 1000 * (1 + i%7)
 		queue := time.Duration(i%5) * 200 * time.Millisecond
-		p.begin("s", "m", prompt, now)(now.Add(queue+time.Duration(prompt)*50*time.Microsecond), true)
+		p.awaitHead("s", "m", prompt, now)(now.Add(queue+time.Duration(prompt)*50*time.Microsecond), true)
 	}
-	if got := p.reading("s", "m", 10000); got < 350*time.Millisecond || got > 650*time.Millisecond {
+	if got := p.prefillTime("s", "m", 10000); got < 350*time.Millisecond || got > 650*time.Millisecond {
 		t.Errorf("10,000 tokens are read in %v, want about 500 ms", got)
 	}
 }
 
 // What several entries can't reach is avoided by all, but for a few that try,
 // until it answers one of them.
-func TestOthersDoubts(t *testing.T) {
+func TestTargetSuspectedByFleetIsAvoided(t *testing.T) {
 	now := time.Unix(100, 0)
-	word := &persimmoncross.Load{}
+	load := &persimmoncross.Load{}
 	tests := []struct {
-		what    string
+		name    string
 		load    FleetLoad
-		later   time.Duration
+		elapsed time.Duration
 		chance  float64
 		avoided bool
 	}{
 		{
-			what: "one entry doubts it: it may be cut off by itself",
+			name: "one entry doubts it: it may be cut off by itself",
 			load: FleetLoad{
 				Doubters: 1,
 			},
 			chance: 0.9,
 		},
 		{
-			what: "two do",
+			name: "two do",
 			load: FleetLoad{
 				Doubters: 2,
 			},
@@ -157,121 +157,121 @@
 			avoided: true,
 		},
 		{
-			what: "a few requests try",
+			name: "a few requests try",
 			load: FleetLoad{
 				Doubters: 2,
 			},
 			chance: 0.01,
 		},
 		{
-			what: "it has answered another entry",
+			name: "it has answered another entry",
 			load: FleetLoad{
 				Doubters: 2,
-				Told:     word,
+				Told:     load,
 				Age:      300 * time.Millisecond,
 			},
 			chance: 0.9,
 		},
 		{
-			what: "it answered before it was lost",
+			name: "it answered before it was lost",
 			load: FleetLoad{
 				Doubters: 2,
-				Told:     word,
+				Told:     load,
 				Age:      outlier.WordAge + time.Millisecond,
 			},
 			chance:  0.9,
 			avoided: true,
 		},
 		{
-			what: "the account is old",
+			name: "the account is old",
 			load: FleetLoad{
 				Doubters: 2,
 			},
-			later:  loadAge + time.Millisecond,
-			chance: 0.9,
+			elapsed: maxLoadAge + time.Millisecond,
+			chance:  0.9,
 		},
 	}
 	for _, tt := range tests {
-		u := targets(1)[0]
-		u.learn(tt.load, now.Add(-sharedAge))
-		if got := u.avoided(now.Add(tt.later), 74, tt.chance); got != tt.avoided {
-			t.Errorf("%s: avoided %v", tt.what, got)
+		u := newTargets(1)[0]
+		u.applyFleetLoad(tt.load, now.Add(-fleetLoadDelay))
+		if got := u.isAvoidedByFleet(now.Add(tt.elapsed), 74, tt.chance); got != tt.avoided {
+			t.Errorf("%s: avoided %v", tt.name, got)
 		}
 	}
 }
 
 // An entry tells of its doubt until the upstream answers, and not for ever.
-func TestOwnDoubts(t *testing.T) {
+func TestEntryPublishesSuspicion(t *testing.T) {
 	now := time.Unix(100, 0)
-	u := targets(1)[0]
-	u.ran(true, now)
-	if u.report(now).Doubted {
+	u := newTargets(1)[0]
+	u.recordResult(true, now)
+	if u.collectLoad(now).Doubted {
 		t.Error("one failure is a doubt")
 	}
-	u.doubt(now)
-	if !u.report(now.Add(2*outlier.SuspectFirst)).Doubted || u.report(now.Add(outlier.DoubtKept+time.Millisecond)).Doubted {
+	u.markSuspected(now)
+	if !u.collectLoad(now.Add(2*outlier.SuspectFirst)).Doubted || u.collectLoad(now.Add(outlier.DoubtKept+time.Millisecond)).Doubted {
 		t.Error("a doubt is told for as long as nothing is known, within its bound")
 	}
-	u.trust()
-	if u.report(now).Doubted {
+	u.clearSuspicion()
+	if u.collectLoad(now).Doubted {
 		t.Error("an upstream that answered is doubted")
 	}
-	u.misdirected(now)
-	if !u.report(now).Doubted {
+	u.recordMisdirected(now)
+	if !u.collectLoad(now).Doubted {
 		t.Error("an address that another upstream has is not told")
 	}
 }
 
 // An answer to another entry shows that an upstream is only busy.
-func TestHeardByOthers(t *testing.T) {
+func TestReceivedByOtherEntries(t *testing.T) {
 	now := time.Unix(100, 0)
-	u := targets(1)[0]
-	u.learn(FleetLoad{
+	u := newTargets(1)[0]
+	u.applyFleetLoad(FleetLoad{
 		Heard:   true,
 		Silence: 200 * time.Millisecond,
 	}, now)
-	if u.heardSince(now.Add(-100*time.Millisecond)) || !u.heardSince(now.Add(-300*time.Millisecond)) {
+	if u.receivedSince(now.Add(-100*time.Millisecond)) || !u.receivedSince(now.Add(-300*time.Millisecond)) {
 		t.Error("the age of what others heard does not count")
 	}
-	u.hear(u.origin.Add(time.Second))
-	l := u.report(u.origin.Add(1100 * time.Millisecond))
+	u.recordReceived(u.clockOrigin.Add(time.Second))
+	l := u.collectLoad(u.clockOrigin.Add(1100 * time.Millisecond))
 	if !l.Heard || l.Silence != 100*time.Millisecond {
 		t.Errorf("the account is %+v", l)
 	}
-	if l := u.report(u.origin.Add(1200 * time.Millisecond)); l.Heard {
+	if l := u.collectLoad(u.clockOrigin.Add(1200 * time.Millisecond)); l.Heard {
 		t.Error("one sign of life is told twice")
 	}
 }
 
 // What does not go to its home copies the shared parts from there; at home
 // nothing is to be copied, nor where the home begins answers late.
-func TestSpilledPromptsCopy(t *testing.T) {
+func TestSpilledPromptHasPrefixSource(t *testing.T) {
 	now := time.Unix(100, 0)
-	all := targets(4)
-	home, from := place(all, prompted("part", 0), now, sound)
+	all := newTargets(4)
+	home, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if from != nil {
 		t.Errorf("at its home a prompt copies from %s", from.Incarnation)
 	}
-	home.learn(FleetLoad{
+	home.applyFleetLoad(FleetLoad{
 		Work: time.Second,
 	}, now)
-	spilled, from := place(all, prompted("part", 0), now, sound)
+	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if spilled == home || from != home {
 		t.Errorf("a spilled prompt copies from %v, want its home", from)
 	}
-	home.ask(now, 0)
-	if _, from = place(all, prompted("part", 0), now.Add(loadAge+time.Second), sound); from == home {
+	home.awaitHead(now, 0)
+	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkCost); from == home {
 		t.Error("a home that has not begun an answer for 3 s is to send its copy")
 	}
-	if _, from = place(all, prompted("", 0), now, sound); from != nil {
+	if _, from = placeRequest(all, newPrompt("", 0), now, noLinkCost); from != nil {
 		t.Error("a request without a prompt copies one")
 	}
 }
 
 // The attempt carries the address to copy from, and only where there is one.
-func TestAttemptsNameTheCopy(t *testing.T) {
+func TestAttemptCarriesPrefixSource(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		e := newEnv(whole("x"))
+		e := newTestEnv(okResponse("x"))
 		e.view.Catalog.Routes[1].Sticky = true
 		prompt := []persimmoncross.Part{
 			{
@@ -283,12 +283,12 @@
 				Tokens: 10,
 			},
 		}
-		home := placed(e.targets, "\x00shared", 0, e.clock.Now())
+		home := placeByPrefix(e.targets, "\x00shared", 0, e.clock.Now())
 		if busy {
-			home.ask(time.Now(), 10*time.Second)
+			home.awaitHead(time.Now(), 10*time.Second)
 		}
 		e.serve(t, "safe", func(p *persimmoncross.Passage) { p.Prompt = prompt })
-		a := e.forward.attempts[0]
+		a := e.forwarder.attempts[0]
 		if got := a.Upstream.Incarnation == home.Incarnation; got == busy {
 			t.Errorf("busy %v: at home %v", busy, got)
 		}
--- a/core/coordination/relay/hold.go
+++ b/core/coordination/relay/hold.go
@@ -8,128 +8,128 @@
 	"persimmoncross/core/coordination/quarantine"
 )
 
-// reservedPart is the part of the upstreams that requests under suspicion may take for
+// maxReservedFraction is the part of the upstreams that requests under suspicion may take for
 // themselves at most: with more of them they run among the others.
-const reservedPart = 0.25
+const maxReservedFraction = 0.25
 
 // Reserve returns the lives of the upstreams at which requests under suspicion run,
 // by the list.
-func Reserve(holds map[persimmoncross.Digest]persimmoncross.Hold, targets map[string][]*Target) map[string]bool {
+func Reserve(quarantines map[persimmoncross.Digest]persimmoncross.Hold, targets map[string][]*Target) map[string]bool {
 	reserved := map[string]bool{}
-	for _, h := range holds {
+	for _, h := range quarantines {
 		if !h.Apart() {
 			continue
 		}
-		if u := home(h.Digest, targets[h.Service]); u != nil {
+		if u := isolationTarget(h.Digest, targets[h.Service]); u != nil {
 			reserved[u.Life()] = true
 		}
 	}
 	return reserved
 }
 
-// home returns the upstream for a request under suspicion, nil if there is none.
-func home(d persimmoncross.Digest, targets []*Target) *Target {
+// isolationTarget returns the upstream for a request under suspicion, nil if there is none.
+func isolationTarget(digest persimmoncross.Digest, targets []*Target) *Target {
 	names := make([]string, len(targets))
 	for i, u := range targets {
 		names[i] = u.Incarnation
 	}
-	if at := quarantine.Home(d, names); at >= 0 {
-		return targets[at]
+	if index := quarantine.Home(digest, names); index >= 0 {
+		return targets[index]
 	}
 	return nil
 }
 
-// hold returns what is done with the passage's request.
-func (t *trip) hold() persimmoncross.HoldStage {
-	tried := t.copy.Trial()
-	stage := t.copy.Stage(t.relay.View().Holds[t.copy.Digest], t.runs > 0)
-	if !tried && t.copy.Trial() {
-		t.relay.count("quarantine.tried")
+// quarantineStage returns what is done with the passage's request.
+func (c *call) quarantineStage() persimmoncross.HoldStage {
+	wasTrial := c.quarantineCopy.Trial()
+	stage := c.quarantineCopy.Stage(c.relay.View().Holds[c.quarantineCopy.Digest], c.executions > 0)
+	if !wasTrial && c.quarantineCopy.Trial() {
+		c.relay.incrementCounter("quarantine.tried")
 	}
 	return stage
 }
 
-// alone returns the one upstream at which a request under suspicion runs, nil if
+// pickIsolated returns the one upstream at which a request under suspicion runs, nil if
 // that can't be reached. Another one is not taken: where upstreams end faster than
 // they start, the few that are up would get all suspects, and each of their ends
 // would have all of them for a cause.
-func (t *trip) alone() *Target {
-	t.relay.count("quarantine.watched")
-	t.relay.Book.Asked(t.copy.Digest, t.service, t.relay.Clock.Now())
-	var list, others []*Target
-	for _, u := range t.targets() {
+func (c *call) pickIsolated() *Target {
+	c.relay.incrementCounter("quarantine.watched")
+	c.relay.Book.Asked(c.quarantineCopy.Digest, c.service, c.relay.Clock.Now())
+	var matching, others []*Target
+	for _, u := range c.eligibleTargets() {
 		switch {
-		case u.Leaves(t.relay.Clock.Now()):
-		case t.group.holds(u):
-			list = append(list, u)
-		case !t.group.strict:
+		case u.Leaves(c.relay.Clock.Now()):
+		case c.versionFilter.matches(u):
+			matching = append(matching, u)
+		case !c.versionFilter.strict:
 			others = append(others, u)
 		}
 	}
-	if len(list) == 0 {
-		list = others
+	if len(matching) == 0 {
+		matching = others
 	}
-	u := home(t.copy.Digest, list)
-	if u == nil || t.tried[u.Incarnation] || !u.take(t.relay.Clock.Now()) {
+	u := isolationTarget(c.quarantineCopy.Digest, matching)
+	if u == nil || c.triedIncarnations[u.Incarnation] || !u.acquire(c.relay.Clock.Now()) {
 		return nil
 	}
 	return u
 }
 
-// spare leaves out the upstreams that requests under suspicion have for themselves:
+// excludeReserved leaves out the upstreams that requests under suspicion have for themselves:
 // the next end there is to cut few.
-func (t *trip) spare(candidates []*Target) []*Target {
-	v := t.relay.View()
+func (c *call) excludeReserved(candidates []*Target) []*Target {
+	v := c.relay.View()
 	if len(v.Reserved) == 0 || len(candidates) == 0 {
 		return candidates
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(u *Target) bool { return v.Reserved[u.Life()] })
-	if float64(len(free)) < (1-reservedPart)*float64(len(candidates)) {
+	if float64(len(free)) < (1-maxReservedFraction)*float64(len(candidates)) {
 		return candidates
 	}
 	return free
 }
 
-// quarantined refuses a request that ends upstreams. One that has run before it was
+// refuseQuarantined refuses a request that ends upstreams. One that has run before it was
 // known is not said not to have.
-func (t *trip) quarantined(ctx context.Context) *persimmoncross.Refusal {
-	r := t.relay
-	r.Book.Asked(t.copy.Digest, t.service, r.Clock.Now())
-	r.count("quarantine.refused")
-	if t.runs > 0 || t.started {
-		return t.giveUp(ctx, "quarantine")
+func (c *call) refuseQuarantined(ctx context.Context) *persimmoncross.Refusal {
+	r := c.relay
+	r.Book.Asked(c.quarantineCopy.Digest, c.service, r.Clock.Now())
+	r.incrementCounter("quarantine.refused")
+	if c.executions > 0 || c.headSent {
+		return c.giveUp(ctx, "quarantine")
 	}
-	t.line().Str("route", t.route.Name).Int("sends", t.sends).Msg("refused: upstreams end under this request")
+	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: upstreams end under this request")
 	return persimmoncross.Refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").After(quarantine.RefusedFor)
 }
 
-// turnedAway refuses a copy of a request under suspicion whose upstream takes none now. It
+// refuseIsolated refuses a copy of a request under suspicion whose upstream takes none now. It
 // will be another one soon.
-func (t *trip) turnedAway(ctx context.Context) *persimmoncross.Refusal {
-	t.relay.count("quarantine.turned-away")
-	if t.runs > 0 || t.started {
-		return t.giveUp(ctx, "quarantine")
+func (c *call) refuseIsolated(ctx context.Context) *persimmoncross.Refusal {
+	c.relay.incrementCounter("quarantine.turned-away")
+	if c.executions > 0 || c.headSent {
+		return c.giveUp(ctx, "quarantine")
 	}
-	t.line().Str("route", t.route.Name).Int("sends", t.sends).Msg("refused: the upstream for this request takes none now")
-	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").After(t.comeBack(0))
+	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: the upstream for this request takes none now")
+	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").After(c.retryAfter(0))
 }
 
-// cut tells the book that an answer broke off, or never began, with its connection,
+// recordCut tells the book that an answer broke off, or never began, with its connection,
 // and lets it be found out whether the upstream has ended.
-func (t *trip) cut(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
-	r := t.relay
-	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.Cut || !t.record.Cut(r.Clock.Now()) {
+func (c *call) recordCut(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
+	r := c.relay
+	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.Cut || !c.quarantineRun.Cut(r.Clock.Now()) {
 		return
 	}
-	r.count("quarantine.probed")
-	record, u := t.record, target.Upstream
+	r.incrementCounter("quarantine.probed")
+	run, upstream := c.quarantineRun, target.Upstream
 	go func() {
-		blamed, gone := record.Look(ctx, r.Prober, u.Address, r.Clock)
+		blamed, gone := run.Look(ctx, r.Prober, upstream.Address, r.Clock)
 		if !gone {
-			r.count("quarantine.lived")
+			r.incrementCounter("quarantine.lived")
 			return
 		}
-		r.count("quarantine.ended")
-		r.Log.Info().Str("upstream", u.Incarnation).Str("address", u.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
+		r.incrementCounter("quarantine.ended")
+		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
 	}()
 }
--- a/core/coordination/relay/hold_test.go
+++ b/core/coordination/relay/hold_test.go
@@ -11,16 +11,16 @@
 	"persimmoncross/core/coordination/quarantine"
 )
 
-// prober tells of all upstreams the same.
-type prober bool
+// fakeProber tells of all upstreams the same.
+type fakeProber bool
 
-func (p prober) Gone(context.Context, netip.AddrPort) bool { return bool(p) }
+func (f fakeProber) Gone(context.Context, netip.AddrPort) bool { return bool(f) }
 
-// held puts a hold on what serve sends on the route.
-func (e *env) held(route string, h persimmoncross.Hold) persimmoncross.Digest {
+// addQuarantine puts a hold on what serve sends on the route.
+func (e *testEnv) addQuarantine(route string, h persimmoncross.Hold) persimmoncross.Digest {
 	d := quarantine.DigestOf("o", http.MethodPost, "h", "/"+route+"/x", [32]byte{})
 	h.Digest = d
-	h.Service = service
+	h.Service = testService
 	e.view.Holds = map[persimmoncross.Digest]persimmoncross.Hold{
 		d: h,
 	}
@@ -28,25 +28,25 @@
 	return d
 }
 
-// cutOff is an attempt whose connection ended.
-func cutOff() *answer {
-	a := lost(persimmoncross.Unknown)
+// cutResponse is an attempt whose connection ended.
+func cutResponse() *fakeResponse {
+	a := lostResponse(persimmoncross.Unknown)
 	a.err.Cut = true
 	return a
 }
 
 // What is refused gets its answer at once, and a true one: not run, and not to come
 // back soon.
-func TestRefusedForWhatItDoes(t *testing.T) {
-	e := newEnv(whole("x"))
-	e.held("safe", persimmoncross.Hold{
+func TestQuarantinedRequestIsRefused(t *testing.T) {
+	e := newTestEnv(okResponse("x"))
+	e.addQuarantine("safe", persimmoncross.Hold{
 		Stage: persimmoncross.HoldRefuse,
 	})
 	refusal := e.serve(t, "safe", nil)
 	if refusal == nil || refusal.Code != persimmoncross.CodeQuarantined || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter < quarantine.RefusedFor {
 		t.Errorf("%+v", refusal)
 	}
-	if len(e.forward.attempts) != 0 {
+	if len(e.forwarder.attempts) != 0 {
 		t.Error("it was sent on")
 	}
 	if refusal := e.serve(t, "safe", func(p *persimmoncross.Passage) { p.Content[0] = 1 }); refusal != nil {
@@ -55,34 +55,34 @@
 }
 
 // A request that has run when it is found out is not said not to have.
-func TestFoundOutWhileItRuns(t *testing.T) {
-	e := newEnv()
-	first := cutOff()
-	first.then = func() {
-		e.held("safe", persimmoncross.Hold{
+func TestQuarantineDuringExecution(t *testing.T) {
+	e := newTestEnv()
+	first := cutResponse()
+	first.onAttempt = func() {
+		e.addQuarantine("safe", persimmoncross.Hold{
 			Stage: persimmoncross.HoldRefuse,
 		})
 	}
-	e.forward.answers = []*answer{first, whole("x")}
+	e.forwarder.responses = []*fakeResponse{first, okResponse("x")}
 	refusal := e.serve(t, "safe", nil)
 	if refusal == nil || refusal.Run == persimmoncross.NotRun || refusal.Status() != http.StatusBadGateway {
 		t.Errorf("%+v", refusal)
 	}
-	if n := len(e.forward.attempts); n != 1 {
+	if n := len(e.forwarder.attempts); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
 // Under suspicion it runs at one upstream, and nothing else does there; where that
 // one is down it goes nowhere else, and is not said to have run.
-func TestUnderSuspicion(t *testing.T) {
-	e := newEnv()
-	d := e.held("safe", persimmoncross.Hold{
+func TestSuspectRequestIsIsolated(t *testing.T) {
+	e := newTestEnv()
+	d := e.addQuarantine("safe", persimmoncross.Hold{
 		Stage: persimmoncross.HoldWatch,
 	})
-	own := home(d, e.targets).Incarnation
+	isolated := isolationTarget(d, e.targets).Incarnation
 	for range 40 {
-		e.forward.answers = append(e.forward.answers, whole("x"))
+		e.forwarder.responses = append(e.forwarder.responses, okResponse("x"))
 	}
 	for i := range 40 {
 		suspect := i%2 == 0
@@ -94,25 +94,25 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		if at := e.forward.attempts[i].Upstream.Incarnation; (at == own) != suspect {
-			t.Fatalf("suspect %v at %s, its own is %s", suspect, at, own)
+		if at := e.forwarder.attempts[i].Upstream.Incarnation; (at == isolated) != suspect {
+			t.Fatalf("suspect %v at %s, its own is %s", suspect, at, isolated)
 		}
-		e.caller.head = nil
+		e.sink.head = nil
 	}
 	refusal := e.serve(t, "safe", nil) // the stand-in has no more answers: nobody there
 	if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.RetryAfter > 5*time.Second {
 		t.Errorf("%+v", refusal)
 	}
-	if n := len(e.forward.attempts); n != 41 {
+	if n := len(e.forwarder.attempts); n != 41 {
 		t.Errorf("%d attempts, want one more", n)
 	}
 }
 
 // A trial runs once, at the VM that is to make it; what it shows is told.
-func TestTrial(t *testing.T) {
-	e := newEnv(whole("x"), whole("y"))
+func TestQuarantineTrialRunsOnce(t *testing.T) {
+	e := newTestEnv(okResponse("x"), okResponse("y"))
 	e.relay.Book.VM = "vm"
-	e.held("safe", persimmoncross.Hold{
+	e.addQuarantine("safe", persimmoncross.Hold{
 		Stage: persimmoncross.HoldRefuse,
 		Trial: "another",
 		Try:   1,
@@ -120,7 +120,7 @@
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
 		t.Fatal("the trial of another VM ran here")
 	}
-	d := e.held("safe", persimmoncross.Hold{
+	digest := e.addQuarantine("safe", persimmoncross.Hold{
 		Stage: persimmoncross.HoldRefuse,
 		Trial: "vm",
 		Try:   1,
@@ -132,16 +132,16 @@
 		t.Error("a second copy ran")
 	}
 	cases, _ := e.relay.Book.Cases(0, e.clock.Now())
-	if len(cases) != 1 || cases[0].Digest != d || cases[0].Cleared.IsZero() {
+	if len(cases) != 1 || cases[0].Digest != digest || cases[0].Cleared.IsZero() {
 		t.Errorf("%+v", cases)
 	}
 }
 
 // An answer that breaks off counts as an end only where nothing listens any more.
-func TestCutCountsWhereTheUpstreamIsGone(t *testing.T) {
+func TestCutCountsOnlyIfUpstreamIsGone(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		e := newEnv(cutOff(), whole("x"))
-		e.relay.Prober = prober(gone)
+		e := newTestEnv(cutResponse(), okResponse("x"))
+		e.relay.Prober = fakeProber(gone)
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
 			t.Fatal(refusal)
 		}
--- a/core/coordination/relay/homes_test.go
+++ b/core/coordination/relay/homes_test.go
@@ -11,11 +11,11 @@
 // Requests run in their home regions only: first attempts, retries, streams that go on,
 // copies of shared parts, and those under suspicion. Where route and organisation have
 // homes, both bind; without an upstream there callers are told at once.
-func TestHomes(t *testing.T) {
+func TestDataResidency(t *testing.T) {
 	for _, tt := range []struct {
-		what          string
-		route, holder []string
-		allowed       string // upstreams
+		name                              string
+		routeRegions, organisationRegions []string
+		allowed                           string // upstreams
 	}{
 		{"none", nil, nil, "u1 u2 u3 u4"},
 		{"the route's", []string{"north"}, nil, "u1 u2"},
@@ -25,11 +25,11 @@
 		{"a region without upstreams", []string{"west"}, nil, ""},
 	} {
 		for _, route := range []string{"once", "safe", "stream"} {
-			var answers []*answer
+			var responses []*fakeResponse
 			for range 60 {
-				answers = append(answers, rejection(), lost(persimmoncross.Unknown), whole("x"))
+				responses = append(responses, rejectedResponse(), lostResponse(persimmoncross.Unknown), okResponse("x"))
 			}
-			e := newEnv(answers...)
+			e := newTestEnv(responses...)
 			e.relay.Regions = map[string]string{"a": "north", "b": "south"}
 			pool := &Pool{
 				Clock: e.clock,
@@ -41,10 +41,10 @@
 			}
 			e.view.Targets = pool.Update(list)
 			for _, r := range e.view.Catalog.Routes {
-				r.Homes = tt.route
+				r.Homes = tt.routeRegions
 				r.Sticky = true
 			}
-			e.view.Catalog.Organisations[0].Homes = tt.holder
+			e.view.Catalog.Organisations[0].Homes = tt.organisationRegions
 			allowed := map[string]bool{}
 			for _, id := range []string{"u1", "u2", "u3", "u4"} {
 				allowed[id] = len(tt.allowed) > 0 && strings.Contains(tt.allowed, id)
@@ -55,16 +55,16 @@
 					p.Prompt = []persimmoncross.Part{{ID: fmt.Sprint("x", i%3), Tokens: 5000}, {ID: fmt.Sprint("own", i), Tokens: 10}}
 				})
 				if tt.allowed == "" && (refusal == nil || refusal.Run != persimmoncross.NotRun) {
-					t.Errorf("%s, %s: %v", tt.what, route, refusal)
+					t.Errorf("%s, %s: %v", tt.name, route, refusal)
 				}
 			}
-			for _, a := range e.forward.attempts {
+			for _, a := range e.forwarder.attempts {
 				if !allowed[a.Upstream.Incarnation] {
-					t.Fatalf("%s, %s: sent to %s", tt.what, route, a.Upstream.Incarnation)
+					t.Fatalf("%s, %s: sent to %s", tt.name, route, a.Upstream.Incarnation)
 				}
 			}
-			if tt.allowed != "" && len(e.forward.attempts) < 20 {
-				t.Errorf("%s, %s: only %d attempts", tt.what, route, len(e.forward.attempts))
+			if tt.allowed != "" && len(e.forwarder.attempts) < 20 {
+				t.Errorf("%s, %s: only %d attempts", tt.name, route, len(e.forwarder.attempts))
 			}
 		}
 	}
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -11,61 +11,61 @@
 	"persimmoncross/core/coordination/placement"
 )
 
-// turnPause is before upstreams that rejected are asked again.
-const turnPause = 40 * time.Millisecond
+// retryRoundDelay is before upstreams that rejected are asked again.
+const retryRoundDelay = 40 * time.Millisecond
 
-// pick returns the upstream for the next attempt, nil if there is none.
-func (t *trip) pick(stage persimmoncross.HoldStage) *Target {
-	t.copyFrom = netip.AddrPort{}
+// pickTarget returns the upstream for the next attempt, nil if there is none.
+func (c *call) pickTarget(stage persimmoncross.HoldStage) *Target {
+	c.prefixSource = netip.AddrPort{}
 	if stage == persimmoncross.HoldWatch {
-		return t.alone()
+		return c.pickIsolated()
 	}
-	all := t.targets()
+	eligible := c.eligibleTargets()
 	for {
-		candidates := t.candidates(all, t.group.holds)
-		if len(candidates) == 0 && !t.group.strict {
-			candidates = t.candidates(all, func(*Target) bool { return true })
+		candidates := c.candidateTargets(eligible, c.versionFilter.matches)
+		if len(candidates) == 0 && !c.versionFilter.strict {
+			candidates = c.candidateTargets(eligible, func(*Target) bool { return true })
 		}
 		if len(candidates) == 0 {
 			return nil
 		}
-		now := t.relay.Clock.Now()
-		target, from := place(candidates, t.prompt(), now, func(u *Target) time.Duration { return t.linkCost(u, now) })
-		if !target.take(now) {
+		now := c.relay.Clock.Now()
+		target, source := placeRequest(candidates, c.placementPrompt(), now, func(u *Target) time.Duration { return c.linkCost(u, now) })
+		if !target.acquire(now) {
 			continue // a concurrent request took the slot, or set a backoff
 		}
-		t.outlook = target.candidate(now).Outlook()
-		if from != nil {
-			t.copyFrom = from.Address
+		c.expectedWait = target.placementCandidate(now).Outlook()
+		if source != nil {
+			c.prefixSource = source.Address
 		}
 		return target
 	}
 }
 
-// targets returns the service's upstreams that may run the passage at all.
-func (t *trip) targets() []*Target {
-	all := t.relay.View().Targets[t.service]
-	if len(t.homes.route)+len(t.homes.holder) == 0 {
+// eligibleTargets returns the service's upstreams that may run the passage at all.
+func (c *call) eligibleTargets() []*Target {
+	all := c.relay.View().Targets[c.service]
+	if len(c.residency.routeRegions)+len(c.residency.organisationRegions) == 0 {
 		return all
 	}
-	return slices.DeleteFunc(slices.Clone(all), func(u *Target) bool { return !t.homes.hold(u.DataCentre) })
+	return slices.DeleteFunc(slices.Clone(all), func(u *Target) bool { return !c.residency.allows(u.DataCentre) })
 }
 
-// prompt returns what placing needs to know of the passage's prompt.
-func (t *trip) prompt() placement.Prompt {
+// placementPrompt returns what placing needs to know of the passage's placementPrompt.
+func (c *call) placementPrompt() placement.Prompt {
 	p := placement.Prompt{
-		Reread: t.relay.Pressure.reading(t.service, t.modelName(), t.passage.SharedTokens()),
+		Reread: c.relay.Pressure.prefillTime(c.service, c.modelName(), c.passage.SharedTokens()),
 	}
-	if t.route.Sticky {
-		p.Home = homeOf(t.passage, t.modelName())
+	if c.route.Sticky {
+		p.Home = prefixKey(c.passage, c.modelName())
 	}
 	return p
 }
 
-// homeOf returns the key by which a prompt finds the upstreams that hold its
+// prefixKey returns the key by which a prompt finds the upstreams that hold its
 // shared parts: the last part is the request's own, the one before it is the
 // deepest that others share.
-func homeOf(p *persimmoncross.Passage, model string) string {
+func prefixKey(p *persimmoncross.Passage, model string) string {
 	n := len(p.Prompt)
 	if n == 0 {
 		return ""
@@ -74,65 +74,65 @@
 }
 
 // linkCost returns what the link to the target is expected to cost the answer.
-func (t *trip) linkCost(target *Target, now time.Time) time.Duration {
+func (c *call) linkCost(target *Target, now time.Time) time.Duration {
 	tokens := 0
-	if t.route.Stream {
-		tokens = t.passage.OutputTokens
+	if c.route.Stream {
+		tokens = c.passage.OutputTokens
 	}
-	return t.relay.linkCost(target.DataCentre, tokens, now)
+	return c.relay.linkCost(target.DataCentre, tokens, now)
 }
 
-// place picks one of the targets, which are not empty, and the one to copy the
+// placeRequest picks one of the targets, which are not empty, and the one to copy the
 // prompt's shared parts from, nil if none is.
-func place(targets []*Target, p placement.Prompt, now time.Time, link func(*Target) time.Duration) (target, copyFrom *Target) {
+func placeRequest(targets []*Target, p placement.Prompt, now time.Time, linkCost func(*Target) time.Duration) (target, source *Target) {
 	candidates := make([]placement.Candidate, len(targets))
 	for i, u := range targets {
-		candidates[i] = u.candidate(now)
-		candidates[i].Link = link(u)
+		candidates[i] = u.placementCandidate(now)
+		candidates[i].Link = linkCost(u)
 	}
-	at, from := placement.Place(candidates, p, rand.Uint64())
-	if from != placement.None {
-		copyFrom = targets[from]
+	targetIndex, sourceIndex := placement.Place(candidates, p, rand.Uint64())
+	if sourceIndex != placement.None {
+		source = targets[sourceIndex]
 	}
-	return targets[at], copyFrom
+	return targets[targetIndex], source
 }
 
-func (t *trip) candidates(all []*Target, holds func(*Target) bool) []*Target {
-	now := t.relay.Clock.Now()
-	entries := t.relay.View().Entries
+func (c *call) candidateTargets(eligible []*Target, matches func(*Target) bool) []*Target {
+	now := c.relay.Clock.Now()
+	entryCount := c.relay.View().Entries
 	chance := rand.Float64()
-	var sound, open []*Target
-	for _, u := range all {
-		if u.Leaves(now) || t.tried[u.Incarnation] || !holds(u) || !u.Bears(now) {
+	var trusted, available []*Target
+	for _, u := range eligible {
+		if u.Leaves(now) || c.triedIncarnations[u.Incarnation] || !matches(u) || !u.Bears(now) {
 			continue
 		}
-		open = append(open, u)
-		if !u.suspected(now) && !u.avoided(now, entries, chance) {
-			sound = append(sound, u)
+		available = append(available, u)
+		if !u.isSuspected(now) && !u.isAvoidedByFleet(now, entryCount, chance) {
+			trusted = append(trusted, u)
 		}
 	}
-	if len(sound) > 0 {
-		return t.spare(sound)
+	if len(trusted) > 0 {
+		return c.excludeReserved(trusted)
 	}
-	return t.spare(open) // all are suspect: any is better than none
+	return c.excludeReserved(available) // all are suspect: any is better than none
 }
 
-// mayTurn waits a little where all upstreams rejected the request, or no list
+// awaitRetryRound waits a little where all upstreams rejected the request, or no list
 // of them is known yet, and lets them be asked again, while that can still be in
 // time.
-func (t *trip) mayTurn(ctx context.Context) bool {
-	r := t.relay
-	if len(t.tried) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(t.passage.Arrived) > startWait) {
+func (c *call) awaitRetryRound(ctx context.Context) bool {
+	r := c.relay
+	if len(c.triedIncarnations) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.passage.Arrived) > startupWaitTimeout) {
 		return false
 	}
-	if t.runs > 0 || t.sends >= maxSends || t.noneAvailable() {
+	if c.executions > 0 || c.attempts >= maxAttempts || c.noneAvailable() {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.Clock.After(turnPause):
+	case <-r.Clock.After(retryRoundDelay):
 	}
-	clear(t.tried)
+	clear(c.triedIncarnations)
 	return true
 }
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -15,58 +15,58 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// loadAge is how long an upstream's own word on its load is used. Past it only
+// maxLoadAge is how long an upstream's own word on its load is used. Past it only
 // this entry's own requests are counted.
-const loadAge = 2 * time.Second
+const maxLoadAge = 2 * time.Second
 
 // Of the estimate of how long a target takes to begin an answer: the weight of
 // one answer, and the time in which an estimate that is not renewed halves.
 const (
-	waitWeight = 0.3
-	waitFade   = 1500 * time.Millisecond
+	timeToHeadWeight   = 0.3
+	timeToHeadHalfLife = 1500 * time.Millisecond
 )
 
 // Target is one life of an upstream with what this entry knows of it.
 type Target struct {
 	persimmoncross.Upstream
-	*knowledge
+	*targetState
 }
 
-// knowledge is what an entry learns by itself. It outlives changes of the list.
-type knowledge struct {
-	inFlight atomic.Int64
-	flowing  atomic.Int64 // streams that have begun
-	origin   time.Time    // of heard: the time of day may jump
-	heard    atomic.Int64 // nanoseconds since origin at which bytes came last
-
-	mu   sync.Mutex // guards all below
-	told persimmoncross.Load
-	own  int64 // requests of this entry when told came
-	at   time.Time
-	// heardTold is heard when it was last passed on.
-	heardTold int64
-	news      bool  // told came from the upstream and was not passed on
-	all       fleet // what all entries know
-
-	wait   float64 // mean seconds to the head of an answer, lately
-	waitAt time.Time
-	asked  map[uint64]asking // heads that are awaited
-	next   uint64
-
-	breaker   outlier.Breaker
-	suspicion outlier.Suspicion
-	stranger  outlier.Stranger
-	pauses    outlier.Pauses
-	start     slowstart.Gate
-	limit     ratelimit.Limiter
-	backoff   ratelimit.Backoff
-	left      bool // an answer said that the upstream is leaving
+// targetState is what an entry learns by itself. It outlives changes of the list.
+type targetState struct {
+	inFlight      atomic.Int64
+	activeStreams atomic.Int64 // streams that have begun
+	clockOrigin   time.Time    // of heard: the time of day may jump
+	lastReceived  atomic.Int64 // nanoseconds since origin at which bytes came last
+
+	mu               sync.Mutex // guards all below
+	reportedLoad     persimmoncross.Load
+	inFlightAtReport int64 // requests of this entry when told came
+	reportedAt       time.Time
+	// lastReceivedPublished is heard when it was last passed on.
+	lastReceivedPublished int64
+	loadUnpublished       bool       // told came from the upstream and was not passed on
+	fleet                 fleetState // what all entries know
+
+	meanTimeToHead float64 // mean seconds to the head of an answer, lately
+	meanUpdatedAt  time.Time
+	pendingHeads   map[uint64]pendingHead // heads that are awaited
+	lastPendingID  uint64
+
+	breaker      outlier.Breaker
+	suspicion    outlier.Suspicion
+	addressReuse outlier.Stranger
+	pauses       outlier.Pauses
+	slowStart    slowstart.Gate
+	rateLimit    ratelimit.Limiter
+	backoff      ratelimit.Backoff
+	draining     bool // an answer said that the upstream is leaving
 }
 
-// asking is a request whose head is awaited.
-type asking struct {
-	at   time.Time
-	work time.Duration // that its prompt takes to be read
+// pendingHead is a request whose head is awaited.
+type pendingHead struct {
+	sentAt      time.Time
+	prefillTime time.Duration // that its prompt takes to be read
 }
 
 // Leaves reports whether the target gets no new work: the list or an answer says that it
@@ -77,69 +77,69 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.left || t.stranger.Holds(now)
+	return t.draining || t.addressReuse.Holds(now)
 }
 
-// leave stops new work to the target: its answers announce that it is leaving, which is
+// markDraining stops new work to the target: its answers announce that it is leaving, which is
 // final for a life. It reports whether that is new.
-func (t *Target) leave() (changed bool) {
+func (t *Target) markDraining() (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	changed = !t.left
-	t.left = true
+	changed = !t.draining
+	t.draining = true
 	return changed
 }
 
-// misdirected takes an answer by another upstream at the target's address.
-func (t *Target) misdirected(now time.Time) {
+// recordMisdirected takes an answer by another upstream at the target's address.
+func (t *Target) recordMisdirected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.Forget()
-	t.stranger.Found(now)
+	t.addressReuse.Found(now)
 }
 
-// note takes the load that an answer told.
-func (t *Target) note(l *persimmoncross.Load, now time.Time) {
-	if l == nil {
+// recordLoad takes the load that an answer told.
+func (t *Target) recordLoad(load *persimmoncross.Load, now time.Time) {
+	if load == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.told = *l
-	t.own = t.inFlight.Load()
-	t.at = now
-	t.news = true
+	t.reportedLoad = *load
+	t.inFlightAtReport = t.inFlight.Load()
+	t.reportedAt = now
+	t.loadUnpublished = true
 }
 
-// busy estimates the requests at the upstream: its own word, moved by what this
+// requestEstimate estimates the requests at the upstream: its own word, moved by what this
 // entry has sent and finished since.
-func (t *Target) busy(now time.Time) float64 {
-	own := t.inFlight.Load()
+func (t *Target) requestEstimate(now time.Time) float64 {
+	inFlight := t.inFlight.Load()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.at) > loadAge {
-		return float64(own)
+	if now.Sub(t.reportedAt) > maxLoadAge {
+		return float64(inFlight)
 	}
-	told := int64(t.told.Running + t.told.Waiting)
-	return float64(max(told+own-t.own, own))
+	reported := int64(t.reportedLoad.Running + t.reportedLoad.Waiting)
+	return float64(max(reported+inFlight-t.inFlightAtReport, inFlight))
 }
 
-// doubt prefers other targets for a while, each time longer.
-func (t *Target) doubt(now time.Time) {
+// markSuspected prefers other targets for a while, each time longer.
+func (t *Target) markSuspected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.suspicion.Doubt(now)
 }
 
-// begin notes that an attempt starts.
-func (t *Target) begin() {
+// recordAttempt notes that an attempt starts.
+func (t *Target) recordAttempt() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.Begin()
 }
 
-// ran takes the outcome of an attempt that may have run.
-func (t *Target) ran(failed bool, now time.Time) {
+// recordResult takes the outcome of an attempt that may have run.
+func (t *Target) recordResult(failed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.Note(failed, now)
@@ -148,38 +148,38 @@
 	}
 }
 
-// unreached takes an attempt that did not get there.
-func (t *Target) unreached(now time.Time) {
+// recordUnreachable takes an attempt that did not get there.
+func (t *Target) recordUnreachable(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.Note(true, now)
 	t.suspicion.Doubt(now)
 }
 
-// forget takes an attempt that tells nothing of the target.
-func (t *Target) forget() {
+// recordInconclusive takes an attempt that tells nothing of the target.
+func (t *Target) recordInconclusive() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.Forget()
 }
 
-// trust ends the suspicion: the target has answered.
-func (t *Target) trust() {
+// clearSuspicion ends the suspicion: the target has answered.
+func (t *Target) clearSuspicion() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.suspicion.Trust()
-	t.stranger.Gone()
+	t.addressReuse.Gone()
 }
 
-// suspected reports whether other targets are to be preferred.
-func (t *Target) suspected(now time.Time) bool {
+// isSuspected reports whether other targets are to be preferred.
+func (t *Target) isSuspected(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.breaker.Allows(now) || t.suspicion.Holds(now)
 }
 
-// pause notes the pause before an event of a stream.
-func (t *Target) pause(d time.Duration, now time.Time) {
+// recordPause notes the recordPause before an event of a stream.
+func (t *Target) recordPause(d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pauses.Take(d, now)
@@ -192,73 +192,73 @@
 	return t.pauses.Longest(now)
 }
 
-// hear notes that bytes came from the target.
-func (t *Target) hear(now time.Time) { t.heard.Store(int64(now.Sub(t.origin))) }
+// recordReceived notes that bytes came from the target.
+func (t *Target) recordReceived(now time.Time) { t.lastReceived.Store(int64(now.Sub(t.clockOrigin))) }
 
-// heardSince reports whether bytes came after the time, here or to another entry.
-func (t *Target) heardSince(began time.Time) bool {
-	if t.heard.Load() > int64(began.Sub(t.origin)) {
+// receivedSince reports whether bytes came after the time, here or to another entry.
+func (t *Target) receivedSince(start time.Time) bool {
+	if t.lastReceived.Load() > int64(start.Sub(t.clockOrigin)) {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.all.heard().After(began)
+	return t.fleet.receivedAt().After(start)
 }
 
-// ask notes that a head is awaited from the target, for a prompt that takes so
+// awaitHead notes that a head is awaited from the target, for a prompt that takes so
 // long to be read, and returns what ends it.
-func (t *Target) ask(now time.Time, work time.Duration) func(now time.Time, ok bool) {
+func (t *Target) awaitHead(now time.Time, prefillTime time.Duration) func(now time.Time, received bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.asked == nil {
-		t.asked = map[uint64]asking{}
+	if t.pendingHeads == nil {
+		t.pendingHeads = map[uint64]pendingHead{}
 	}
-	t.next++
-	id := t.next
-	t.asked[id] = asking{
-		at:   now,
-		work: work,
+	t.lastPendingID++
+	id := t.lastPendingID
+	t.pendingHeads[id] = pendingHead{
+		sentAt:      now,
+		prefillTime: prefillTime,
 	}
-	return func(now time.Time, ok bool) {
+	return func(now time.Time, received bool) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		took := now.Sub(t.asked[id].at).Seconds()
-		delete(t.asked, id)
-		if !ok && took < t.wait {
+		took := now.Sub(t.pendingHeads[id].sentAt).Seconds()
+		delete(t.pendingHeads, id)
+		if !received && took < t.meanTimeToHead {
 			return
 		}
-		t.wait += waitWeight * (took - t.wait)
-		t.waitAt = now
+		t.meanTimeToHead += timeToHeadWeight * (took - t.meanTimeToHead)
+		t.meanUpdatedAt = now
 	}
 }
 
-// head estimates how long the target takes to begin an answer now.
-func (t *Target) head(now time.Time) time.Duration {
+// timeToHead estimates how long the target takes to begin an answer now.
+func (t *Target) timeToHead(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	wait := t.wait * math.Exp2(-now.Sub(t.waitAt).Seconds()/waitFade.Seconds())
-	for _, a := range t.asked {
-		wait = max(wait, now.Sub(a.at).Seconds())
+	wait := t.meanTimeToHead * math.Exp2(-now.Sub(t.meanUpdatedAt).Seconds()/timeToHeadHalfLife.Seconds())
+	for _, a := range t.pendingHeads {
+		wait = max(wait, now.Sub(a.sentAt).Seconds())
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
-// candidate returns what placing needs to know of the target.
-func (t *Target) candidate(now time.Time) placement.Candidate {
+// placementCandidate returns what placing needs to know of the target.
+func (t *Target) placementCandidate(now time.Time) placement.Candidate {
 	return placement.Candidate{
 		ID:      t.Incarnation,
 		Slots:   t.Slots,
-		Weight:  t.weight(now),
-		Share:   t.share(now),
-		Crowd:   t.crowd(now),
-		Head:    t.head(now),
-		Reading: t.reading(now),
+		Weight:  t.entryWeight(now),
+		Share:   t.utilization(now),
+		Crowd:   t.fleetRequestEstimate(now),
+		Head:    t.timeToHead(now),
+		Reading: t.pendingPrefill(now),
 	}
 }
 
-// share is busy as a part of the slots.
-func (t *Target) share(now time.Time) float64 {
-	return t.busy(now) / float64(max(t.Slots, 1))
+// utilization is busy as a part of the slots.
+func (t *Target) utilization(now time.Time) float64 {
+	return t.requestEstimate(now) / float64(max(t.Slots, 1))
 }
 
 // Pool keeps the targets over changes of the list. The exported fields are set
@@ -273,75 +273,75 @@
 	// Limits are those that this entry or others have observed.
 	Limits *ratelimit.Store
 
-	mu      sync.Mutex // guards all below
-	byLife  map[string]*Target
-	colds   map[string]slowstart.Cold // that were told, and are not over
-	entries int                       // that share the upstreams; 0: not known yet
+	mu            sync.Mutex // guards all below
+	byInstanceID  map[string]*Target
+	coldInstances map[string]slowstart.Cold // that were told, and are not over
+	entryCount    int                       // that share the upstreams; 0: not known yet
 }
 
 // Update takes the list and returns the targets by service.
-func (p *Pool) Update(list []persimmoncross.Upstream) map[string][]*Target {
+func (p *Pool) Update(upstreams []persimmoncross.Upstream) map[string][]*Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.byLife
-	p.byLife = make(map[string]*Target, len(list))
+	old := p.byInstanceID
+	p.byInstanceID = make(map[string]*Target, len(upstreams))
 	services := map[string][]*Target{}
-	for _, u := range list {
-		life := u.Life()
-		t := p.target(old[life], u)
-		p.chillOne(t, u)
-		if old[life] == nil && p.Limits != nil {
-			t.setLimit(p.Limits.Rate(life), p.sharers(), p.Clock.Now())
+	for _, u := range upstreams {
+		instanceID := u.Life()
+		t := p.updateTarget(old[instanceID], u)
+		p.applyKnownCold(t, u)
+		if old[instanceID] == nil && p.Limits != nil {
+			t.setRateLimit(p.Limits.Rate(instanceID), p.entryCountOrDefault(), p.Clock.Now())
 		}
-		p.byLife[life] = t
+		p.byInstanceID[instanceID] = t
 		services[u.Service] = append(services[u.Service], t)
 	}
-	p.tellOf(old)
+	p.notifyRemovals(old)
 	return services
 }
 
-// tellOf tells of the lives that are over. The caller holds mu.
-func (p *Pool) tellOf(old map[string]*Target) {
+// notifyRemovals tells of the lives that are over. The caller holds mu.
+func (p *Pool) notifyRemovals(old map[string]*Target) {
 	byName := map[string]persimmoncross.Upstream{}
 	byAddress := map[netip.AddrPort]persimmoncross.Upstream{}
-	for life, t := range old {
-		if p.byLife[life] != nil {
+	for instanceID, t := range old {
+		if p.byInstanceID[instanceID] != nil {
 			continue
 		}
 		byName[t.Incarnation] = t.Upstream
 		byAddress[t.Address] = t.Upstream
 		if p.Gone != nil {
-			p.Gone(life)
+			p.Gone(instanceID)
 		}
 	}
-	for life, t := range p.byLife {
-		if old[life] != nil || p.Again == nil {
+	for instanceID, t := range p.byInstanceID {
+		if old[instanceID] != nil || p.Again == nil {
 			continue
 		}
-		was, ok := byName[t.Incarnation]
+		previous, ok := byName[t.Incarnation]
 		if !ok {
-			was, ok = byAddress[t.Address]
+			previous, ok = byAddress[t.Address]
 		}
 		if ok {
-			p.Again(was, t.Upstream)
+			p.Again(previous, t.Upstream)
 		}
 	}
 }
 
-// target keeps what is known of a life; its facts on the list may change.
-func (p *Pool) target(old *Target, u persimmoncross.Upstream) *Target {
+// updateTarget keeps what is known of a life; its facts on the list may change.
+func (p *Pool) updateTarget(old *Target, u persimmoncross.Upstream) *Target {
 	if old != nil && old.Leaving == u.Leaving && old.Version == u.Version && old.Slots == u.Slots && old.Service == u.Service &&
 		old.DataCentre == u.DataCentre && slices.Equal(old.Models, u.Models) {
 		return old
 	}
-	k := &knowledge{
-		origin: p.Clock.Now(),
+	state := &targetState{
+		clockOrigin: p.Clock.Now(),
 	}
 	if old != nil {
-		k = old.knowledge
+		state = old.targetState
 	}
 	return &Target{
-		Upstream:  u,
-		knowledge: k,
+		Upstream:    u,
+		targetState: state,
 	}
 }
--- a/core/coordination/relay/pressure.go
+++ b/core/coordination/relay/pressure.go
@@ -11,9 +11,9 @@
 // Pressure keeps, for each service and model, what this entry saw of the times in
 // which answers began, and of the model's opinions of them.
 type Pressure struct {
-	mu       sync.Mutex // guards all below
-	heads    map[modelKey]*forecast.Heads
-	opinions map[modelKey]*cascade.Opinions
+	mu            sync.Mutex // guards all below
+	headForecasts map[modelKey]*forecast.Heads
+	confidences   map[modelKey]*cascade.Opinions
 }
 
 type modelKey struct {
@@ -21,75 +21,75 @@
 	model   string
 }
 
-// of returns the model's times. The caller holds mu.
-func (p *Pressure) of(service, model string) *forecast.Heads {
+// headForecast returns the model's times. The caller holds mu.
+func (s *Pressure) headForecast(service, model string) *forecast.Heads {
 	k := modelKey{
 		service: service,
 		model:   model,
 	}
-	if p.heads == nil {
-		p.heads = map[modelKey]*forecast.Heads{}
+	if s.headForecasts == nil {
+		s.headForecasts = map[modelKey]*forecast.Heads{}
 	}
-	h := p.heads[k]
+	h := s.headForecasts[k]
 	if h == nil {
 		h = &forecast.Heads{}
-		p.heads[k] = h
+		s.headForecasts[k] = h
 	}
 	return h
 }
 
-// begin notes that a head is awaited, and returns what ends the wait; ok tells
+// awaitHead notes that a head is awaited, and returns what ends the wait; ok tells
 // whether the head came.
-func (p *Pressure) begin(service, model string, prompt int, now time.Time) func(now time.Time, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	h := p.of(service, model)
-	number := h.Await(prompt, now)
-	return func(now time.Time, ok bool) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		h.Came(number, ok, now)
+func (s *Pressure) awaitHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.headForecast(service, model)
+	id := h.Await(promptTokens, now)
+	return func(now time.Time, received bool) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		h.Came(id, received, now)
 	}
 }
 
-// reading estimates how long the model takes to read a prompt of so many tokens,
+// prefillTime estimates how long the model takes to read a prompt of so many tokens,
 // without what it waits for that; zero if nothing is known.
-func (p *Pressure) reading(service, model string, prompt int) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.of(service, model).Reading(prompt)
+func (s *Pressure) prefillTime(service, model string, promptTokens int) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.headForecast(service, model).Reading(promptTokens)
 }
 
-// estimate returns how long the model takes to begin an answer to a prompt of so
+// timeToHead returns how long the model takes to begin an answer to a prompt of so
 // many tokens now; zero if nothing is known.
-func (p *Pressure) estimate(service, model string, prompt int, now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.of(service, model).Begin(prompt, now)
+func (s *Pressure) timeToHead(service, model string, promptTokens int, now time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.headForecast(service, model).Begin(promptTokens, now)
 }
 
-// opinion notes whether an answer of the model was doubted.
-func (p *Pressure) opinion(service, model string, doubted bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// recordConfidence notes whether an answer of the model was doubted.
+func (s *Pressure) recordConfidence(service, model string, low bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	k := modelKey{
 		service: service,
 		model:   model,
 	}
-	if p.opinions == nil {
-		p.opinions = map[modelKey]*cascade.Opinions{}
+	if s.confidences == nil {
+		s.confidences = map[modelKey]*cascade.Opinions{}
 	}
-	if p.opinions[k] == nil {
-		p.opinions[k] = &cascade.Opinions{}
+	if s.confidences[k] == nil {
+		s.confidences[k] = &cascade.Opinions{}
 	}
-	p.opinions[k].Take(doubted)
+	s.confidences[k].Take(low)
 }
 
-// doubted returns the share of the model's answers lately that were doubted.
-func (p *Pressure) doubted(service, model string) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	o := p.opinions[modelKey{
+// lowConfidenceShare returns the share of the model's answers lately that were lowConfidenceShare.
+func (s *Pressure) lowConfidenceShare(service, model string) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	o := s.confidences[modelKey{
 		service: service,
 		model:   model,
 	}]
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -32,13 +32,13 @@
 	Reserved map[string]bool // lives of upstreams: see [Reserve]
 }
 
-// entriesIdle is how many entries are assumed while their number is not known.
-const entriesIdle = 8
+// defaultEntryCount is how many entries are assumed while their number is not known.
+const defaultEntryCount = 8
 
-// entries returns how many share what the operator and the upstreams allow.
-func (v *View) entries() int {
+// entryCountOrDefault returns how many share what the operator and the upstreams allow.
+func (v *View) entryCountOrDefault() int {
 	if v == nil || v.Entries == 0 {
-		return entriesIdle
+		return defaultEntryCount
 	}
 	return v.Entries
 }
@@ -56,12 +56,12 @@
 // Of the operator's bound on retries: what all entries together use of the share
 // and of the slack, so that the edges of a window stay within it.
 const (
-	retryPart = 0.95
-	slackPart = 0.7
+	retryRatioFactor   = 0.95
+	retryMinimumFactor = 0.7
 )
 
-// sampleSize is the number of values that a histogram keeps, 8 bytes each.
-const sampleSize = 500
+// histogramSampleSize is the number of values that a histogram keeps, 8 bytes each.
+const histogramSampleSize = 500
 
 // Relay serves passages. The exported fields are set before use.
 type Relay struct {
@@ -80,97 +80,97 @@
 	Metrics   metrics.Registry
 	Log       zerolog.Logger
 
-	mu      sync.Mutex // guards all below
-	budgets map[string]*retry.Window
-	links   outlier.Links
-	// troubles are those for which callers are refused, by service; the settings' is
+	mu           sync.Mutex // guards all below
+	retryBudgets map[string]*retry.Window
+	links        outlier.Links
+	// outages are those for which callers are refused, by service; the settings' is
 	// under "".
-	troubles map[string]*trouble
+	outages map[string]*outage
 }
 
-// trouble is a span in which callers were refused.
-type trouble struct {
-	since time.Time // the first of them arrived
-	last  time.Time // the latest was refused
+// outage is a span in which callers were refused.
+type outage struct {
+	start       time.Time // the first of them arrived
+	lastRefusal time.Time // the latest was refused
 }
 
-// troubleGap is the pause between refusals after which the next one is of a new
+// maxRefusalGap is the pause between refusals after which the next one is of a new
 // trouble: a service with few callers does not answer in between.
-const troubleGap = 5 * time.Second
+const maxRefusalGap = 5 * time.Second
 
-// A request that comes before the settings waits startWait for them: an election
+// A request that comes before the settings waits startupWaitTimeout for them: an election
 // and the way from a controller take about half of it.
 const (
-	startWait = 1200 * time.Millisecond
-	startPoll = 25 * time.Millisecond
+	startupWaitTimeout  = 1200 * time.Millisecond
+	startupPollInterval = 25 * time.Millisecond
 )
 
 // Serve answers the passage through the sink. It returns why there is no whole
 // answer; then the sink has got nothing, or an answer that must be cut off.
 func (r *Relay) Serve(ctx context.Context, p *persimmoncross.Passage, sink persimmoncross.PassageSink) *persimmoncross.Refusal {
-	r.count("passages")
+	r.incrementCounter("passages")
 	v := r.awaitView(ctx)
 	if v == nil || v.Catalog == nil {
-		back := retry.ComeBack{
-			Lasted: r.lasted("", p.Arrived),
+		retryAfter := retry.ComeBack{
+			Lasted: r.recordRefusal("", p.Arrived),
 			Left:   p.Deadline.Sub(r.Clock.Now()),
 		}
-		return persimmoncross.Refuse(persimmoncross.CodeNoLease, "this VM has no settings yet").After(back.After(rand.Float64()))
+		return persimmoncross.Refuse(persimmoncross.CodeNoLease, "this VM has no settings yet").After(retryAfter.After(rand.Float64()))
 	}
 	route := v.Catalog.Route(p.Host, p.Path)
 	if route == nil {
 		return persimmoncross.Refuse(persimmoncross.CodePathUnknown, "no route for %s%s", p.Host, p.Path)
 	}
-	var holder *catalog.Organisation
+	var organisation *catalog.Organisation
 	if v.Catalog.Keyed && !route.Open {
-		if holder = v.Catalog.Holder(p.Key); holder == nil {
+		if organisation = v.Catalog.Holder(p.Key); organisation == nil {
 			return persimmoncross.Refuse(persimmoncross.CodeKeyUnknown, "no organisation holds the key")
 		}
 	}
-	t := &trip{
+	c := &call{
 		relay:   r,
 		passage: p,
 		route:   route,
 		service: pickService(route),
 		sink:    sink,
 	}
-	t.priority = v.Catalog.Rank(route, holder)
-	t.homes = homes{
-		regions: r.Regions,
-		route:   route.Homes,
+	c.priority = v.Catalog.Rank(route, organisation)
+	c.residency = residency{
+		regionByDataCentre: r.Regions,
+		routeRegions:       route.Homes,
 	}
-	if holder != nil {
-		t.organisation = holder.Name
-		t.homes.holder = holder.Homes
+	if organisation != nil {
+		c.organisation = organisation.Name
+		c.residency.organisationRegions = organisation.Homes
 	}
-	t.copy = quarantine.Copy{
-		Digest:  quarantine.DigestOf(t.organisation, p.Method, p.Host, p.Target, p.Content),
-		Service: t.service,
+	c.quarantineCopy = quarantine.Copy{
+		Digest:  quarantine.DigestOf(c.organisation, p.Method, p.Host, p.Target, p.Content),
+		Service: c.service,
 		Book:    r.Book,
 	}
-	t.deadline = p.Arrived.Add(route.Timeout)
-	if !p.Deadline.IsZero() && p.Deadline.Before(t.deadline) {
-		t.deadline = p.Deadline
+	c.deadline = p.Arrived.Add(route.Timeout)
+	if !p.Deadline.IsZero() && p.Deadline.Before(c.deadline) {
+		c.deadline = p.Deadline
 	}
-	r.countRequest(t.service)
-	ctx, cancel := context.WithDeadline(ctx, t.deadline)
+	r.countRequest(c.service)
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	return t.run(ctx)
+	return c.run(ctx)
 }
 
 // awaitView returns the view, and waits a little for one after a start: what
 // judges neither keys nor routes yet can soon serve them.
 func (r *Relay) awaitView(ctx context.Context) *View {
-	until := r.Clock.Now().Add(startWait)
+	deadline := r.Clock.Now().Add(startupWaitTimeout)
 	for {
 		v := r.View()
-		if v != nil && v.Catalog != nil || !r.Clock.Now().Before(until) {
+		if v != nil && v.Catalog != nil || !r.Clock.Now().Before(deadline) {
 			return v
 		}
 		select {
 		case <-ctx.Done():
 			return v
-		case <-r.Clock.After(startPoll):
+		case <-r.Clock.After(startupPollInterval):
 		}
 	}
 }
@@ -180,11 +180,11 @@
 	if len(route.Split) == 1 {
 		return route.Split[0].Service
 	}
-	sum := 0
+	totalWeight := 0
 	for _, s := range route.Split {
-		sum += s.Weight
+		totalWeight += s.Weight
 	}
-	n := rand.IntN(sum)
+	n := rand.IntN(totalWeight)
 	for _, s := range route.Split {
 		if n -= s.Weight; n < 0 {
 			return s.Service
@@ -197,80 +197,80 @@
 func (r *Relay) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Request(r.Bounds.RetryShare*retryPart, r.Clock.Now())
+	r.retryBudget(service).Request(r.Bounds.RetryShare*retryRatioFactor, r.Clock.Now())
 }
 
-// mayRetry takes a retry at the service out, and reports whether there was one.
-func (r *Relay) mayRetry(service string) bool {
+// takeRetry takes a retry at the service out, and reports whether there was one.
+func (r *Relay) takeRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).Retry(r.Clock.Now())
+	return r.retryBudget(service).Retry(r.Clock.Now())
 }
 
-// retriesLeft returns which part of the retries at the service that a window allows
+// retryBudgetLeft returns which part of the retries at the service that a window allows
 // is left.
-func (r *Relay) retriesLeft(service string) float64 {
+func (r *Relay) retryBudgetLeft(service string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
-	b := r.budget(service)
+	b := r.retryBudget(service)
 	if left := b.Left(now); left >= 1 {
 		return left / b.Allowed(now)
 	}
 	return 0
 }
 
-// budget returns the service's. The caller holds mu.
-func (r *Relay) budget(service string) *retry.Window {
-	if r.budgets == nil {
-		r.budgets = map[string]*retry.Window{}
+// retryBudget returns the service's. The caller holds mu.
+func (r *Relay) retryBudget(service string) *retry.Window {
+	if r.retryBudgets == nil {
+		r.retryBudgets = map[string]*retry.Window{}
 	}
-	b := r.budgets[service]
+	b := r.retryBudgets[service]
 	if b == nil {
 		b = &retry.Window{
 			Length: r.Bounds.RetryWindow,
 		}
-		r.budgets[service] = b
+		r.retryBudgets[service] = b
 	}
-	b.Spare = slackPart * r.Bounds.RetrySlack / float64(r.View().entries())
+	b.Spare = retryMinimumFactor * r.Bounds.RetrySlack / float64(r.View().entryCountOrDefault())
 	return b
 }
 
-// lasted returns how long callers have been refused by the service, or for want
+// recordRefusal returns how long callers have been refused by the service, or for want
 // of settings. The first of them arrived then.
-func (r *Relay) lasted(service string, arrived time.Time) time.Duration {
+func (r *Relay) recordRefusal(service string, arrived time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.troubles == nil {
-		r.troubles = map[string]*trouble{}
+	if r.outages == nil {
+		r.outages = map[string]*outage{}
 	}
 	now := r.Clock.Now()
-	of := r.troubles[service]
-	if of == nil || now.Sub(of.last) > troubleGap {
-		of = &trouble{
-			since: arrived,
+	current := r.outages[service]
+	if current == nil || now.Sub(current.lastRefusal) > maxRefusalGap {
+		current = &outage{
+			start: arrived,
 		}
-		r.troubles[service] = of
+		r.outages[service] = current
 	}
-	of.last = now
-	return max(now.Sub(of.since), 0)
+	current.lastRefusal = now
+	return max(now.Sub(current.start), 0)
 }
 
-// troubleOver notes that the service has answered.
-func (r *Relay) troubleOver(service string) {
+// endOutage notes that the service has answered.
+func (r *Relay) endOutage(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.troubles, service)
+	delete(r.outages, service)
 }
 
-// eventsCame notes events of a stream that came together from the data centre
+// recordEventBatch notes events of a stream that came together from the data centre
 // after so long a wait.
-func (r *Relay) eventsCame(dataCentre string, wait time.Duration, events int, now time.Time) {
+func (r *Relay) recordEventBatch(dataCentre string, wait time.Duration, events int, now time.Time) {
 	r.mu.Lock()
-	held := r.links.Came(dataCentre, wait, events, now)
+	stalled := r.links.Came(dataCentre, wait, events, now)
 	r.mu.Unlock()
-	if held {
-		r.count("held-up." + dataCentre)
+	if stalled {
+		r.incrementCounter("held-up." + dataCentre)
 	}
 }
 
@@ -282,16 +282,16 @@
 	return r.links.Cost(dataCentre, tokens, now)
 }
 
-func (r *Relay) count(name string) {
+func (r *Relay) incrementCounter(name string) {
 	metrics.GetOrRegisterCounter("relay."+name, r.Metrics).Inc(1)
 }
 
-// observe adds to a histogram of milliseconds.
-func (r *Relay) observe(name string, took time.Duration) {
-	sample := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(sampleSize)) }
-	r.Metrics.GetOrRegister("relay."+name, sample).(metrics.Histogram).Update(took.Milliseconds())
+// observeDuration adds to a histogram of milliseconds.
+func (r *Relay) observeDuration(name string, duration time.Duration) {
+	newHistogram := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize)) }
+	r.Metrics.GetOrRegister("relay."+name, newHistogram).(metrics.Histogram).Update(duration.Milliseconds())
 }
 
-func (r *Relay) line(p *persimmoncross.Passage) *zerolog.Event {
+func (r *Relay) logEvent(p *persimmoncross.Passage) *zerolog.Event {
 	return r.Log.Info().Str("request", p.ID)
 }
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -7,93 +7,93 @@
 	"persimmoncross"
 )
 
-func TestRepeats(t *testing.T) {
+func TestRetryDecisions(t *testing.T) {
 	const (
 		cut    = persimmoncross.Unknown
 		unsent = persimmoncross.NotRun
 	)
 	tests := []struct {
-		name     string
-		route    string
-		answers  []*answer
-		attempts int
-		body     string
-		status   int // of what the caller got; 0: a refusal
-		refusal  persimmoncross.Code
-		run      persimmoncross.Run
+		name      string
+		route     string
+		responses []*fakeResponse
+		attempts  int
+		body      string
+		status    int // of what the caller got; 0: a refusal
+		refusal   persimmoncross.Code
+		run       persimmoncross.Run
 	}{
 		{
-			name:     "answered",
-			route:    "once",
-			answers:  []*answer{whole("x")},
-			attempts: 1,
-			body:     "x",
-			status:   200,
+			name:      "answered",
+			route:     "once",
+			responses: []*fakeResponse{okResponse("x")},
+			attempts:  1,
+			body:      "x",
+			status:    200,
 		},
 		{
-			name:     "what may have run is not sent again",
-			route:    "once",
-			answers:  []*answer{lost(cut)},
-			attempts: 1,
-			refusal:  persimmoncross.CodeUpstreamFailed,
-			run:      persimmoncross.Unknown,
+			name:      "what may have run is not sent again",
+			route:     "once",
+			responses: []*fakeResponse{lostResponse(cut)},
+			attempts:  1,
+			refusal:   persimmoncross.CodeUpstreamFailed,
+			run:       persimmoncross.Unknown,
 		},
 		{
-			name:     "what did not run is",
-			route:    "once",
-			answers:  []*answer{rejection(), lost(unsent), whole("x")},
-			attempts: 3,
-			body:     "x",
-			status:   200,
+			name:      "what did not run is",
+			route:     "once",
+			responses: []*fakeResponse{rejectedResponse(), lostResponse(unsent), okResponse("x")},
+			attempts:  3,
+			body:      "x",
+			status:    200,
 		},
 		{
-			name:     "its failure is passed on",
-			route:    "once",
-			answers:  []*answer{failure(500)},
-			attempts: 1,
-			body:     "failed",
-			status:   500,
+			name:      "its failure is passed on",
+			route:     "once",
+			responses: []*fakeResponse{failedResponse(500)},
+			attempts:  1,
+			body:      "failed",
+			status:    500,
 		},
 		{
-			name:     "nothing ran anywhere",
-			route:    "once",
-			answers:  []*answer{rejection(), rejection()},
-			attempts: maxSends,
-			refusal:  persimmoncross.CodeNoUpstream,
-			run:      persimmoncross.NotRun,
+			name:      "nothing ran anywhere",
+			route:     "once",
+			responses: []*fakeResponse{rejectedResponse(), rejectedResponse()},
+			attempts:  maxAttempts,
+			refusal:   persimmoncross.CodeNoUpstream,
+			run:       persimmoncross.NotRun,
 		},
 		{
-			name:     "a safe one goes on after a cut",
-			route:    "safe",
-			answers:  []*answer{lost(cut), whole("x")},
-			attempts: 2,
-			body:     "x",
-			status:   200,
+			name:      "a safe one goes on after a cut",
+			route:     "safe",
+			responses: []*fakeResponse{lostResponse(cut), okResponse("x")},
+			attempts:  2,
+			body:      "x",
+			status:    200,
 		},
 		{
-			name:     "and after a failure",
-			route:    "safe",
-			answers:  []*answer{failure(500), whole("x")},
-			attempts: 2,
-			body:     "x",
-			status:   200,
+			name:      "and after a failure",
+			route:     "safe",
+			responses: []*fakeResponse{failedResponse(500), okResponse("x")},
+			attempts:  2,
+			body:      "x",
+			status:    200,
 		},
 		{
-			name:     "as often as the route allows",
-			route:    "safe",
-			answers:  []*answer{failure(500), failure(502), failure(503)},
-			attempts: 3,
-			body:     "failed",
-			status:   503,
+			name:      "as often as the route allows",
+			route:     "safe",
+			responses: []*fakeResponse{failedResponse(500), failedResponse(502), failedResponse(503)},
+			attempts:  3,
+			body:      "failed",
+			status:    503,
 		},
 		{
 			name:  "a body that breaks off is not begun",
 			route: "safe",
-			answers: []*answer{{
-				head: whole("").head,
-				body: "ab",
-				cut:  true,
-			}, whole("abc")},
+			responses: []*fakeResponse{{
+				head:        okResponse("").head,
+				body:        "ab",
+				interrupted: true,
+			}, okResponse("abc")},
 			attempts: 2,
 			body:     "abc",
 			status:   200,
@@ -101,10 +101,10 @@
 		{
 			name:  "nor passed on where it may not run again",
 			route: "once",
-			answers: []*answer{{
-				head: whole("").head,
-				body: "ab",
-				cut:  true,
+			responses: []*fakeResponse{{
+				head:        okResponse("").head,
+				body:        "ab",
+				interrupted: true,
 			}},
 			attempts: 1,
 			refusal:  persimmoncross.CodeUpstreamFailed,
@@ -113,19 +113,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEnv(tt.answers...)
+			e := newTestEnv(tt.responses...)
 			r := e.serve(t, tt.route, nil)
-			if got := len(e.forward.attempts); got != tt.attempts {
+			if got := len(e.forwarder.attempts); got != tt.attempts {
 				t.Errorf("%d attempts, want %d", got, tt.attempts)
 			}
-			if e.forward.open != 0 {
-				t.Errorf("%d answers were not closed", e.forward.open)
+			if e.forwarder.openResponses != 0 {
+				t.Errorf("%d answers were not closed", e.forwarder.openResponses)
 			}
 			if tt.status == 0 {
 				if r == nil || r.Code != tt.refusal || r.Run != tt.run {
 					t.Fatalf("refusal %v, want %s (%s)", r, tt.refusal, tt.run)
 				}
-				if e.caller.head != nil {
+				if e.sink.head != nil {
 					t.Error("the caller got a head and a refusal")
 				}
 				return
@@ -133,8 +133,8 @@
 			if r != nil {
 				t.Fatal(r)
 			}
-			if e.caller.head.Status != tt.status || e.caller.body.String() != tt.body {
-				t.Errorf("the caller got %d %q, want %d %q", e.caller.head.Status, e.caller.body.String(), tt.status, tt.body)
+			if e.sink.head.Status != tt.status || e.sink.body.String() != tt.body {
+				t.Errorf("the caller got %d %q, want %d %q", e.sink.head.Status, e.sink.body.String(), tt.status, tt.body)
 			}
 		})
 	}
@@ -142,8 +142,8 @@
 
 // No attempt goes to an upstream that was tried, is leaving, or whose address
 // another one has.
-func TestOtherUpstreams(t *testing.T) {
-	e := newEnv(lost(persimmoncross.NotRun), lost(persimmoncross.NotRun), whole("x"))
+func TestRetryPicksAnotherUpstream(t *testing.T) {
+	e := newTestEnv(lostResponse(persimmoncross.NotRun), lostResponse(persimmoncross.NotRun), okResponse("x"))
 	e.targets[0].Leaving = true
 	if r := e.serve(t, "once", nil); r != nil {
 		t.Fatal(r)
@@ -151,27 +151,27 @@
 	seen := map[string]bool{
 		e.targets[0].Incarnation: true,
 	}
-	for _, a := range e.forward.attempts {
+	for _, a := range e.forwarder.attempts {
 		if seen[a.Upstream.Incarnation] {
 			t.Errorf("%s was sent to again", a.Upstream.Incarnation)
 		}
 		seen[a.Upstream.Incarnation] = true
 	}
-	misdirected := failure(http.StatusMisdirectedRequest)
+	misdirected := failedResponse(http.StatusMisdirectedRequest)
 	misdirected.head.Misdirected = true
-	e = newEnv(misdirected, whole("x"))
+	e = newTestEnv(misdirected, okResponse("x"))
 	began := e.clock.Now()
 	if r := e.serve(t, "once", nil); r != nil {
 		t.Fatal(r)
 	}
 	for _, u := range e.targets {
-		if got := u.Leaves(began); got != (u.Incarnation == e.forward.attempts[0].Upstream.Incarnation) {
+		if got := u.Leaves(began); got != (u.Incarnation == e.forwarder.attempts[0].Upstream.Incarnation) {
 			t.Errorf("%s leaves: %v", u.Incarnation, got)
 		}
 	}
 }
 
-func TestJudgement(t *testing.T) {
+func TestUnknownRouteOrKeyIsRefused(t *testing.T) {
 	tests := []struct {
 		name   string
 		route  string
@@ -181,7 +181,7 @@
 		{
 			name:   "no route",
 			route:  "nowhere",
-			key:    key,
+			key:    testKey,
 			status: http.StatusNotFound,
 		},
 		{
@@ -198,12 +198,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEnv(whole("x"))
+			e := newTestEnv(okResponse("x"))
 			r := e.serve(t, tt.route, func(p *persimmoncross.Passage) { p.Key = tt.key })
 			if r == nil || r.Status() != tt.status || r.Run != persimmoncross.NotRun {
 				t.Errorf("refusal %v, want status %d", r, tt.status)
 			}
-			if len(e.forward.attempts) > 0 {
+			if len(e.forwarder.attempts) > 0 {
 				t.Error("it was sent")
 			}
 		})
@@ -212,8 +212,8 @@
 
 // A VM without settings judges nothing: neither a key nor a route is refused,
 // and the caller is told when to come back.
-func TestNoSettingsYet(t *testing.T) {
-	e := newEnv(whole("x"))
+func TestRequestBeforeSettingsArrive(t *testing.T) {
+	e := newTestEnv(okResponse("x"))
 	view := e.view
 	e.relay.View = func() *View { return &View{} }
 	r := e.serve(t, "nowhere", func(p *persimmoncross.Passage) { p.Key = "" })
@@ -232,11 +232,11 @@
 	}
 }
 
-func TestRetryBudgetEnds(t *testing.T) {
-	e := newEnv()
+func TestRetryBudgetLimitsAttempts(t *testing.T) {
+	e := newTestEnv()
 	failed := 0
 	for range 40 {
-		e.forward.answers = append(e.forward.answers, lost(persimmoncross.Unknown))
+		e.forwarder.responses = append(e.forwarder.responses, lostResponse(persimmoncross.Unknown))
 	}
 	for range 12 {
 		if e.serve(t, "safe", nil) != nil {
@@ -246,10 +246,10 @@
 	if failed != 12 {
 		t.Fatalf("%d of 12 failed", failed)
 	}
-	extra := len(e.forward.attempts) - 12
+	extra := len(e.forwarder.attempts) - 12
 	// Ten are held in store, and each request adds its share.
-	const most = 10 + 11
-	if extra > most {
-		t.Errorf("%d extra attempts for 12 requests, at most %d are allowed", extra, most)
+	const maxExtra = 10 + 11
+	if extra > maxExtra {
+		t.Errorf("%d extra attempts for 12 requests, at most %d are allowed", extra, maxExtra)
 	}
 }
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -13,7 +13,7 @@
 	"persimmoncross/core/state/register"
 )
 
-func events(ids ...string) string {
+func eventStream(ids ...string) string {
 	var b strings.Builder
 	for _, id := range ids {
 		b.WriteString("id: " + id + "\ndata: x\n\n")
@@ -21,78 +21,78 @@
 	return b.String()
 }
 
-// streamed is an answer of events that breaks off or ends.
-func streamed(body string, cut bool) *answer {
-	a := whole(body)
-	a.cut = cut
+// streamResponse is an answer of events that breaks off or ends.
+func streamResponse(body string, interrupted bool) *fakeResponse {
+	a := okResponse(body)
+	a.interrupted = interrupted
 	return a
 }
 
-func TestStreamGoesOn(t *testing.T) {
+func TestStreamResumes(t *testing.T) {
 	tests := []struct {
-		name    string
-		answers []*answer
-		last    []string // last event of each attempt
-		body    string
-		refused bool
+		name         string
+		responses    []*fakeResponse
+		lastEventIDs []string // last event of each attempt
+		body         string
+		refused      bool
 	}{
 		{
-			name:    "whole",
-			answers: []*answer{streamed(events("1", "2"), false)},
-			last:    []string{""},
-			body:    events("1", "2"),
+			name:         "whole",
+			responses:    []*fakeResponse{streamResponse(eventStream("1", "2"), false)},
+			lastEventIDs: []string{""},
+			body:         eventStream("1", "2"),
 		},
 		{
-			name:    "cut between events",
-			answers: []*answer{streamed(events("1", "2"), true), streamed(events("3"), false)},
-			last:    []string{"", "2"},
-			body:    events("1", "2", "3"),
+			name:         "cut between events",
+			responses:    []*fakeResponse{streamResponse(eventStream("1", "2"), true), streamResponse(eventStream("3"), false)},
+			lastEventIDs: []string{"", "2"},
+			body:         eventStream("1", "2", "3"),
 		},
 		{
-			name:    "cut inside an event",
-			answers: []*answer{streamed(events("1")+"id: 2\nda", true), streamed(events("2"), false)},
-			last:    []string{"", "1"},
-			body:    events("1", "2"),
+			name:         "cut inside an event",
+			responses:    []*fakeResponse{streamResponse(eventStream("1")+"id: 2\nda", true), streamResponse(eventStream("2"), false)},
+			lastEventIDs: []string{"", "1"},
+			body:         eventStream("1", "2"),
 		},
 		{
-			name:    "ended inside an event",
-			answers: []*answer{streamed(events("1")+"id: 2\nda", false), streamed(events("2"), false)},
-			last:    []string{"", "1"},
-			body:    events("1", "2"),
+			name:         "ended inside an event",
+			responses:    []*fakeResponse{streamResponse(eventStream("1")+"id: 2\nda", false), streamResponse(eventStream("2"), false)},
+			lastEventIDs: []string{"", "1"},
+			body:         eventStream("1", "2"),
 		},
 		{
-			name:    "an event is missing",
-			answers: []*answer{streamed(events("1", "3"), false), streamed(events("2", "3"), false)},
-			last:    []string{"", "1"},
-			body:    events("1", "2", "3"),
+			name:         "an event is missing",
+			responses:    []*fakeResponse{streamResponse(eventStream("1", "3"), false), streamResponse(eventStream("2", "3"), false)},
+			lastEventIDs: []string{"", "1"},
+			body:         eventStream("1", "2", "3"),
 		},
 		{
-			name:    "a failure in place of the rest",
-			answers: []*answer{streamed(events("1"), true), failure(500), streamed(events("2"), false)},
-			last:    []string{"", "1", "1"},
-			body:    events("1", "2"),
+			name:         "a failure in place of the rest",
+			responses:    []*fakeResponse{streamResponse(eventStream("1"), true), failedResponse(500), streamResponse(eventStream("2"), false)},
+			lastEventIDs: []string{"", "1", "1"},
+			body:         eventStream("1", "2"),
 		},
 		{
-			name:    "no attempt is left",
-			answers: []*answer{streamed(events("1"), true), streamed(events("2"), true), streamed(events("3"), true)},
-			last:    []string{"", "1", "2"},
-			body:    events("1", "2", "3"),
-			refused: true,
+			name:         "no attempt is left",
+			responses:    []*fakeResponse{streamResponse(eventStream("1"), true), streamResponse(eventStream("2"), true), streamResponse(eventStream("3"), true)},
+			lastEventIDs: []string{"", "1", "2"},
+			body:         eventStream("1", "2", "3"),
+			refused:      true,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := newEnv(tt.answers...)
+			e := newTestEnv(tt.responses...)
 			r := e.serve(t, "stream", nil)
 			if (r != nil) != tt.refused {
 				t.Errorf("refusal %v", r)
 			}
-			if got := e.caller.body.String(); got != tt.body {
+			if got := e.sink.body.String(); got != tt.body {
 				t.Errorf("the caller got %q, want %q", got, tt.body)
 			}
-			for i, a := range e.forward.attempts {
-				if a.LastEvent != tt.last[i] {
-					t.Errorf("attempt %d goes on after %q, want %q", i, a.LastEvent, tt.last[i])
+			for i, a := range e.forwarder.attempts {
+				if a.LastEvent != tt.lastEventIDs[i] {
+					t.Errorf("attempt %d goes on after %q, want %q", i, a.LastEvent, tt.lastEventIDs[i])
 				}
 			}
 		})
@@ -100,17 +100,17 @@
 }
 
 // A stream that may not run twice is cut where its upstream broke off.
-func TestFixedStreamIsNotRepeated(t *testing.T) {
-	e := newEnv(streamed(events("1"), true), streamed(events("2"), false))
+func TestNonRepeatableStreamIsNotRetried(t *testing.T) {
+	e := newTestEnv(streamResponse(eventStream("1"), true), streamResponse(eventStream("2"), false))
 	if r := e.serve(t, "fixed", nil); r == nil {
 		t.Error("the broken stream looks whole")
 	}
-	if len(e.forward.attempts) != 1 {
-		t.Errorf("%d attempts", len(e.forward.attempts))
+	if len(e.forwarder.attempts) != 1 {
+		t.Errorf("%d attempts", len(e.forwarder.attempts))
 	}
 }
 
-func TestCascadeAsksTheLargest(t *testing.T) {
+func TestLowConfidenceEscalatesModel(t *testing.T) {
 	tests := []struct {
 		name       string
 		confidence int
@@ -134,26 +134,26 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			small := streamed(events("1"), false)
+			small := streamResponse(eventStream("1"), false)
 			small.head.Confidence = tt.confidence
-			large := streamed(events("1", "2"), false)
+			large := streamResponse(eventStream("1", "2"), false)
 			large.head.Confidence = 10
-			e := newEnv(small, large)
+			e := newTestEnv(small, large)
 			if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
 				t.Fatal(r)
 			}
 			var models []string
-			for _, a := range e.forward.attempts {
+			for _, a := range e.forwarder.attempts {
 				models = append(models, a.Model)
 			}
 			if strings.Join(models, " ") != strings.Join(tt.models, " ") {
 				t.Errorf("models %v, want %v", models, tt.models)
 			}
-			want := events("1")
+			want := eventStream("1")
 			if len(tt.models) > 1 {
-				want = events("1", "2") // nothing of the dropped answer
+				want = eventStream("1", "2") // nothing of the dropped answer
 			}
-			if got := e.caller.body.String(); got != want {
+			if got := e.sink.body.String(); got != want {
 				t.Errorf("the caller got %q, want %q", got, want)
 			}
 		})
@@ -162,19 +162,19 @@
 
 // Where the caller has a part of an answer, it is not dropped for a larger
 // model's.
-func TestCascadeKeepsABegunAnswer(t *testing.T) {
-	small := streamed(events("1"), true)
+func TestNoEscalationAfterStreamBegan(t *testing.T) {
+	small := streamResponse(eventStream("1"), true)
 	small.head.Confidence = 80
-	rest := streamed(events("2"), false)
+	rest := streamResponse(eventStream("2"), false)
 	rest.head.Confidence = 5
-	e := newEnv(small, rest)
+	e := newTestEnv(small, rest)
 	if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
 		t.Fatal(r)
 	}
-	if got := e.caller.body.String(); got != events("1", "2") {
+	if got := e.sink.body.String(); got != eventStream("1", "2") {
 		t.Errorf("the caller got %q", got)
 	}
-	if m := e.forward.attempts[1].Model; m != "small" {
+	if m := e.forwarder.attempts[1].Model; m != "small" {
 		t.Errorf("the stream went on with %q", m)
 	}
 }
@@ -182,23 +182,23 @@
 // Events that come at once after a wait show loss on the link to their upstream's
 // data centre: the next streams avoid it, long ones above all.
 func TestLossyLinkIsAvoided(t *testing.T) {
-	e := newEnv()
+	e := newTestEnv()
 	for i, u := range e.targets {
 		u.DataCentre = []string{"a", "a", "b", "b"}[i]
 	}
 	now := e.clock.Now()
-	e.relay.eventsCame("b", 300*time.Millisecond, 3, now)
+	e.relay.recordEventBatch("b", 300*time.Millisecond, 3, now)
 	passage := &persimmoncross.Passage{
 		OutputTokens: 400,
 	}
-	trip := &trip{
+	c := &call{
 		relay:   e.relay,
 		passage: passage,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 	}
 	for i := range 40 {
-		p := prompted(fmt.Sprint("part", i), 0)
-		got, _ := place(e.targets, p, now, func(u *Target) time.Duration { return trip.linkCost(u, now) })
+		p := newPrompt(fmt.Sprint("part", i), 0)
+		got, _ := placeRequest(e.targets, p, now, func(u *Target) time.Duration { return c.linkCost(u, now) })
 		if got.DataCentre != "a" {
 			t.Fatalf("a long stream goes to %s", got.Incarnation)
 		}
@@ -210,26 +210,26 @@
 
 // A stream that began in a trial goes on at the new version when the upgrade is
 // completed meanwhile: the old version's upstreams have ended.
-func TestStreamFollowsACompletion(t *testing.T) {
+func TestStreamResumesOnNewVersionAfterUpgrade(t *testing.T) {
 	u := register.Upgrade{
-		Service: service,
+		Service: testService,
 		Target:  "v2",
 		Stage:   register.Prepare,
 	}
-	first := streamed(events("1"), true)
-	e := newEnv(first, streamed(events("2"), false))
+	first := streamResponse(eventStream("1"), true)
+	e := newTestEnv(first, streamResponse(eventStream("2"), false))
 	for _, target := range e.targets[2:] {
 		target.Version = "v2"
 	}
-	e.view.Upgrades[service] = u
-	first.then = func() {
+	e.view.Upgrades[testService] = u
+	first.onAttempt = func() {
 		u.Stage = register.Completed
-		e.view.Upgrades[service] = u
+		e.view.Upgrades[testService] = u
 	}
 	if r := e.serve(t, "stream", nil); r != nil {
 		t.Fatal(r)
 	}
-	if a := e.forward.attempts; len(a) != 2 || a[0].Upstream.Version != "v1" || a[1].Upstream.Version != "v2" {
+	if a := e.forwarder.attempts; len(a) != 2 || a[0].Upstream.Version != "v1" || a[1].Upstream.Version != "v2" {
 		t.Errorf("%d attempts, the last at %s", len(a), a[len(a)-1].Upstream.Version)
 	}
 }
@@ -237,19 +237,19 @@
 // With enough retries a request begins with the smallest model; where its entry has
 // used them up for doubted answers, a short prompt begins with the largest, so that it
 // needs none, and a long one does not, since others would wait for its reading.
-func TestFirstModelFollowsRetries(t *testing.T) {
+func TestFirstModelDependsOnRetryBudget(t *testing.T) {
 	for _, tt := range []struct {
-		what    string
-		retries int // taken of 85
-		tokens  int
-		want    string
+		name         string
+		takenRetries int // taken of 85
+		tokens       int
+		wantModel    string
 	}{
 		{"all retries are left", 0, 300, "small"},
 		{"half of them", 40, 300, "small"},
 		{"those for failures", 62, 300, "large"},
 		{"those for failures, a long prompt", 62, 60_000, "small"},
 	} {
-		e := newEnv(&answer{
+		e := newTestEnv(&fakeResponse{
 			head: persimmoncross.PassageHead{
 				Status:     http.StatusOK,
 				Confidence: 90,
@@ -257,40 +257,40 @@
 			body: "id: 1\ndata: x\n\n",
 		})
 		e.relay.Bounds.RetrySlack = 0
-		e.clock.(*leaping).leap(time.Since(e.clock.Now())) // to where serve sets it
+		e.clock.(*steppingClock).advance(time.Since(e.clock.Now())) // to where serve sets it
 		for i := range 100 {
-			e.relay.countRequest(service)
+			e.relay.countRequest(testService)
 			prompt := 500 + 100*(i%9)
-			came := e.relay.Pressure.begin(service, "large", prompt, e.clock.Now())
-			came(e.clock.Now().Add(time.Duration(prompt)*50*time.Microsecond), true)
-			e.relay.Pressure.opinion(service, "small", i%5 < 3)
+			recordHead := e.relay.Pressure.awaitHead(testService, "large", prompt, e.clock.Now())
+			recordHead(e.clock.Now().Add(time.Duration(prompt)*50*time.Microsecond), true)
+			e.relay.Pressure.recordConfidence(testService, "small", i%5 < 3)
 		}
-		for range tt.retries {
-			if !e.relay.mayRetry(service) {
-				t.Fatalf("%s: no retry is left", tt.what)
+		for range tt.takenRetries {
+			if !e.relay.takeRetry(testService) {
+				t.Fatalf("%s: no retry is left", tt.name)
 			}
 		}
 		if refusal := e.serve(t, "stream", func(p *persimmoncross.Passage) {
 			p.AnyModel = true
 			p.PromptTokens = tt.tokens
 		}); refusal != nil {
-			t.Fatalf("%s: %v", tt.what, refusal)
+			t.Fatalf("%s: %v", tt.name, refusal)
 		}
-		if got := e.forward.attempts[0].Model; got != tt.want {
-			t.Errorf("%s: begins with %s, want %s", tt.what, got, tt.want)
+		if got := e.forwarder.attempts[0].Model; got != tt.wantModel {
+			t.Errorf("%s: begins with %s, want %s", tt.name, got, tt.wantModel)
 		}
 	}
 }
 
 // A caller may leave the model open on a route that has none to choose from: the
 // answer that comes is taken.
-func TestNoModelsToChooseFrom(t *testing.T) {
-	e := newEnv(&answer{
+func TestAnyModelOnRouteWithoutModels(t *testing.T) {
+	e := newTestEnv(&fakeResponse{
 		head: persimmoncross.PassageHead{
 			Status:     http.StatusOK,
 			Confidence: 5,
 		},
-		body: events("1"),
+		body: eventStream("1"),
 	})
 	for _, r := range e.view.Catalog.Routes {
 		r.Models = nil
@@ -298,7 +298,7 @@
 	if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
 		t.Fatalf("refused: %v", r)
 	}
-	if len(e.forward.attempts) != 1 {
-		t.Errorf("%d attempts", len(e.forward.attempts))
+	if len(e.forwarder.attempts) != 1 {
+		t.Errorf("%d attempts", len(e.forwarder.attempts))
 	}
 }
--- a/core/coordination/relay/trip.go
+++ b/core/coordination/relay/trip.go
@@ -21,252 +21,252 @@
 
 // Bounds of one passage.
 const (
-	maxSends   = 6   // attempts, rejected ones too
-	connsLeast = 2   // connections to an upstream, however many entries there are
-	connsPart  = 0.9 // of an upstream's connections that all entries together use
+	maxAttempts      = 6   // attempts, rejected ones too
+	minConnsPerEntry = 2   // connections to an upstream, however many entries there are
+	maxConnsFraction = 0.9 // of an upstream's connections that all entries together use
 )
 
-// trip is one passage on its way.
-type trip struct {
-	relay        *Relay
-	passage      *persimmoncross.Passage
-	route        *catalog.Route
-	service      string
-	organisation string
-	copy         quarantine.Copy
-	priority     int
-	homes        homes
-	deadline     time.Time
-	sink         persimmoncross.PassageSink
+// call is one passage on its way.
+type call struct {
+	relay          *Relay
+	passage        *persimmoncross.Passage
+	route          *catalog.Route
+	service        string
+	organisation   string
+	quarantineCopy quarantine.Copy
+	priority       int
+	residency      residency
+	deadline       time.Time
+	sink           persimmoncross.PassageSink
 
-	group     group
-	upgrade   *register.Upgrade // under way, nil if none is
-	model     int               // index among the route's models
-	tried     map[string]bool   // incarnations
-	outlook   time.Duration     // that the upstream of the attempt had when it was picked
-	copyFrom  netip.AddrPort    // of the attempt's prompt, an upstream's; invalid: none
-	sends     int
-	arrived   bool // an attempt may have reached an upstream
-	paid      bool // the next attempt's retry is taken out already
-	runs      int  // attempts that an upstream may have begun
-	started   bool // the caller has got the head
-	lastEvent string
-	held      *heldAnswer // an upstream's failure, answered if nothing better comes
-	last      *persimmoncross.AttemptError
-	record    *quarantine.Run // of the attempt
+	versionFilter     versionFilter
+	upgrade           *register.Upgrade // under way, nil if none is
+	modelIndex        int               // index among the route's models
+	triedIncarnations map[string]bool   // incarnations
+	expectedWait      time.Duration     // that the upstream of the attempt had when it was picked
+	prefixSource      netip.AddrPort    // of the attempt's prompt, an upstream's; invalid: none
+	attempts          int
+	reachedUpstream   bool // an attempt may have reached an upstream
+	retryTaken        bool // the next attempt's retry is taken out already
+	executions        int  // attempts that an upstream may have begun
+	headSent          bool // the caller has got the head
+	lastEventID       string
+	fallback          *bufferedResponse // an upstream's failure, answered if nothing better comes
+	lastError         *persimmoncross.AttemptError
+	quarantineRun     *quarantine.Run // of the attempt
 }
 
-// heldAnswer is a whole answer that was not sent yet.
-type heldAnswer struct {
+// bufferedResponse is a whole answer that was not sent yet.
+type bufferedResponse struct {
 	head persimmoncross.PassageHead
 	body []byte
 }
 
-// verdict is what became of an attempt.
-type verdict uint8
+// outcome is what became of an attempt.
+type outcome uint8
 
 const (
-	verdictDone  verdict = iota // answered, or the caller is gone
-	verdictAgain                // another attempt may be made
-	verdictFinal                // no other attempt may be made
+	outcomeDone    outcome = iota // answered, or the caller is gone
+	outcomeRetry                  // another attempt may be made
+	outcomeNoRetry                // no other attempt may be made
 )
 
 // run makes attempts until one is answered or none may be made.
-func (t *trip) run(ctx context.Context) *persimmoncross.Refusal {
-	r := t.relay
-	defer func() { t.copy.Done(t.runs > 0) }()
-	t.tried = map[string]bool{}
-	t.lastEvent = t.passage.LastEvent
-	if t.passage.AnyModel {
-		t.model = t.firstModel()
+func (c *call) run(ctx context.Context) *persimmoncross.Refusal {
+	r := c.relay
+	defer func() { c.quarantineCopy.Done(c.executions > 0) }()
+	c.triedIncarnations = map[string]bool{}
+	c.lastEventID = c.passage.LastEvent
+	if c.passage.AnyModel {
+		c.modelIndex = c.firstModelIndex()
 	}
-	t.decideGroup()
+	c.updateVersionFilter()
 	for {
-		if t.sends > 0 {
+		if c.attempts > 0 {
 			// The upgrade may have gone on: at its completion the old version's
 			// upstreams end at once, and their streams must find the new one's.
-			t.decideGroup()
+			c.updateVersionFilter()
 		}
 		// What a request does to upstreams is asked before each attempt, by what it asks
 		// for: kept by id it would be forgotten with each copy, and the bound on retries
 		// be a product of copies, entries and runs.
-		stage := t.hold()
+		stage := c.quarantineStage()
 		if stage == persimmoncross.HoldRefuse {
-			return t.quarantined(ctx)
+			return c.refuseQuarantined(ctx)
 		}
-		target := t.pick(stage)
+		target := c.pickTarget(stage)
 		if target == nil && stage == persimmoncross.HoldWatch {
-			return t.turnedAway(ctx)
+			return c.refuseIsolated(ctx)
 		}
 		if target == nil {
-			if !t.mayTurn(ctx) {
-				return t.giveUp(ctx, "no upstream")
+			if !c.awaitRetryRound(ctx) {
+				return c.giveUp(ctx, "no upstream")
 			}
 			continue
 		}
-		if t.arrived && !t.paid && !r.mayRetry(t.service) {
-			r.count("refused.retry-budget")
-			return t.giveUp(ctx, "retry budget")
+		if c.reachedUpstream && !c.retryTaken && !r.takeRetry(c.service) {
+			r.incrementCounter("refused.retry-budget")
+			return c.giveUp(ctx, "retry budget")
 		}
-		t.paid = false
-		t.sends++
-		switch t.attempt(ctx, target) {
-		case verdictDone:
+		c.retryTaken = false
+		c.attempts++
+		switch c.attempt(ctx, target) {
+		case outcomeDone:
 			return nil
-		case verdictFinal:
-			return t.giveUp(ctx, "final")
+		case outcomeNoRetry:
+			return c.giveUp(ctx, "final")
 		}
-		if ctx.Err() != nil || t.sends >= maxSends || t.runs >= t.maxRuns() {
-			return t.giveUp(ctx, "attempts")
+		if ctx.Err() != nil || c.attempts >= maxAttempts || c.executions >= c.maxExecutions() {
+			return c.giveUp(ctx, "attempts")
 		}
-		r.count("retry." + t.last.Reason)
+		r.incrementCounter("retry." + c.lastError.Reason)
 	}
 }
 
-func (t *trip) maxRuns() int { return max(t.route.MaxAttempts, 1) }
+func (c *call) maxExecutions() int { return max(c.route.MaxAttempts, 1) }
 
-// decideGroup chooses the version's group. While the upgrade's stage stays, all
+// updateVersionFilter chooses the version's group. While the upgrade's stage stays, all
 // attempts get the same.
-func (t *trip) decideGroup() {
-	r := t.relay
-	u, ok := r.View().Upgrades[t.service]
+func (c *call) updateVersionFilter() {
+	r := c.relay
+	u, ok := r.View().Upgrades[c.service]
 	if !ok {
 		return
 	}
-	t.group = r.Sessions.choose(u, t.passage.Session, t.passage.ID, upgrade.TrialShare(u.Duration, r.Bounds.ExposureShare), r.Evidence.braked(u), r.Clock.Now())
+	c.versionFilter = r.Sessions.chooseVersions(u, c.passage.Session, c.passage.ID, upgrade.TrialShare(u.Duration, r.Bounds.ExposureShare), r.Evidence.isHalted(u), r.Clock.Now())
 	if !u.Stage.Ended() {
-		t.upgrade = &u
+		c.upgrade = &u
 	}
 }
 
-// keepVersion binds the session to the version of the upstream that is about to
+// pinSessionVersion binds the session to the version of the upstream that is about to
 // get it. What it returns is called at the attempt's end.
-func (t *trip) keepVersion(target *Target) func(now time.Time) {
-	return t.relay.Sessions.Begin(t.service, t.passage.Session, target.Version, t.relay.Clock.Now())
+func (c *call) pinSessionVersion(target *Target) func(now time.Time) {
+	return c.relay.Sessions.Begin(c.service, c.passage.Session, target.Version, c.relay.Clock.Now())
 }
 
 // attempt sends the passage to the target and carries the answer back.
-func (t *trip) attempt(ctx context.Context, target *Target) verdict {
-	r := t.relay
-	t.tried[target.Incarnation] = true
-	ended := t.keepVersion(target)
-	defer func() { ended(r.Clock.Now()) }()
-	target.begin()
+func (c *call) attempt(ctx context.Context, target *Target) outcome {
+	r := c.relay
+	c.triedIncarnations[target.Incarnation] = true
+	endRun := c.pinSessionVersion(target)
+	defer func() { endRun(r.Clock.Now()) }()
+	target.recordAttempt()
 	target.inFlight.Add(1)
 	defer target.inFlight.Add(-1)
-	began := r.Clock.Now()
-	t.record = t.copy.Begin(target.Life(), began)
-	defer func(x *quarantine.Run) { x.Over(r.Clock.Now()) }(t.record)
+	start := r.Clock.Now()
+	c.quarantineRun = c.quarantineCopy.Begin(target.Life(), start)
+	defer func(run *quarantine.Run) { run.Over(r.Clock.Now()) }(c.quarantineRun)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := t.watchAttempt(ctx, cancel, target)
-	defer w.stop()
-	headCame := r.Pressure.begin(t.service, t.modelName(), t.passage.PromptTokens, began)
-	targetCame := target.ask(began, r.Pressure.reading(t.service, t.modelName(), t.passage.PromptTokens))
-	a, err := r.Forwarder.Forward(ctx, &persimmoncross.PassageAttempt{
-		Passage:      t.passage,
+	detector := c.startStallDetector(ctx, cancel, target)
+	defer detector.stop()
+	recordModelHead := r.Pressure.awaitHead(c.service, c.modelName(), c.passage.PromptTokens, start)
+	recordTargetHead := target.awaitHead(start, r.Pressure.prefillTime(c.service, c.modelName(), c.passage.PromptTokens))
+	response, err := r.Forwarder.Forward(ctx, &persimmoncross.PassageAttempt{
+		Passage:      c.passage,
 		Upstream:     target.Upstream,
-		Organisation: t.organisation,
-		Model:        t.modelName(),
-		LastEvent:    t.lastEvent,
-		Priority:     t.priority,
-		Deadline:     t.deadline,
-		MaxConns:     t.maxConns(),
-		CopyFrom:     t.copyFrom,
+		Organisation: c.organisation,
+		Model:        c.modelName(),
+		LastEvent:    c.lastEventID,
+		Priority:     c.priority,
+		Deadline:     c.deadline,
+		MaxConns:     c.maxConns(),
+		CopyFrom:     c.prefixSource,
 	})
-	t.arrived = t.arrived || err == nil || attempted(err)
-	ok := err == nil && !a.Head().NotRun
-	headCame(r.Clock.Now(), ok)
-	targetCame(r.Clock.Now(), ok)
-	if err != nil && w.stop() {
-		return t.silent(target, w, r.Clock.Now().Sub(began))
+	c.reachedUpstream = c.reachedUpstream || err == nil || mayHaveReachedUpstream(err)
+	executed := err == nil && !response.Head().NotRun
+	recordModelHead(r.Clock.Now(), executed)
+	recordTargetHead(r.Clock.Now(), executed)
+	if err != nil && detector.stop() {
+		return c.handleStall(target, detector, r.Clock.Now().Sub(start))
 	}
 	if err != nil {
-		return t.failed(ctx, target, err)
+		return c.handleAttemptError(ctx, target, err)
 	}
-	w.head(r.Clock.Now())
-	if !a.Head().NotRun && !a.Head().Misdirected {
-		r.troubleOver(t.service)
-		t.record.Begun(r.Clock.Now())
+	detector.recordHead(r.Clock.Now())
+	if !response.Head().NotRun && !response.Head().Misdirected {
+		r.endOutage(c.service)
+		c.quarantineRun.Begun(r.Clock.Now())
 	}
-	target.trust()
-	target.hear(r.Clock.Now())
-	t.observe(target, a.Head(), began)
-	defer a.Close()
-	head := a.Head()
-	t.logHead(target, head, r.Clock.Now().Sub(began))
+	target.clearSuspicion()
+	target.recordReceived(r.Clock.Now())
+	c.applyFeedback(target, response.Head(), start)
+	defer response.Close()
+	head := response.Head()
+	c.logResponseHead(target, head, r.Clock.Now().Sub(start))
 	if head.Status < http.StatusInternalServerError || head.NotRun {
-		target.note(head.Load, r.Clock.Now()) // what fails at once is not to look idle
+		target.recordLoad(head.Load, r.Clock.Now()) // what fails at once is not to look idle
 	}
 	if head.Misdirected || head.NotRun {
-		return t.rejected(target, head)
+		return c.handleRejection(target, head)
 	}
-	t.runs++
-	t.note(target, head.Status >= 500)
-	if t.route.Stream && head.Status == 200 {
-		return t.stream(ctx, target, a, w)
+	c.executions++
+	c.recordResult(target, head.Status >= 500)
+	if c.route.Stream && head.Status == 200 {
+		return c.forwardStream(ctx, target, response, detector)
 	}
-	w.stop() // the body of a plain answer follows its head
+	detector.stop() // the body of a plain answer follows its head
 	if head.Status < 500 {
-		r.Evidence.time(t.upgrade, t.trialKey(target), r.Clock.Now().Sub(began))
+		r.Evidence.recordDuration(c.upgrade, c.canaryKey(target), r.Clock.Now().Sub(start))
 	}
-	return t.plain(ctx, target, a)
+	return c.forwardResponse(ctx, target, response)
 }
 
-// attempted reports whether an attempt that failed may have reached its upstream.
-func attempted(err error) bool {
+// mayHaveReachedUpstream reports whether an attempt that failed may have reached its upstream.
+func mayHaveReachedUpstream(err error) bool {
 	var e *persimmoncross.AttemptError
 	return !errors.As(err, &e) || e.Run != persimmoncross.NotRun
 }
 
-// logHead tells where an answer began and what was known of the upstream then.
-func (t *trip) logHead(target *Target, head persimmoncross.PassageHead, took time.Duration) {
-	line := t.relay.line(t.passage).Str("session", t.passage.Session).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", t.sends).Dur("took", took).Int64("own", target.inFlight.Load())
+// logResponseHead tells where an answer began and what was known of the upstream then.
+func (c *call) logResponseHead(target *Target, head persimmoncross.PassageHead, took time.Duration) {
+	event := c.relay.logEvent(c.passage).Str("session", c.passage.Session).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
 	if head.Load != nil {
-		line.Int("running", head.Load.Running).Int("waiting", head.Load.Waiting)
+		event.Int("running", head.Load.Running).Int("waiting", head.Load.Waiting)
 	}
 	if head.Limit > 0 {
-		line.Float64("limit", head.Limit)
+		event.Float64("limit", head.Limit)
 	}
-	if t.modelName() != "" {
-		line.Str("model", t.modelName()).Int("prompt", t.passage.PromptTokens).Int("confidence", head.Confidence)
-		line.Dur("outlook", t.outlook).Dur("reading", t.relay.Pressure.reading(t.service, t.modelName(), t.passage.PromptTokens)).Bool("copy", t.copyFrom.IsValid())
+	if c.modelName() != "" {
+		event.Str("model", c.modelName()).Int("prompt", c.passage.PromptTokens).Int("confidence", head.Confidence)
+		event.Dur("outlook", c.expectedWait).Dur("reading", c.relay.Pressure.prefillTime(c.service, c.modelName(), c.passage.PromptTokens)).Bool("copy", c.prefixSource.IsValid())
 	}
-	line.Msg("head")
-	t.relay.observe("head", took)
+	event.Msg("head")
+	c.relay.observeDuration("head", took)
 }
 
-func (t *trip) maxConns() int {
-	v := t.relay.View()
-	s := v.Catalog.Services[t.service]
+func (c *call) maxConns() int {
+	v := c.relay.View()
+	s := v.Catalog.Services[c.service]
 	if s == nil || s.MaxConns == 0 {
 		return 0
 	}
-	return max(int(connsPart*float64(s.MaxConns))/v.entries(), connsLeast)
+	return max(int(maxConnsFraction*float64(s.MaxConns))/v.entryCountOrDefault(), minConnsPerEntry)
 }
 
-// note tells the breaker and the evidence of an attempt that ran.
-func (t *trip) note(target *Target, failed bool) {
-	target.ran(failed, t.relay.Clock.Now())
-	t.relay.Evidence.note(t.upgrade, t.trialKey(target), failed)
+// recordResult tells the breaker and the evidence of an attempt that ran.
+func (c *call) recordResult(target *Target, failed bool) {
+	target.recordResult(failed, c.relay.Clock.Now())
+	c.relay.Evidence.recordResult(c.upgrade, c.canaryKey(target), failed)
 }
 
-// trialKey names what the evidence counts of the target.
-func (t *trip) trialKey(target *Target) TrialKey {
+// canaryKey names what the evidence counts of the target.
+func (c *call) canaryKey(target *Target) TrialKey {
 	k := TrialKey{
-		Service: t.service,
+		Service: c.service,
 		Version: target.Version,
-		Route:   t.route.Name,
+		Route:   c.route.Name,
 	}
-	if t.upgrade != nil {
-		k.Order = t.upgrade.Order
+	if c.upgrade != nil {
+		k.Order = c.upgrade.Order
 	}
 	return k
 }
 
-// attemptError returns the error of an attempt; one of another kind has the reason,
+// asAttemptError returns the error of an attempt; one of another kind has the reason,
 // and the run may have come so far.
-func attemptError(err error, reason string, run persimmoncross.Run) *persimmoncross.AttemptError {
+func asAttemptError(err error, reason string, run persimmoncross.Run) *persimmoncross.AttemptError {
 	var e *persimmoncross.AttemptError
 	if errors.As(err, &e) {
 		return e
@@ -278,119 +278,119 @@
 	}
 }
 
-// failed takes an attempt that gave no head.
-func (t *trip) failed(ctx context.Context, target *Target, err error) verdict {
-	e := attemptError(err, "internal", persimmoncross.Unknown)
-	t.last = e
-	t.cut(ctx, target, e)
+// handleAttemptError takes an attempt that gave no head.
+func (c *call) handleAttemptError(ctx context.Context, target *Target, err error) outcome {
+	e := asAttemptError(err, "internal", persimmoncross.Unknown)
+	c.lastError = e
+	c.recordCut(ctx, target, e)
 	switch {
 	case ctx.Err() != nil || e.Busy:
-		target.forget()
+		target.recordInconclusive()
 	case e.Run == persimmoncross.NotRun:
-		target.unreached(t.relay.Clock.Now())
+		target.recordUnreachable(c.relay.Clock.Now())
 	default:
-		t.note(target, true)
+		c.recordResult(target, true)
 	}
-	t.line().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("run", string(e.Run)).Str("detail", e.Detail).Int("send", t.sends).Msg("attempt failed")
+	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("run", string(e.Run)).Str("detail", e.Detail).Int("send", c.attempts).Msg("attempt failed")
 	if e.Run != persimmoncross.NotRun {
-		t.runs++
-		if t.route.Repeat == persimmoncross.RepeatNever {
-			return verdictFinal
+		c.executions++
+		if c.route.Repeat == persimmoncross.RepeatNever {
+			return outcomeNoRetry
 		}
 	}
-	return verdictAgain
+	return outcomeRetry
 }
 
-// rejected takes an answer that says that nothing ran.
-func (t *trip) rejected(target *Target, head persimmoncross.PassageHead) verdict {
+// handleRejection takes an answer that says that nothing ran.
+func (c *call) handleRejection(target *Target, head persimmoncross.PassageHead) outcome {
 	reason := "rejected"
 	if head.Misdirected {
 		reason = "misdirected"
-		target.misdirected(t.relay.Clock.Now())
+		target.recordMisdirected(c.relay.Clock.Now())
 	} else {
-		target.forget()
+		target.recordInconclusive()
 	}
-	t.last = &persimmoncross.AttemptError{
+	c.lastError = &persimmoncross.AttemptError{
 		Reason: reason,
 		Run:    persimmoncross.NotRun,
 		Busy:   !head.Misdirected,
 		Status: head.Status,
 	}
-	line := t.relay.line(t.passage).Str("upstream", target.Incarnation).Str("reason", reason).Int("status", head.Status).Int("send", t.sends)
+	event := c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Str("reason", reason).Int("status", head.Status).Int("send", c.attempts)
 	if head.RetryAfter > 0 {
-		line.Dur("retryAfter", head.RetryAfter)
+		event.Dur("retryAfter", head.RetryAfter)
 	}
-	line.Msg("attempt rejected")
-	return verdictAgain
+	event.Msg("attempt rejected")
+	return outcomeRetry
 }
 
 // giveUp returns the final answer to a passage that got none, or sends the
 // failure that an upstream gave.
-func (t *trip) giveUp(ctx context.Context, why string) *persimmoncross.Refusal {
-	r := t.relay
-	line := t.line().Str("route", t.route.Name).Str("why", why).Int("sends", t.sends).Int("runs", t.runs).Bool("started", t.started).Dur("after", r.Clock.Now().Sub(t.passage.Arrived))
-	if t.last != nil {
-		line = line.Str("reason", t.last.Reason)
+func (c *call) giveUp(ctx context.Context, reason string) *persimmoncross.Refusal {
+	r := c.relay
+	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.passage.Arrived))
+	if c.lastError != nil {
+		event = event.Str("reason", c.lastError.Reason)
 	}
-	available, blocked := t.availableIn()
-	if available > 0 {
-		line = line.Str("blocked", blocked).Dur("availableIn", available)
+	wait, blockReason := c.availableIn()
+	if wait > 0 {
+		event = event.Str("blocked", blockReason).Dur("availableIn", wait)
 	}
-	line.Msg("given up")
-	r.count("given-up." + strings.ReplaceAll(why, " ", "-"))
-	if t.held != nil && !t.started {
-		t.deliver(t.held.head, t.held.body)
+	event.Msg("given up")
+	r.incrementCounter("given-up." + strings.ReplaceAll(reason, " ", "-"))
+	if c.fallback != nil && !c.headSent {
+		c.sendBuffered(c.fallback.head, c.fallback.body)
 		return nil
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return persimmoncross.Refuse(persimmoncross.CodeDeadline, "the caller left").WithRun(persimmoncross.Unknown)
-	case t.runs > 0 && ctx.Err() != nil:
+	case c.executions > 0 && ctx.Err() != nil:
 		return persimmoncross.Refuse(persimmoncross.CodeDeadline, "no answer in time").WithRun(persimmoncross.Unknown)
-	case t.runs > 0:
+	case c.executions > 0:
 		return persimmoncross.Refuse(persimmoncross.CodeUpstreamFailed, "the upstream's answer was lost").WithRun(persimmoncross.Unknown)
 	}
-	return t.refuseNotRun(available, blocked)
+	return c.refuseNotRun(wait, blockReason)
 }
 
 // refuseNotRun refuses a passage that no upstream has begun. The arguments are the results
 // of availableIn.
-func (t *trip) refuseNotRun(available time.Duration, blocked string) *persimmoncross.Refusal {
-	full := t.last != nil && t.last.Busy
+func (c *call) refuseNotRun(wait time.Duration, blockReason string) *persimmoncross.Refusal {
+	busy := c.lastError != nil && c.lastError.Busy
 	switch {
-	case full && !t.noneAvailable():
-		available = t.begins()
-	case available > 0:
-		t.relay.count("refused." + blocked)
+	case busy && !c.noneAvailable():
+		wait = c.timeToHead()
+	case wait > 0:
+		c.relay.incrementCounter("refused." + blockReason)
 	}
-	if full {
-		return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "no upstream has room").After(t.comeBack(available))
+	if busy {
+		return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "no upstream has room").After(c.retryAfter(wait))
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "no upstream took the request").After(t.comeBack(available))
+	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "no upstream took the request").After(c.retryAfter(wait))
 }
 
-// line begins a log line on a trouble of the passage: its digest joins those of
+// logEventWithDigest begins a log logEventWithDigest on a trouble of the passage: its digest joins those of
 // all passages that ask for the same.
-func (t *trip) line() *zerolog.Event {
-	return t.relay.line(t.passage).Stringer("digest", t.copy.Digest)
+func (c *call) logEventWithDigest() *zerolog.Event {
+	return c.relay.logEvent(c.passage).Stringer("digest", c.quarantineCopy.Digest)
 }
 
-// begins estimates in which time an answer of the service begins now.
-func (t *trip) begins() time.Duration {
-	r := t.relay
-	return r.Pressure.estimate(t.service, t.modelName(), t.passage.PromptTokens, r.Clock.Now())
+// timeToHead estimates in which time an answer of the service timeToHead now.
+func (c *call) timeToHead() time.Duration {
+	r := c.relay
+	return r.Pressure.timeToHead(c.service, c.modelName(), c.passage.PromptTokens, r.Clock.Now())
 }
 
-// comeBack returns when the caller should come back; expected is when there should
+// retryAfter returns when the caller should come back; expected is when there should
 // be room, 0 if that is not known.
-func (t *trip) comeBack(expected time.Duration) time.Duration {
-	r := t.relay
-	back := retry.ComeBack{
-		Expected: expected,
-		Lasted:   r.lasted(t.service, t.passage.Arrived),
-		Left:     t.deadline.Sub(r.Clock.Now()),
-		Rank:     t.route.Priority,
+func (c *call) retryAfter(expectedWait time.Duration) time.Duration {
+	r := c.relay
+	hint := retry.ComeBack{
+		Expected: expectedWait,
+		Lasted:   r.recordRefusal(c.service, c.passage.Arrived),
+		Left:     c.deadline.Sub(r.Clock.Now()),
+		Rank:     c.route.Priority,
 		Ranks:    r.View().Catalog.Ranks(),
 	}
-	return back.After(rand.Float64())
+	return hint.After(rand.Float64())
 }
--- a/core/coordination/relay/upgrade.go
+++ b/core/coordination/relay/upgrade.go
@@ -20,14 +20,14 @@
 	// Idle is the pause after which a session's next request may run anywhere.
 	Idle time.Duration
 
-	mu   sync.Mutex // guards last
-	last map[string]lastRun
+	mu       sync.Mutex // guards last
+	lastRuns map[string]lastRun
 }
 
 type lastRun struct {
 	version string
 	at      time.Time // when the last run began or ended
-	running int
+	active  int
 }
 
 // Begin remembers that a run of the session begins on the version; what it
@@ -39,93 +39,93 @@
 	key := service + "\x00" + session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last == nil {
-		s.last = map[string]lastRun{}
+	if s.lastRuns == nil {
+		s.lastRuns = map[string]lastRun{}
 	}
-	if len(s.last) >= maxSessions {
-		s.sweep(now)
+	if len(s.lastRuns) >= maxSessions {
+		s.evictIdle(now)
 	}
-	s.last[key] = lastRun{
+	s.lastRuns[key] = lastRun{
 		version: version,
 		at:      now,
-		running: s.last[key].running + 1,
+		active:  s.lastRuns[key].active + 1,
 	}
 	return func(now time.Time) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		r, ok := s.last[key]
+		r, ok := s.lastRuns[key]
 		if !ok {
 			return // swept
 		}
 		r.at = now
-		r.running--
-		s.last[key] = r
+		r.active--
+		s.lastRuns[key] = r
 	}
 }
 
-func (s *Sessions) sweep(now time.Time) {
-	for key, r := range s.last {
-		if r.running <= 0 && now.Sub(r.at) > s.Idle {
-			delete(s.last, key)
+func (s *Sessions) evictIdle(now time.Time) {
+	for key, run := range s.lastRuns {
+		if run.active <= 0 && now.Sub(run.at) > s.Idle {
+			delete(s.lastRuns, key)
 		}
 	}
-	if len(s.last) >= maxSessions {
-		clear(s.last)
+	if len(s.lastRuns) >= maxSessions {
+		clear(s.lastRuns)
 	}
 }
 
-// version returns the version that the session ran on within Idle, "" if none.
-func (s *Sessions) version(service, session string, now time.Time) string {
+// recentVersion returns the recentVersion that the session ran on within Idle, "" if none.
+func (s *Sessions) recentVersion(service, session string, now time.Time) string {
 	if session == "" {
 		return ""
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, ok := s.last[service+"\x00"+session]
-	if !ok || r.running <= 0 && now.Sub(r.at) > s.Idle {
+	r, ok := s.lastRuns[service+"\x00"+session]
+	if !ok || r.active <= 0 && now.Sub(r.at) > s.Idle {
 		return ""
 	}
 	return r.version
 }
 
-// group tells which versions of a service a request may run on.
-type group struct {
-	version string // the upgrade's target; "" if any version may run it
-	only    bool   // only on that version, else on any but that
-	strict  bool   // the other versions are forbidden, not just avoided
+// versionFilter tells which versions of a service a request may run on.
+type versionFilter struct {
+	version    string // the upgrade's target; "" if any version may run it
+	targetOnly bool   // only on that version, else on any but that
+	strict     bool   // the other versions are forbidden, not just avoided
 }
 
-// holds reports whether the target belongs to the group.
-func (g group) holds(t *Target) bool {
-	return g.version == "" || (t.Version == g.version) == g.only
+// matches reports whether the target belongs to the group.
+func (f versionFilter) matches(t *Target) bool {
+	return f.version == "" || (t.Version == f.version) == f.targetOnly
 }
 
-// choose decides for a request of a service under the upgrade. In the trial a
+// chooseVersions decides for a request of a service under the upgrade. In the trial a
 // session stays on the version that it ran on; of the others a share, the same
 // at every entry, goes to the new version.
-func (s *Sessions) choose(u register.Upgrade, session, request string, share float64, braked bool, now time.Time) group {
-	g := group{
+func (s *Sessions) chooseVersions(u register.Upgrade, session, request string, share float64, halted bool, now time.Time) versionFilter {
+	filter := versionFilter{
 		version: u.Target,
 	}
 	switch u.Stage {
 	case register.Prepare, register.Withdrawn:
-		g.strict = true
+		filter.strict = true
 	case register.Shift, register.Completed:
-		g.only = true
+		filter.targetOnly = true
 	case register.Trial:
-		g.strict = true
-		if braked || slices.Contains(u.Kept, SessionHash(session)) {
-			return g
+		filter.strict = true
+		if halted || slices.Contains(u.Kept, SessionHash(session)) {
+			return filter
 		}
-		if last := s.version(u.Service, session, now); last != "" {
-			g.only = last == u.Target
-			g.strict = !g.only
-			return g
+		if previous := s.recentVersion(u.Service, session, now); previous != "" {
+			filter.targetOnly = previous == u.Target
+			filter.strict = !filter.targetOnly
+			return filter
 		}
-		g.only = part(u.Service, session, request) < share
-		g.strict = !g.only
+		filter.targetOnly = hashFraction(u.Service, session, request) < share
+		filter.strict = !filter.targetOnly
 	}
-	return g
+	return filter
 }
 
 // SessionHash is the name by which entries tell of a session.
@@ -136,27 +136,27 @@
 func (s *Sessions) Recent(u register.Upgrade, share float64, now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []uint64
+	var hashes []uint64
 	prefix := u.Service + "\x00"
-	for key, r := range s.last {
+	for key, r := range s.lastRuns {
 		session, ok := strings.CutPrefix(key, prefix)
-		if !ok || r.version == u.Target || part(u.Service, session, "") >= share {
+		if !ok || r.version == u.Target || hashFraction(u.Service, session, "") >= share {
 			continue
 		}
-		if r.running > 0 || now.Sub(r.at) <= s.Idle {
-			list = append(list, SessionHash(session))
+		if r.active > 0 || now.Sub(r.at) <= s.Idle {
+			hashes = append(hashes, SessionHash(session))
 		}
 	}
-	return list
+	return hashes
 }
 
-// part places a session, or a request without one, between 0 and 1, alike at
+// hashFraction places a session, or a request without one, between 0 and 1, alike at
 // all entries.
-func part(service, session, request string) float64 {
+func hashFraction(service, session, request string) float64 {
 	key := session
 	if key == "" {
 		key = request
 	}
-	const places = 1 << 20
-	return float64(xxhash.Sum64String(service+"\x00"+key)%places) / places
+	const buckets = 1 << 20
+	return float64(xxhash.Sum64String(service+"\x00"+key)%buckets) / buckets
 }
--- a/core/coordination/relay/watch.go
+++ b/core/coordination/relay/watch.go
@@ -9,107 +9,107 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// watchEvery is the pause between two looks at an attempt whose upstream sends
+// stallCheckInterval is the pause between two looks at an attempt whose upstream sends
 // nothing.
-const watchEvery = 150 * time.Millisecond
+const stallCheckInterval = 150 * time.Millisecond
 
-// watch ends an attempt whose upstream has fallen silent.
-type watch struct {
-	began time.Time    // of the attempt
-	ended atomic.Bool  // the answer came, or the watch ended the attempt
-	late  atomic.Bool  // the watch did
-	begun atomic.Bool  // the head has come
-	last  atomic.Int64 // nanoseconds since began at which bytes of this answer came
-	done  chan struct{}
+// stallDetector ends an attempt whose upstream has fallen silent.
+type stallDetector struct {
+	start        time.Time    // of the attempt
+	stopped      atomic.Bool  // the answer came, or the watch ended the attempt
+	stalled      atomic.Bool  // the watch did
+	headReceived atomic.Bool  // the head has come
+	lastReceived atomic.Int64 // nanoseconds since began at which bytes of this answer came
+	done         chan struct{}
 }
 
 // stop ends the watch and reports whether it has ended the attempt.
-func (w *watch) stop() bool {
-	if w.ended.CompareAndSwap(false, true) {
-		close(w.done)
+func (d *stallDetector) stop() bool {
+	if d.stopped.CompareAndSwap(false, true) {
+		close(d.done)
 	}
-	return w.late.Load()
+	return d.stalled.Load()
 }
 
-// head notes that the head came.
-func (w *watch) head(now time.Time) {
-	w.seen(now)
-	w.begun.Store(true)
+// recordHead notes that the recordHead came.
+func (d *stallDetector) recordHead(now time.Time) {
+	d.recordBytes(now)
+	d.headReceived.Store(true)
 }
 
-// seen notes that bytes of the answer came.
-func (w *watch) seen(now time.Time) { w.last.Store(int64(now.Sub(w.began))) }
+// recordBytes notes that bytes of the answer came.
+func (d *stallDetector) recordBytes(now time.Time) { d.lastReceived.Store(int64(now.Sub(d.start))) }
 
-// watchAttempt starts the watch of an attempt, where the passage may be sent to
+// startStallDetector starts the watch of an attempt, where the passage may be sent to
 // another upstream.
-func (t *trip) watchAttempt(ctx context.Context, cancel context.CancelFunc, target *Target) *watch {
-	r := t.relay
-	w := &watch{
-		began: r.Clock.Now(),
+func (c *call) startStallDetector(ctx context.Context, cancel context.CancelFunc, target *Target) *stallDetector {
+	r := c.relay
+	detector := &stallDetector{
+		start: r.Clock.Now(),
 		done:  make(chan struct{}),
 	}
-	if t.route.Repeat == persimmoncross.RepeatNever || t.runs+1 >= t.maxRuns() || t.sends >= maxSends {
-		return w
+	if c.route.Repeat == persimmoncross.RepeatNever || c.executions+1 >= c.maxExecutions() || c.attempts >= maxAttempts {
+		return detector
 	}
-	s := outlier.Silence{
-		Expected:  t.begins(),
-		Objective: t.objective(),
-		Pause:     t.route.Pause,
+	silence := outlier.Silence{
+		Expected:  c.timeToHead(),
+		Objective: c.latencyObjective(),
+		Pause:     c.route.Pause,
 	}
 	go func() {
 		for {
 			select {
-			case <-w.done:
+			case <-detector.done:
 				return
 			case <-ctx.Done():
 				return
-			case <-r.Clock.After(watchEvery):
+			case <-r.Clock.After(stallCheckInterval):
 			}
 			// The retry is taken first: an answer is not broken off where no other
 			// attempt may be made.
-			if w.silent(target, s, r.Clock.Now()) && r.mayRetry(t.service) {
-				w.end(cancel)
+			if detector.isStalled(target, silence, r.Clock.Now()) && r.takeRetry(c.service) {
+				detector.abort(cancel)
 				return
 			}
 		}
 	}()
-	return w
+	return detector
 }
 
-// end ends the attempt, unless its answer has come.
-func (w *watch) end(cancel context.CancelFunc) {
-	if w.ended.CompareAndSwap(false, true) {
-		w.late.Store(true)
+// abort ends the attempt, unless its answer has come.
+func (d *stallDetector) abort(cancel context.CancelFunc) {
+	if d.stopped.CompareAndSwap(false, true) {
+		d.stalled.Store(true)
 		cancel()
 	}
 }
 
-// silent reports whether the attempt is to be ended. s holds what is known of the
+// isStalled reports whether the attempt is to be ended. s holds what is known of the
 // passage.
-func (w *watch) silent(target *Target, s outlier.Silence, now time.Time) bool {
-	s.Begun = w.begun.Load()
-	s.Streams = int(target.flowing.Load())
-	s.Usual = target.longestPause(now)
-	s.Reading = target.reading(now)
-	s.Doubted = target.doubtedByOthers(now)
-	limit, ok := s.Limit()
-	since := w.began.Add(time.Duration(w.last.Load()))
-	return ok && now.Sub(since) >= limit && !target.heardSince(now.Add(-limit))
+func (d *stallDetector) isStalled(target *Target, silence outlier.Silence, now time.Time) bool {
+	silence.Begun = d.headReceived.Load()
+	silence.Streams = int(target.activeStreams.Load())
+	silence.Usual = target.longestPause(now)
+	silence.Reading = target.pendingPrefill(now)
+	silence.Doubted = target.isSuspectedByOthers(now)
+	limit, ok := silence.Limit()
+	lastReceived := d.start.Add(time.Duration(d.lastReceived.Load()))
+	return ok && now.Sub(lastReceived) >= limit && !target.receivedSince(now.Add(-limit))
 }
 
-// silent takes an attempt that was ended because its upstream fell silent. It may
+// handleStall takes an attempt that was ended because its upstream fell handleStall. It may
 // have run.
-func (t *trip) silent(target *Target, w *watch, took time.Duration) verdict {
-	if !w.begun.Load() {
-		t.runs++
+func (c *call) handleStall(target *Target, detector *stallDetector, took time.Duration) outcome {
+	if !detector.headReceived.Load() {
+		c.executions++
 	}
-	t.paid = true
-	t.note(target, true)
-	target.doubt(t.relay.Clock.Now())
-	t.last = &persimmoncross.AttemptError{
+	c.retryTaken = true
+	c.recordResult(target, true)
+	target.markSuspected(c.relay.Clock.Now())
+	c.lastError = &persimmoncross.AttemptError{
 		Reason: "silent",
 		Run:    persimmoncross.Unknown,
 	}
-	t.line().Str("upstream", target.Incarnation).Dur("took", took).Str("event", t.lastEvent).Int("send", t.sends).Msg("upstream is silent")
-	return verdictAgain
+	c.logEventWithDigest().Str("upstream", target.Incarnation).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream is silent")
+	return outcomeRetry
 }
