--- a/clock.go
+++ b/clock.go
@@ -31,20 +31,20 @@
 // After implements [Clock].
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// readingError is by how much two clocks that are read one after the other seem to
+// maxClockReadSkew is by how much two clocks that are read one after the other seem to
 // move apart where a process is kept from its processor in between.
-const readingError = 100 * time.Millisecond
+const maxClockReadSkew = 100 * time.Millisecond
 
 // Suspended implements [SuspendClock]. A system that does not tell is never
 // suspended. What is under readingError is none: a wake from a suspension takes longer.
 func (SystemClock) Suspended() time.Duration {
-	var steady, boot unix.Timespec
+	var monotonic, boot unix.Timespec
 	// Read in this order the difference is too small by what passes in between, never too
 	// large.
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	if d := time.Duration(boot.Nano() - steady.Nano()); d > readingError {
+	if d := time.Duration(boot.Nano() - monotonic.Nano()); d > maxClockReadSkew {
 		return d
 	}
 	return 0
--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -14,36 +14,36 @@
 // maxResumes is how often one broken stream is resumed.
 const maxResumes = 2
 
-// writer takes the answer of a step.
-type writer interface {
+// responseWriter takes the answer of a step.
+type responseWriter interface {
 	start(h persimmoncross.Head) error
 	write(chunk []byte) error
 	// committed reports whether a part went where it can't be taken back.
 	committed() bool
 }
 
-// errCaller means that the caller does not take the answer.
-var errCaller = errors.New("dispatch: the caller is gone")
+// errCallerGone means that the caller does not take the answer.
+var errCallerGone = errors.New("dispatch: the caller is gone")
 
-// step runs one step until one attempt succeeds or none may follow.
-func (r *run) step(ctx context.Context, step, version persimmoncross.Version, out writer) *persimmoncross.Refusal {
-	d, w := r.dispatcher, r.work
-	for try := range w.attempts() {
+// runStep runs one runStep until one attempt succeeds or none may follow.
+func (r *execution) runStep(ctx context.Context, step, version persimmoncross.Version, out responseWriter) *persimmoncross.Refusal {
+	d, w := r.dispatcher, r.request
+	for try := range w.maxAttempts() {
 		s := d.Settings()
-		if refusal := r.mayTry(ctx, try); refusal != nil {
+		if refusal := r.checkBeforeAttempt(ctx, try); refusal != nil {
 			return refusal
 		}
 		if !s.May(w.Organisation.Name, version) {
-			moved, refusal := r.moveOff(ctx, step, version)
+			moved, refusal := r.replaceVersion(ctx, step, version)
 			if refusal != nil {
 				return refusal
 			}
 			version = moved
 		}
-		c := r.apart(routing.Choice{
+		c := r.addIsolation(routing.Choice{
 			Version: version,
 			Prompt:  w.Body,
-			Tried:   r.tried,
+			Tried:   r.triedUpstreams,
 		})
 		u := d.Table.Pick(c)
 		if u == nil {
@@ -53,26 +53,26 @@
 		if err == nil {
 			return nil
 		}
-		if refusal := r.mayGoOn(ctx, err, out); refusal != nil {
+		if refusal := r.checkAfterFailure(ctx, err, out); refusal != nil {
 			return refusal
 		}
 	}
-	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(poolWait)
+	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(upstreamRetryAfter)
 }
 
-// service runs a plain service's call.
-func (r *run) service(ctx context.Context) *persimmoncross.Refusal {
-	d, w := r.dispatcher, r.work
-	for try := range w.attempts() {
-		if refusal := r.mayTry(ctx, try); refusal != nil {
+// callService runs a plain callService's call.
+func (r *execution) callService(ctx context.Context) *persimmoncross.Refusal {
+	d, w := r.dispatcher, r.request
+	for try := range w.maxAttempts() {
+		if refusal := r.checkBeforeAttempt(ctx, try); refusal != nil {
 			return refusal
 		}
-		if refusal := d.mayCall(w); refusal != nil {
-			return refusal.WithRun(r.ran)
+		if refusal := d.checkServicePermission(w); refusal != nil {
+			return refusal.WithRun(r.runStatus)
 		}
-		c := r.apart(routing.Choice{
+		c := r.addIsolation(routing.Choice{
 			Service: w.Service.Upstreams,
-			Tried:   r.tried,
+			Tried:   r.triedUpstreams,
 		})
 		u := d.Table.Pick(c)
 		if u == nil {
@@ -82,46 +82,46 @@
 		if err == nil {
 			return nil
 		}
-		if refusal := r.mayGoOn(ctx, err, r); refusal != nil {
+		if refusal := r.checkAfterFailure(ctx, err, r); refusal != nil {
 			return refusal
 		}
 	}
-	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(poolWait)
+	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(upstreamRetryAfter)
 }
 
 // retryAfter returns when a caller should come back for whom there is no upstream.
-func (r *run) retryAfter(c routing.Choice) time.Duration {
-	in := r.dispatcher.Table.AvailableIn(c)
-	if in > 0 {
+func (r *execution) retryAfter(c routing.Choice) time.Duration {
+	wait := r.dispatcher.Table.AvailableIn(c)
+	if wait > 0 {
 		r.dispatcher.count("refused.backoff")
 	}
-	return max(in, poolWait)
+	return max(wait, upstreamRetryAfter)
 }
 
-// mayTry checks what must hold right before an attempt starts.
-func (r *run) mayTry(ctx context.Context, try int) *persimmoncross.Refusal {
+// checkBeforeAttempt checks what must hold right before an attempt starts.
+func (r *execution) checkBeforeAttempt(ctx context.Context, try int) *persimmoncross.Refusal {
 	if ctx.Err() != nil {
 		return r.refuse(persimmoncross.CodeDeadline, "the time is up")
 	}
 	if refusal := r.dispatcher.Gate.Lease(); refusal != nil {
-		return refusal.WithRun(r.ran)
+		return refusal.WithRun(r.runStatus)
 	}
-	if refusal := r.heldBack(); refusal != nil {
+	if refusal := r.checkQuarantine(); refusal != nil {
 		return refusal
 	}
 	if try > 0 {
-		if !r.dispatcher.mayRetry() {
+		if !r.dispatcher.takeRetry() {
 			r.dispatcher.count("retry.refused")
-			return r.refuse(persimmoncross.CodeUpstreamFailed, "the retry budget is spent").After(poolWait)
+			return r.refuse(persimmoncross.CodeUpstreamFailed, "the retry budget is spent").After(upstreamRetryAfter)
 		}
 		r.dispatcher.count("retried")
 	}
 	return nil
 }
 
-// mayGoOn decides after a failed attempt: nil means that another may follow.
-func (r *run) mayGoOn(ctx context.Context, err error, out writer) *persimmoncross.Refusal {
-	if errors.Is(err, errCaller) || ctx.Err() != nil {
+// checkAfterFailure decides after a failed attempt: nil means that another may follow.
+func (r *execution) checkAfterFailure(ctx context.Context, err error, out responseWriter) *persimmoncross.Refusal {
+	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 		return r.refuse(persimmoncross.CodeDeadline, "the time is up, or the caller is gone")
 	}
 	var a *persimmoncross.AttemptError
@@ -138,66 +138,66 @@
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "the answer broke off: %s", a.Reason)
 	case a.Client:
 		return r.refuse(persimmoncross.CodeBodyMalformed, "the engine refused the request: %s", a.Detail)
-	case r.work.Once && a.Run != persimmoncross.NotRun:
+	case r.request.Once && a.Run != persimmoncross.NotRun:
 		return r.refuse(persimmoncross.CodeOutcomeUnknown, "the attempt failed (%s) and may not be repeated", a.Reason)
 	}
 	return nil
 }
 
 // refuse returns a refusal with what is known of the request's runs.
-func (r *run) refuse(code persimmoncross.Code, format string, args ...any) *persimmoncross.Refusal {
-	return persimmoncross.Refuse(code, format, args...).WithRun(r.ran)
+func (r *execution) refuse(code persimmoncross.Code, format string, args ...any) *persimmoncross.Refusal {
+	return persimmoncross.Refuse(code, format, args...).WithRun(r.runStatus)
 }
 
-// moveOff finds another version when the one chosen may not run any more.
-func (r *run) moveOff(ctx context.Context, step, version persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
+// replaceVersion finds another version when the one chosen may not run any more.
+func (r *execution) replaceVersion(ctx context.Context, step, version persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
 	s := r.dispatcher.Settings()
-	pin, moved, ok := r.dispatcher.pinFor(s, r.work, step)
+	pin, replacement, ok := r.dispatcher.choosePin(s, r.request, step)
 	if !ok {
-		return version, r.dispatcher.noVersion(r.work, step).WithRun(r.ran)
+		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRun(r.runStatus)
 	}
 	if pin == nil {
-		return moved, nil
+		return replacement, nil
 	}
 	if s.Withdrawn[version] {
 		pin.Moved = version.String()
 	}
-	return r.dispatcher.commitPin(ctx, r.work, pin)
+	return r.dispatcher.commitPin(ctx, r.request, pin)
 }
 
 // attempt sends the request to one upstream and passes its answer on.
-func (r *run) attempt(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, out writer) error {
-	d, w := r.dispatcher, r.work
-	r.tried[u.Name] = true
-	r.first = 0
-	a := r.attemptFor(u, v)
-	began := d.Clock.Now()
-	end := u.Begin(began, v, w.Body)
-	defer end()
+func (r *execution) attempt(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, out responseWriter) error {
+	d, w := r.dispatcher, r.request
+	r.triedUpstreams[u.Name] = true
+	r.timeToFirstToken = 0
+	a := r.newAttempt(u, v)
+	startedAt := d.Clock.Now()
+	endAttempt := u.Begin(startedAt, v, w.Body)
+	defer endAttempt()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dog := r.watch(ctx, cancel)
-	defer dog.stop()
+	stallWatchdog := r.startWatchdog(ctx, cancel)
+	defer stallWatchdog.stop()
 	d.count("attempts")
 	d.Log.Debug().Str("request", w.ID).Str("attempt", a.ID).Str("upstream", u.Name).Str("organisation", a.Organisation).Str("version", v.String()).Uint64("revision", d.Settings().Revision).Msg("attempt")
-	record := r.copy.Begin(u.Life(), began)
-	answer, err := d.Upstreams.Begin(ctx, u.Address, a)
+	quarantineRun := r.copy.Begin(u.Life(), startedAt)
+	response, err := d.Upstreams.Begin(ctx, u.Address, a)
 	if err == nil {
-		record.Begun(d.Clock.Now())
-		r.ran = persimmoncross.Ran
-		err = r.pass(ctx, u, a, answer, out, began, dog)
+		quarantineRun.Begun(d.Clock.Now())
+		r.runStatus = persimmoncross.Ran
+		err = r.copyResponse(ctx, u, a, response, out, startedAt, stallWatchdog)
 	} else {
-		r.note(err)
+		r.mergeRunStatus(err)
 	}
-	r.explain(ctx, record, u, err)
-	r.judge(ctx, u, v, err)
+	r.recordForQuarantine(ctx, quarantineRun, u, err)
+	r.recordOutcome(ctx, u, v, err)
 	return err
 }
 
-func (r *run) attemptFor(u *routing.Upstream, v persimmoncross.Version) persimmoncross.Attempt {
-	w := r.work
+func (r *execution) newAttempt(u *routing.Upstream, v persimmoncross.Version) persimmoncross.Attempt {
+	w := r.request
 	return persimmoncross.Attempt{
-		ID:           r.attemptID(),
+		ID:           r.newAttemptID(),
 		Request:      w.ID,
 		Key:          w.Key,
 		Organisation: w.Organisation.Name,
@@ -213,71 +213,71 @@
 	}
 }
 
-func (r *run) note(err error) {
+func (r *execution) mergeRunStatus(err error) {
 	var a *persimmoncross.AttemptError
 	if errors.As(err, &a) {
-		r.ran = worse(r.ran, a.Run)
+		r.runStatus = strongerRunStatus(r.runStatus, a.Run)
 		return
 	}
-	r.ran = worse(r.ran, persimmoncross.Unknown)
+	r.runStatus = strongerRunStatus(r.runStatus, persimmoncross.Unknown)
 }
 
-// pass copies the answer's chunks to the writer. A stream that breaks is
+// copyResponse copies the answer's chunks to the writer. A stream that breaks is
 // resumed by its engine; another engine's answer never continues it.
-func (r *run) pass(ctx context.Context, u *routing.Upstream, a persimmoncross.Attempt, answer persimmoncross.Answer, out writer, began time.Time, dog *watchdog) error {
-	defer func() { answer.Close() }()
-	head := answer.Head()
+func (r *execution) copyResponse(ctx context.Context, u *routing.Upstream, a persimmoncross.Attempt, response persimmoncross.Answer, out responseWriter, startedAt time.Time, stallWatchdog *watchdog) error {
+	defer func() { response.Close() }()
+	head := response.Head()
 	head.Version = a.Version
 	head.Attempt = a.ID
 	chunks, resumes := 0, 0
 	for {
-		chunk, err := answer.Next()
-		dog.feed()
+		chunk, err := response.Next()
+		stallWatchdog.recordActivity()
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			r.notePartial(a, u, answer.Usage())
+			r.recordPartialUsage(a, u, response.Usage())
 			if resumes >= maxResumes || !a.Stream || ctx.Err() != nil {
 				return err
 			}
 			resumes++
-			again, failed := r.dispatcher.Upstreams.Resume(ctx, u.Address, a, chunks)
+			resumed, failed := r.dispatcher.Upstreams.Resume(ctx, u.Address, a, chunks)
 			if failed != nil {
 				return err
 			}
 			r.dispatcher.count("resumed")
-			answer.Close()
-			answer = again
+			response.Close()
+			response = resumed
 			continue
 		}
 		if chunks == 0 {
-			r.first = r.dispatcher.Clock.Now().Sub(began)
+			r.timeToFirstToken = r.dispatcher.Clock.Now().Sub(startedAt)
 			if out.start(head) != nil {
-				return errCaller
+				return errCallerGone
 			}
 		}
 		chunks++
 		if out.write(chunk) != nil {
-			r.notePartial(a, u, answer.Usage())
-			return errCaller
+			r.recordPartialUsage(a, u, response.Usage())
+			return errCallerGone
 		}
 	}
 	if chunks == 0 && out.start(head) != nil {
-		return errCaller
+		return errCallerGone
 	}
-	u.Took(r.dispatcher.Clock.Now().Sub(began))
-	r.lines = append(r.lines, newLine(a, u, answer.Usage()))
-	r.partial = nil
+	u.Took(r.dispatcher.Clock.Now().Sub(startedAt))
+	r.billingLines = append(r.billingLines, newBillingLine(a, u, response.Usage()))
+	r.partialLine = nil
 	return nil
 }
 
-// notePartial keeps what was generated, for the bill of a cancelled request.
-func (r *run) notePartial(a persimmoncross.Attempt, u *routing.Upstream, usage persimmoncross.Usage) {
-	r.partial = newLine(a, u, usage)
+// recordPartialUsage keeps what was generated, for the bill of a cancelled request.
+func (r *execution) recordPartialUsage(a persimmoncross.Attempt, u *routing.Upstream, usage persimmoncross.Usage) {
+	r.partialLine = newBillingLine(a, u, usage)
 }
 
-func newLine(a persimmoncross.Attempt, u *routing.Upstream, usage persimmoncross.Usage) *record.Line {
+func newBillingLine(a persimmoncross.Attempt, u *routing.Upstream, usage persimmoncross.Usage) *record.Line {
 	version := a.Version.String()
 	if a.Version.Model == "" {
 		version = u.Name
@@ -291,12 +291,12 @@
 	}
 }
 
-// judge tells the upstream's history and the version's evidence the outcome.
+// recordOutcome tells the upstream's history and the version's evidence the outcome.
 // A caller who leaves, and a request at fault, say nothing of either.
-func (r *run) judge(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, err error) {
+func (r *execution) recordOutcome(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, err error) {
 	var a *persimmoncross.AttemptError
-	silent := errors.Is(err, errCaller) || errors.As(err, &a) && a.Client
-	if silent || err != nil && errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) != errStalled {
+	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.Client
+	if ignored || err != nil && errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) != errStalled {
 		u.Breaker(v).Forget()
 		return
 	}
@@ -308,5 +308,5 @@
 	if v.Model == "" || a != nil && (a.Busy || a.Run == persimmoncross.NotRun) {
 		return // the engine's fault, not the version's
 	}
-	r.dispatcher.Evidence.Note(v, r.work.Organisation.Name, err != nil, r.first)
+	r.dispatcher.Evidence.Note(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
 }
--- a/core/coordination/dispatch/backoff_test.go
+++ b/core/coordination/dispatch/backoff_test.go
@@ -10,11 +10,11 @@
 	"persimmoncross"
 )
 
-// rejecting replaces the engine by a server that rejects all requests with the status and a
+// serveRejections replaces the engine by a server that rejects all requests with the status and a
 // Retry-After. It returns how many requests reached it.
-func (e *env) rejecting(name string, status int) *atomic.Int64 {
+func (e *testEnv) serveRejections(name string, status int) *atomic.Int64 {
 	reached := &atomic.Int64{}
-	e.listen(name, httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	e.addServer(name, httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		reached.Add(1)
 		w.Header().Set("Run", "not-run")
 		w.Header().Set("Retry-After", "30")
@@ -28,9 +28,9 @@
 func TestRequestsDuringAnEngineBackoff(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests} {
 		e := newEnv(t)
-		reached := e.rejecting("engine-1", status)
+		reached := e.serveRejections("engine-1", status)
 		for range 5 {
-			if s := e.serve(e.chat("small", 1)); s.refusal != nil {
+			if s := e.serve(e.chatRequest("small", 1)); s.refusal != nil {
 				t.Fatal(s.refusal)
 			}
 		}
@@ -43,10 +43,10 @@
 // With all engines in a backoff callers are refused at once, with its end as Retry-After.
 func TestAllEnginesInBackoff(t *testing.T) {
 	e := newEnv(t)
-	reached := e.rejecting("engine-3", http.StatusServiceUnavailable)
-	e.serve(e.chat("large", 1))
+	reached := e.serveRejections("engine-3", http.StatusServiceUnavailable)
+	e.serve(e.chatRequest("large", 1))
 	before := reached.Load()
-	s := e.serve(e.chat("large", 1))
+	s := e.serve(e.chatRequest("large", 1))
 	if s.refusal == nil || s.refusal.Run != persimmoncross.NotRun || s.refusal.RetryAfter < 25*time.Second || s.refusal.RetryAfter > 30*time.Second {
 		t.Errorf("refusal %+v", s.refusal)
 	}
--- a/core/coordination/dispatch/cascade.go
+++ b/core/coordination/dispatch/cascade.go
@@ -10,56 +10,56 @@
 	"persimmoncross/core/state/settings"
 )
 
-// maxBuffered bounds an answer that waits for its rating.
-const maxBuffered = 4 << 20
+// maxRatedAnswerBytes bounds an answer that waits for its rating.
+const maxRatedAnswerBytes = 4 << 20
 
-// cascadeRatingWait bounds how long an answer is held back for its rating.
-const cascadeRatingWait = 2 * time.Second
+// cascadeRatingTimeout bounds how long an answer is held back for its rating.
+const cascadeRatingTimeout = 2 * time.Second
 
-// errTooLarge means that an answer can't be held back for a rating.
-var errTooLarge = errors.New("dispatch: the answer is too large to be rated")
+// errAnswerTooLarge means that an answer can't be held back for a rating.
+var errAnswerTooLarge = errors.New("dispatch: the answer is too large to be rated")
 
-// cascade runs the steps from cheap to strong until an answer is good enough.
+// runCascade runs the steps from cheap to strong until an answer is good enough.
 // All but the last step's answers are held back until they are rated, so that
 // the caller never sees parts of two.
-func (o *opened) cascade(ctx context.Context) *persimmoncross.Refusal {
-	r := o.run
-	quality := r.quality()
+func (o *claimedExecution) runCascade(ctx context.Context) *persimmoncross.Refusal {
+	r := o.execution
+	quality := r.qualityThreshold()
 	for i, step := range o.steps {
-		if i < o.begin {
+		if i < o.firstStep {
 			continue
 		}
-		version, refusal := o.versionOf(ctx, i, step)
+		version, refusal := o.versionForStep(ctx, i, step)
 		if refusal != nil {
 			return refusal
 		}
-		began := r.dispatcher.Clock.Now()
+		stepStart := r.dispatcher.Clock.Now()
 		if i == len(o.steps)-1 {
-			refusal := r.step(ctx, step, version, r)
-			r.took(step, began)
+			refusal := r.runStep(ctx, step, version, r)
+			r.recordStepDuration(step, stepStart)
 			return refusal
 		}
-		held := &heldAnswer{}
-		refusal = r.step(ctx, step, version, held)
-		r.took(step, began)
+		buffered := &bufferedResponse{}
+		refusal = r.runStep(ctx, step, version, buffered)
+		r.recordStepDuration(step, stepStart)
 		if refusal != nil {
-			if r.work.Once || ctx.Err() != nil {
+			if r.request.Once || ctx.Err() != nil {
 				return refusal
 			}
 			r.dispatcher.count("cascade.step.failed")
 			continue
 		}
-		if r.accept(ctx, held, quality) {
-			return held.release(r)
+		if r.rateAndAccept(ctx, buffered, quality) {
+			return buffered.sendTo(r)
 		}
 		r.dispatcher.count("cascade.climbed")
-		r.rated = false
+		r.alreadyRated = false
 	}
 	return nil
 }
 
-// beginAt chooses the step to start with.
-func (d *Dispatcher) beginAt(s *settings.Snapshot, w *Work, steps []persimmoncross.Version) int {
+// chooseFirstStep chooses the step to start with.
+func (d *Dispatcher) chooseFirstStep(s *settings.Snapshot, w *Work, steps []persimmoncross.Version) int {
 	if len(steps) == 1 || d.Rater == nil {
 		return 0
 	}
@@ -70,94 +70,94 @@
 			Price: s.File.Models[step.Model].Price,
 		}
 	}
-	begin := d.Cascades.Start(w.Organisation.Name, cascade.Kind(len(w.Body)), list, w.Deadline.Sub(d.Clock.Now()))
-	if begin > 0 {
+	first := d.Cascades.Start(w.Organisation.Name, cascade.Kind(len(w.Body)), list, w.Deadline.Sub(d.Clock.Now()))
+	if first > 0 {
 		d.count("cascade.skipped")
 	}
-	return begin
+	return first
 }
 
-func (r *run) took(step persimmoncross.Version, began time.Time) {
-	r.dispatcher.Cascades.Took(step.Model, r.dispatcher.Clock.Now().Sub(began))
+func (r *execution) recordStepDuration(step persimmoncross.Version, startedAt time.Time) {
+	r.dispatcher.Cascades.Took(step.Model, r.dispatcher.Clock.Now().Sub(startedAt))
 }
 
-// versionOf returns the version of a step; the session is pinned for it.
-func (o *opened) versionOf(ctx context.Context, i int, step persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
-	if i == o.begin {
-		return o.first, nil
+// versionForStep returns the version of a step; the session is pinned for it.
+func (o *claimedExecution) versionForStep(ctx context.Context, i int, step persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
+	if i == o.firstStep {
+		return o.firstVersion, nil
 	}
-	r := o.run
-	pin, version, ok := r.dispatcher.pinFor(r.dispatcher.Settings(), r.work, step)
+	r := o.execution
+	pin, version, ok := r.dispatcher.choosePin(r.dispatcher.Settings(), r.request, step)
 	if !ok {
-		return version, r.dispatcher.noVersion(r.work, step).WithRun(r.ran)
+		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRun(r.runStatus)
 	}
 	if pin == nil {
 		return version, nil
 	}
 	r.pins = append(r.pins, pin)
-	version, refusal := r.dispatcher.commitPin(ctx, r.work, pin)
+	version, refusal := r.dispatcher.commitPin(ctx, r.request, pin)
 	if refusal != nil {
-		return version, refusal.WithRun(r.ran)
+		return version, refusal.WithRun(r.runStatus)
 	}
 	return version, nil
 }
 
-func (r *run) quality() float64 {
-	c := r.dispatcher.Settings().File.Cascades[r.work.Name]
+func (r *execution) qualityThreshold() float64 {
+	c := r.dispatcher.Settings().File.Cascades[r.request.Name]
 	if c != nil && c.Quality != nil {
 		return *c.Quality
 	}
-	return r.work.Organisation.Quality
+	return r.request.Organisation.Quality
 }
 
-// accept rates a held answer. Without a rating it is not good enough: the
+// rateAndAccept rates a held answer. Without a rating it is not good enough: the
 // strongest step's answer needs none.
-func (r *run) accept(ctx context.Context, held *heldAnswer, quality float64) bool {
+func (r *execution) rateAndAccept(ctx context.Context, buffered *bufferedResponse, quality float64) bool {
 	d := r.dispatcher
 	if d.Rater == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, cascadeRatingWait)
+	ctx, cancel := context.WithTimeout(ctx, cascadeRatingTimeout)
 	defer cancel()
-	rating, err := d.Rater.Rate(ctx, r.work.Body, held.bytes(), held.head.Version)
+	rating, err := d.Rater.Rate(ctx, r.request.Body, buffered.bytes(), buffered.head.Version)
 	if err != nil {
 		d.count("cascade.unrated")
 		d.Cascades.Unrated()
 		return false
 	}
-	r.rated = true
-	d.Evidence.Rated(held.head.Version, r.work.Organisation.Name, rating < quality)
+	r.alreadyRated = true
+	d.Evidence.Rated(buffered.head.Version, r.request.Organisation.Name, rating < quality)
 	good := rating >= quality
-	d.Cascades.Rated(r.work.Organisation.Name, cascade.Kind(len(r.work.Body)), held.head.Version.Model, good)
+	d.Cascades.Rated(r.request.Organisation.Name, cascade.Kind(len(r.request.Body)), buffered.head.Version.Model, good)
 	return good
 }
 
-// heldAnswer is a writer that keeps the answer until it is released.
-type heldAnswer struct {
+// bufferedResponse is a writer that keeps the answer until it is released.
+type bufferedResponse struct {
 	head   persimmoncross.Head
 	chunks [][]byte
 	size   int
 }
 
-func (h *heldAnswer) start(head persimmoncross.Head) error {
+func (h *bufferedResponse) start(head persimmoncross.Head) error {
 	h.head = head
 	h.chunks = nil // a retry starts over
 	h.size = 0
 	return nil
 }
 
-func (h *heldAnswer) write(chunk []byte) error {
+func (h *bufferedResponse) write(chunk []byte) error {
 	h.size += len(chunk)
-	if h.size > maxBuffered {
-		return errTooLarge
+	if h.size > maxRatedAnswerBytes {
+		return errAnswerTooLarge
 	}
 	h.chunks = append(h.chunks, chunk)
 	return nil
 }
 
-func (h *heldAnswer) committed() bool { return false }
+func (h *bufferedResponse) committed() bool { return false }
 
-func (h *heldAnswer) bytes() []byte {
+func (h *bufferedResponse) bytes() []byte {
 	var all []byte
 	for _, c := range h.chunks {
 		all = append(all, c...)
@@ -165,7 +165,7 @@
 	return all
 }
 
-func (h *heldAnswer) release(r *run) *persimmoncross.Refusal {
+func (h *bufferedResponse) sendTo(r *execution) *persimmoncross.Refusal {
 	if r.start(h.head) != nil {
 		return r.refuse(persimmoncross.CodeDeadline, "the caller is gone")
 	}
--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -83,27 +83,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEnv(t)
 			e.engines["engine-1"].SetFault(c.fault)
-			w := e.chat("small@1", tokens)
+			w := e.chatRequest("small@1", tokens)
 			if c.stall > 0 {
 				w.Stall = c.stall
 			}
 			s := e.serve(w)
-			if n := len(e.starts()); n != c.starts {
+			if n := len(e.startedRuns()); n != c.starts {
 				t.Errorf("%d runs began, want %d", n, c.starts)
 			}
 			if c.code != "" {
 				if s.refusal == nil || s.refusal.Code != c.code || s.refusal.Run != c.run {
 					t.Errorf("refusal %v", s.refusal)
 				}
-				if n := len(e.bills()); n != 0 {
+				if n := len(e.settledRequests()); n != 0 {
 					t.Errorf("%d bills for no answer", n)
 				}
 				return
 			}
-			if s.refusal != nil || s.text() != want(tokens) {
+			if s.refusal != nil || s.text() != wantText(tokens) {
 				t.Errorf("refusal %v, text %q", s.refusal, s.text())
 			}
-			bills := e.bills()
+			bills := e.settledRequests()
 			if len(bills) != 1 || len(bills[0].GetLines()) != 1 || bills[0].GetLines()[0].GetOutput() != tokens {
 				t.Errorf("bills %v", bills)
 			}
@@ -112,7 +112,7 @@
 }
 
 // A call that may not run twice is sent once, whatever becomes of it.
-func TestOnceOnlyIsSentOnce(t *testing.T) {
+func TestAtMostOnceCallIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		kind string
@@ -135,7 +135,7 @@
 			e.service.SetFault(standin.Fault{
 				Kind: c.kind,
 			})
-			w := e.call("POST", "/deposit")
+			w := e.serviceRequest("POST", "/deposit")
 			w.Key = "d1"
 			w.Stall = 100 * time.Millisecond
 			s := e.serve(w)
@@ -146,12 +146,12 @@
 			e.service.SetFault(standin.Fault{
 				Kind: standin.FaultNone,
 			})
-			again := e.call("POST", "/deposit")
+			again := e.serviceRequest("POST", "/deposit")
 			again.Key = "d1"
 			if s := e.serve(again); s.refusal == nil || s.refusal.Run == persimmoncross.NotRun {
 				t.Errorf("resend: refusal %v", s.refusal)
 			}
-			if n := len(e.starts()); n != 1 {
+			if n := len(e.startedRuns()); n != 1 {
 				t.Errorf("%d runs began, want 1", n)
 			}
 		})
@@ -160,20 +160,20 @@
 
 // Permission that ends while a request retries, climbs or moves on must be
 // seen before the next attempt.
-func TestPermissionEndsBetweenAttempts(t *testing.T) {
+func TestPermissionRevokedBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(e *env)
+		end  func(e *testEnv)
 		code persimmoncross.Code
 	}{
 		{
 			name: "withdrawn before a retry",
-			end:  func(e *env) { e.withdraw("small@1") },
+			end:  func(e *testEnv) { e.withdraw("small@1") },
 			code: persimmoncross.CodeVersionWithdrawn,
 		},
 		{
 			name: "denied before a retry",
-			end:  func(e *env) { e.apply(`, "deny": ["small@1"]`) },
+			end:  func(e *testEnv) { e.apply(`, "deny": ["small@1"]`) },
 			code: persimmoncross.CodeModelForbidden,
 		},
 	} {
@@ -182,11 +182,11 @@
 			e.engines["engine-1"].SetFault(standin.Fault{
 				Kind: standin.FaultHang,
 			})
-			w := e.chat("small@1", 5)
+			w := e.chatRequest("small@1", 5)
 			w.Stall = 300 * time.Millisecond
 			done := make(chan *fakeSink)
 			go func() { done <- e.serve(w) }()
-			for len(e.starts()) == 0 {
+			for len(e.startedRuns()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			c.end(e)
@@ -194,7 +194,7 @@
 			if s.refusal == nil || s.refusal.Code != c.code {
 				t.Errorf("refusal %v", s.refusal)
 			}
-			if n := len(e.starts()); n != 1 {
+			if n := len(e.startedRuns()); n != 1 {
 				t.Errorf("%d runs began", n)
 			}
 		})
@@ -204,11 +204,11 @@
 		e.service.SetFault(standin.Fault{
 			Kind: standin.FaultHang,
 		})
-		w := e.call("GET", "/items")
+		w := e.serviceRequest("GET", "/items")
 		w.Stall = 300 * time.Millisecond
 		done := make(chan *fakeSink)
 		go func() { done <- e.serve(w) }()
-		for len(e.starts()) == 0 {
+		for len(e.startedRuns()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		e.services = ""
@@ -217,19 +217,19 @@
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeServiceForbidden || s.refusal.Run == persimmoncross.NotRun {
 			t.Errorf("refusal %v", s.refusal)
 		}
-		if n := len(e.starts()); n != 1 {
+		if n := len(e.startedRuns()); n != 1 {
 			t.Errorf("%d runs began", n)
 		}
 	})
 	t.Run("denied before a climb", func(t *testing.T) {
 		e := newEnv(t)
-		e.rater.small = 0.1
-		e.rater.seen = func() { e.apply(`, "deny": ["large"]`) }
-		s := e.serve(e.chat("auto", 5))
+		e.rater.smallRating = 0.1
+		e.rater.onRate = func() { e.apply(`, "deny": ["large"]`) }
+		s := e.serve(e.chatRequest("auto", 5))
 		if s.refusal == nil || s.refusal.Run != persimmoncross.Ran {
 			t.Errorf("refusal %v", s.refusal)
 		}
-		for _, r := range e.starts() {
+		for _, r := range e.startedRuns() {
 			if r.Version == "large@1" {
 				t.Error("a run on the denied version")
 			}
@@ -237,13 +237,13 @@
 	})
 	t.Run("withdrawn before a climb", func(t *testing.T) {
 		e := newEnv(t)
-		e.rater.small = 0.1
-		e.rater.seen = func() { e.withdraw("large@1") }
-		s := e.serve(e.chat("auto", 5))
+		e.rater.smallRating = 0.1
+		e.rater.onRate = func() { e.withdraw("large@1") }
+		s := e.serve(e.chatRequest("auto", 5))
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeVersionWithdrawn || s.refusal.Run != persimmoncross.Ran {
 			t.Errorf("refusal %v", s.refusal)
 		}
-		for _, r := range e.starts() {
+		for _, r := range e.startedRuns() {
 			if r.Version == "large@1" {
 				t.Error("a run on the withdrawn version")
 			}
@@ -254,11 +254,11 @@
 		e.engines["engine-1"].SetFault(standin.Fault{
 			Kind: standin.FaultHang,
 		})
-		w := e.chat("small", 5)
+		w := e.chatRequest("small", 5)
 		w.Stall = 200 * time.Millisecond
 		done := make(chan *fakeSink)
 		go func() { done <- e.serve(w) }()
-		for len(e.starts()) == 0 {
+		for len(e.startedRuns()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		e.gate.set(nil, persimmoncross.Refuse(persimmoncross.CodeNoLease, "lapsed"))
@@ -266,7 +266,7 @@
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeNoLease || s.refusal.Run == persimmoncross.NotRun {
 			t.Errorf("refusal %v", s.refusal)
 		}
-		if n := len(e.starts()); n != 1 {
+		if n := len(e.startedRuns()); n != 1 {
 			t.Errorf("%d runs began", n)
 		}
 	})
@@ -301,13 +301,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newEnv(t)
-			e.rater.small = c.small
+			e.rater.smallRating = c.small
 			e.rater.err = c.err
-			s := e.serve(e.chat("auto", 8))
-			if s.refusal != nil || s.head.Version.String() != c.version || s.text() != want(8) {
+			s := e.serve(e.chatRequest("auto", 8))
+			if s.refusal != nil || s.head.Version.String() != c.version || s.text() != wantText(8) {
 				t.Errorf("refusal %v, version %s, text %q", s.refusal, s.head.Version, s.text())
 			}
-			if b := e.bills(); len(b) != 1 || len(b[0].GetLines()) != c.lines {
+			if b := e.settledRequests(); len(b) != 1 || len(b[0].GetLines()) != c.lines {
 				t.Errorf("bills %v", b)
 			}
 		})
@@ -316,10 +316,10 @@
 
 // The end of an answer waits for its settlement: without one the answer is not
 // shown as whole. The claim is closed once the ledger answers again.
-func TestEndWaitsForSettlement(t *testing.T) {
+func TestResponseEndsAfterSettlement(t *testing.T) {
 	e := newEnv(t)
-	e.ledger.before = func(c *record.Command) { e.ledger.down = c.GetSettle() != nil }
-	s := e.serve(e.chat("small", 5))
+	e.ledger.onCommand = func(c *record.Command) { e.ledger.unavailable = c.GetSettle() != nil }
+	s := e.serve(e.chatRequest("small", 5))
 	if s.refusal == nil || s.refusal.Code != persimmoncross.CodeLedgerUnavailable || s.refusal.Run != persimmoncross.Ran {
 		t.Errorf("refusal %v", s.refusal)
 	}
@@ -327,8 +327,8 @@
 		t.Fatalf("%d claims", n)
 	}
 	e.ledger.mu.Lock()
-	e.ledger.before = nil
-	e.ledger.down = false
+	e.ledger.onCommand = nil
+	e.ledger.unavailable = false
 	e.ledger.mu.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -339,42 +339,42 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(e.bills()); n != 0 {
+	if n := len(e.settledRequests()); n != 0 {
 		t.Errorf("%d bills for no answer", n)
 	}
 }
 
 // A caller without a key who leaves cancels the run and is billed for what was
 // generated; the run of one with a key goes on.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	t.Run("without a key", func(t *testing.T) {
 		e := newEnv(t)
 		e.engines["engine-1"].TokenTime = 2 * time.Millisecond
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &fakeSink{
-			goneAt:  25,
-			onWrite: func() {},
+			failAtChunk: 25,
+			onWrite:     func() {},
 		}
 		s.onWrite = func() {
 			if len(s.chunks) == 25 {
 				cancel()
 			}
 		}
-		e.dispatcher.Serve(ctx, e.chat("small@1", 5000), s)
-		bills := e.bills()
+		e.dispatcher.Serve(ctx, e.chatRequest("small@1", 5000), s)
+		bills := e.settledRequests()
 		if len(bills) != 1 || bills[0].GetOutcome() != "cancelled" || bills[0].GetLines()[0].GetOutput() != 25 {
 			t.Errorf("bills %v", bills)
 		}
-		for e.starts()[0].End == "" {
+		for e.startedRuns()[0].End == "" {
 			time.Sleep(time.Millisecond)
 		}
-		if r := e.starts()[0]; r.End != "cancelled" {
+		if r := e.startedRuns()[0]; r.End != "cancelled" {
 			t.Errorf("the run ended %q", r.End)
 		}
 	})
 	t.Run("with a key", func(t *testing.T) {
 		e := newEnv(t)
-		w := e.chat("small@1", 50)
+		w := e.chatRequest("small@1", 50)
 		w.Key = "k1"
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -385,18 +385,18 @@
 		again := *w
 		again.ID = "again"
 		s := e.serve(&again)
-		if s.refusal != nil || s.text() != want(50) || len(e.starts()) != 1 {
-			t.Errorf("refusal %v, %d runs", s.refusal, len(e.starts()))
+		if s.refusal != nil || s.text() != wantText(50) || len(e.startedRuns()) != 1 {
+			t.Errorf("refusal %v, %d runs", s.refusal, len(e.startedRuns()))
 		}
 	})
 }
 
 // A long answer to a request with a key takes bounded memory, and a reader that
 // comes too late is refused.
-func TestLongKeyedAnswer(t *testing.T) {
+func TestLongKeyedResponseUsesBoundedMemory(t *testing.T) {
 	const tokens = 20_000
 	e := newEnv(t)
-	w := e.chat("small@1", tokens)
+	w := e.chatRequest("small@1", tokens)
 	w.Key = "long"
 	late := &fakeSink{}
 	first := &fakeSink{}
@@ -410,13 +410,13 @@
 		}
 	}
 	// The run must not end before the late reader has asked.
-	e.ledger.before = func(c *record.Command) {
+	e.ledger.onCommand = func(c *record.Command) {
 		if c.GetSettle() != nil {
 			<-asked
 		}
 	}
 	e.dispatcher.Serve(t.Context(), w, first)
-	if first.refusal != nil || first.text() != want(tokens) {
+	if first.refusal != nil || first.text() != wantText(tokens) {
 		t.Errorf("refusal %v, %d bytes", first.refusal, len(first.text()))
 	}
 	if late.refusal == nil || late.refusal.Code != persimmoncross.CodeAnswerLost {
@@ -429,11 +429,11 @@
 func TestConnectionDoesNotResend(t *testing.T) {
 	e := newEnv(t)
 	// A connection is kept alive, then the service cuts the next call on it.
-	e.serve(e.call("GET", "/ping"))
+	e.serve(e.serviceRequest("GET", "/ping"))
 	e.service.SetFault(standin.Fault{
 		Kind: standin.FaultCut,
 	})
-	w := e.call("PUT", "/thing")
+	w := e.serviceRequest("PUT", "/thing")
 	w.Key = "put-1"
 	w.Once = true
 	e.serve(w)
@@ -449,7 +449,7 @@
 }
 
 // A version that fails at an engine must not take the engine from the others.
-func TestCircuitIsOfOneVersion(t *testing.T) {
+func TestCircuitBreakerIsPerVersion(t *testing.T) {
 	e := newEnv(t)
 	e.engines["engine-1"].SetFault(standin.Fault{
 		Kind:    standin.FaultErrors,
@@ -465,7 +465,7 @@
 		return n
 	}
 	for range 20 {
-		if s := e.serve(e.chat("small@2", 1)); s.refusal != nil {
+		if s := e.serve(e.chatRequest("small@2", 1)); s.refusal != nil {
 			t.Fatal(s.refusal)
 		}
 	}
@@ -473,7 +473,7 @@
 		t.Errorf("%d runs of the failing version before the circuit opened, want 5", n)
 	}
 	for range 3 {
-		e.serve(e.chat("small@1", 1))
+		e.serve(e.chatRequest("small@1", 1))
 	}
 	if n := at("small@1"); n != 3 {
 		t.Errorf("%d runs of the good version at the engine, want 3", n)
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -19,8 +19,8 @@
 	"persimmoncross/core/state/settings"
 )
 
-// settleGrace is how long past its deadline a request may wait for the ledger.
-const settleGrace = 10 * time.Second
+// settleGracePeriod is how long past its deadline a request may wait for the ledger.
+const settleGracePeriod = 10 * time.Second
 
 // Evidence learns how versions do, and limits new work on those being rolled
 // out.
@@ -57,62 +57,62 @@
 	Log       zerolog.Logger
 	Random    *rand.Rand
 
-	recordings recordings
-	ratings    chan rating // answers that wait for the rater
-	late       chan *record.Settle
-	pins       pinCache
+	sharedResponses sharedResponses
+	ratingQueue     chan ratingRequest // answers that wait for the rater
+	lateSettlements chan *record.Settle
+	pinnedVersions  pinCache
 
-	mu      sync.Mutex // guards Random and all below
-	running int
-	budget  retry.Window
+	mu          sync.Mutex // guards Random and all below
+	inFlight    int
+	retryBudget retry.Window
 }
 
 // Of the retries that all organisations' requests share.
 const (
-	retryWindow = 10 * time.Second
-	retryFloor  = 10 // in a window, where hardly any traffic comes
+	retryBudgetWindow   = 10 * time.Second
+	minRetriesPerWindow = 10 // in a window, where hardly any traffic comes
 )
 
-// countRequest lets the retries grow by a request of the organisation.
-func (d *Dispatcher) countRequest(o *settings.Organisation) {
+// creditRetryBudget lets the retries grow by a request of the organisation.
+func (d *Dispatcher) creditRetryBudget(o *settings.Organisation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.window().Request(o.Retries, d.Clock.Now())
+	d.retryBudgetLocked().Request(o.Retries, d.Clock.Now())
 }
 
-// mayRetry takes a retry out, and reports whether there was one.
-func (d *Dispatcher) mayRetry() bool {
+// takeRetry takes a retry out, and reports whether there was one.
+func (d *Dispatcher) takeRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.window().Retry(d.Clock.Now())
+	return d.retryBudgetLocked().Retry(d.Clock.Now())
 }
 
-// window returns the retries' window. The caller holds mu.
-func (d *Dispatcher) window() *retry.Window {
-	d.budget.Length = retryWindow
-	d.budget.Floor = retryFloor
-	return &d.budget
+// retryBudgetLocked returns the retries' retryBudgetLocked. The caller holds mu.
+func (d *Dispatcher) retryBudgetLocked() *retry.Window {
+	d.retryBudget.Length = retryBudgetWindow
+	d.retryBudget.Floor = minRetriesPerWindow
+	return &d.retryBudget
 }
 
 // Serve runs the request and hands its answer, or its refusal, to the sink.
 func (d *Dispatcher) Serve(ctx context.Context, w *Work, sink persimmoncross.Sink) {
 	d.count("requests")
-	d.enter(1)
-	defer d.enter(-1)
-	counted := &countingSink{
+	d.addInFlight(1)
+	defer d.addInFlight(-1)
+	countedSink := &countingSink{
 		Sink:       sink,
 		dispatcher: d,
-		work:       w,
+		request:    w,
 	}
 	if refusal := d.Gate.Admit(); refusal != nil {
-		counted.End(refusal)
+		countedSink.End(refusal)
 		return
 	}
-	if refusal := d.permitted(w); refusal != nil {
-		counted.End(refusal)
+	if refusal := d.checkPermission(w); refusal != nil {
+		countedSink.End(refusal)
 		return
 	}
-	leave, refusal := d.Limits.Enter(w.Organisation.Name, limits.Bounds{
+	release, refusal := d.Limits.Enter(w.Organisation.Name, limits.Bounds{
 		Pool:        w.Name,
 		Capacity:    d.capacity(w),
 		Rate:        w.Organisation.Rate,
@@ -120,18 +120,18 @@
 		Concurrency: w.Organisation.Concurrency,
 	})
 	if refusal != nil {
-		counted.End(refusal)
+		countedSink.End(refusal)
 		return
 	}
-	defer leave()
-	d.countRequest(w.Organisation)
+	defer release()
+	d.creditRetryBudget(w.Organisation)
 	if w.Key != "" {
-		d.serveKeyed(ctx, w, counted)
+		d.serveKeyed(ctx, w, countedSink)
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, w.Deadline)
 	defer cancel()
-	d.run(ctx, w, counted)
+	d.execute(ctx, w, countedSink)
 }
 
 // capacity returns how many requests the upstreams that the request may use
@@ -152,53 +152,53 @@
 // connection and ask again: the run goes on, and every caller with the same
 // key gets the same recording.
 func (d *Dispatcher) serveKeyed(ctx context.Context, w *Work, sink persimmoncross.Sink) {
-	rec, created := d.recordings.open(w)
-	if rec == nil {
+	response, created := d.sharedResponses.getOrCreate(w)
+	if response == nil {
 		sink.End(persimmoncross.Refuse(persimmoncross.CodeKeyReused, "the key was used for another request"))
 		return
 	}
 	if created {
-		d.enter(1)
+		d.addInFlight(1)
 		go func() {
-			defer d.enter(-1)
-			defer d.recordings.close(w, rec)
-			run, cancel := context.WithDeadline(context.WithoutCancel(ctx), w.Deadline)
+			defer d.addInFlight(-1)
+			defer d.sharedResponses.close(w, response)
+			runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), w.Deadline)
 			defer cancel()
-			d.run(run, w, rec)
+			d.execute(runCtx, w, response)
 		}()
 	}
-	rec.copyTo(ctx, sink)
+	response.streamTo(ctx, sink)
 }
 
 // Prepare makes what requests share. It comes before the first request.
 func (d *Dispatcher) Prepare() {
-	d.ratings = make(chan rating, ratingRing)
-	d.late = make(chan *record.Settle, lateRing)
+	d.ratingQueue = make(chan ratingRequest, maxQueuedRatings)
+	d.lateSettlements = make(chan *record.Settle, maxLateSettlements)
 }
 
 // Running returns the number of requests being served or run.
 func (d *Dispatcher) Running() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.running
+	return d.inFlight
 }
 
-func (d *Dispatcher) enter(n int) {
+func (d *Dispatcher) addInFlight(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.running += n
+	d.inFlight += n
 }
 
 // Follow copies the answer of a request that runs here, for another VM's
 // caller. It returns false if the request doesn't run here.
 func (d *Dispatcher) Follow(ctx context.Context, organisation, key string, sink persimmoncross.Sink) bool {
-	rec := d.recordings.find(organisation, key)
-	if rec == nil {
+	response := d.sharedResponses.find(organisation, key)
+	if response == nil {
 		return false
 	}
-	d.enter(1) // a planned stop waits for the copy too
-	defer d.enter(-1)
-	rec.copyTo(ctx, sink)
+	d.addInFlight(1) // a planned stop waits for the copy too
+	defer d.addInFlight(-1)
+	response.streamTo(ctx, sink)
 	return true
 }
 
@@ -210,7 +210,7 @@
 type countingSink struct {
 	persimmoncross.Sink
 	dispatcher *Dispatcher
-	work       *Work
+	request    *Work
 	head       persimmoncross.Head
 }
 
@@ -230,9 +230,9 @@
 	} else {
 		d.count("answered")
 	}
-	line.Str("request", s.work.ID).
-		Str("organisation", s.work.Organisation.Name).
-		Str("name", s.work.Name).
+	line.Str("request", s.request.ID).
+		Str("organisation", s.request.Organisation.Name).
+		Str("name", s.request.Name).
 		Str("attempt", s.head.Attempt).
 		Str("version", s.head.Version.String()).
 		Uint64("revision", d.Settings().Revision).
--- a/core/coordination/dispatch/env_test.go
+++ b/core/coordination/dispatch/env_test.go
@@ -31,9 +31,9 @@
 	"persimmoncross/io/transport/engine"
 )
 
-// env is a dispatcher with a ledger in memory, between stand-in upstreams and a
+// testEnv is a dispatcher with a ledger in memory, between stand-in upstreams and a
 // sink that the test reads.
-type env struct {
+type testEnv struct {
 	t          *testing.T
 	dispatcher *dispatch.Dispatcher
 	state      *settings.State
@@ -43,17 +43,17 @@
 	engines    map[string]*standin.Engine
 	service    *standin.Service
 	addresses  map[string]string
-	changes    int
+	sequence   int
 	services   string // that the organisation may call
 }
 
 // fakeLedger applies commands at once, unless it is down.
 type fakeLedger struct {
-	mu      sync.Mutex // guards all below
-	machine *ledger.Ledger
-	index   uint64
-	down    bool
-	before  func(c *record.Command) // called before each command; may be nil
+	mu          sync.Mutex // guards all below
+	machine     *ledger.Ledger
+	index       uint64
+	unavailable bool
+	onCommand   func(c *record.Command) // called before each command; may be nil
 }
 
 func (l *fakeLedger) Propose(_ context.Context, command []byte) ([]byte, error) {
@@ -63,10 +63,10 @@
 	if err := proto.Unmarshal(command, c); err != nil {
 		return nil, err
 	}
-	if l.before != nil {
-		l.before(c)
+	if l.onCommand != nil {
+		l.onCommand(c)
 	}
-	if l.down {
+	if l.unavailable {
 		return nil, errors.New("no quorum")
 	}
 	l.index++
@@ -106,35 +106,35 @@
 
 // fakeRater gives the small model's answers one rating, all others a good one.
 type fakeRater struct {
-	mu    sync.Mutex // guards all below
-	small float64
-	err   error
-	seen  func() // called at each rating; may be nil
+	mu          sync.Mutex // guards all below
+	smallRating float64
+	err         error
+	onRate      func() // called at each rating; may be nil
 }
 
 func (r *fakeRater) Rate(_ context.Context, _, _ []byte, v persimmoncross.Version) (float64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.seen != nil {
-		r.seen()
+	if r.onRate != nil {
+		r.onRate()
 	}
 	if v.Model == "small" {
-		return r.small, r.err
+		return r.smallRating, r.err
 	}
 	return 0.9, r.err
 }
 
-// noJoiner stands for an owner that is gone.
-type noJoiner struct{}
+// failingJoiner stands for an owner that is gone.
+type failingJoiner struct{}
 
-func (noJoiner) Join(context.Context, string, string, string, persimmoncross.Sink) error {
+func (failingJoiner) Join(context.Context, string, string, string, persimmoncross.Sink) error {
 	return errors.New("gone")
 }
 
-// firstInOrder places at the first candidate, so that tests know which.
-type firstInOrder struct{}
+// firstCandidate places at the first candidate, so that tests know which.
+type firstCandidate struct{}
 
-func (firstInOrder) Place([]persimmoncross.Candidate, int) int { return 0 }
+func (firstCandidate) Place([]persimmoncross.Candidate, int) int { return 0 }
 
 const envSettings = `{
   "models": {
@@ -154,14 +154,14 @@
   },
 }`
 
-func newEnv(t *testing.T) *env {
+func newEnv(t *testing.T) *testEnv {
 	t.Helper()
-	e := &env{
+	e := &testEnv{
 		t:     t,
 		state: settings.NewState(),
 		gate:  &fakeGate{},
 		rater: &fakeRater{
-			small: 0.9,
+			smallRating: 0.9,
 		},
 		engines:   map[string]*standin.Engine{},
 		service:   &standin.Service{},
@@ -179,13 +179,13 @@
 		e.engines[name] = &standin.Engine{
 			Versions: versions,
 		}
-		e.listen(name, httptest.NewServer(e.engines[name].Handler()))
+		e.addServer(name, httptest.NewServer(e.engines[name].Handler()))
 	}
-	e.listen("stock-1", httptest.NewServer(e.service.Handler()))
+	e.addServer("stock-1", httptest.NewServer(e.service.Handler()))
 	clock := persimmoncross.SystemClock{}
 	table := &routing.Table{
 		Clock:   clock,
-		Placer:  firstInOrder{},
+		Placer:  firstCandidate{},
 		Entries: func() int { return 1 },
 	}
 	e.state.Observe = table.Update
@@ -206,7 +206,7 @@
 			Entries: func() int { return 1 },
 		},
 		Rater:    e.rater,
-		Joiner:   noJoiner{},
+		Joiner:   failingJoiner{},
 		Cascades: &cascade.Estimator{},
 		Evidence: &rollout.Evidence{
 			Clock: clock,
@@ -220,7 +220,7 @@
 	return e
 }
 
-func (e *env) listen(name string, s *httptest.Server) {
+func (e *testEnv) addServer(name string, s *httptest.Server) {
 	e.addresses[name] = netip.MustParseAddrPort(s.Listener.Addr().String()).String()
 	e.t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -229,29 +229,29 @@
 }
 
 // apply takes the settings into force, with more fields for the organisation.
-func (e *env) apply(more string) {
+func (e *testEnv) apply(more string) {
 	text := strings.NewReplacer("<key>", settings.HashKey("k"), "<more>", more, "<services>", e.services).Replace(envSettings)
 	for name, a := range e.addresses {
 		text = strings.ReplaceAll(text, "<"+name+">", a)
 	}
-	e.change(&record.Change{
+	e.applyChange(&record.Change{
 		File: []byte(text),
 	})
 }
 
-func (e *env) withdraw(version string) {
-	e.change(&record.Change{
+func (e *testEnv) withdraw(version string) {
+	e.applyChange(&record.Change{
 		Withdraw: version,
 	})
 }
 
-func (e *env) change(c *record.Change) {
-	e.changes++
-	c.Id = fmt.Sprint(e.changes)
+func (e *testEnv) applyChange(c *record.Change) {
+	e.sequence++
+	c.Id = fmt.Sprint(e.sequence)
 	c.Any = true
 	r := &record.Result{}
 	raw := e.state.Apply(persimmoncross.Entry{
-		Index: uint64(e.changes),
+		Index: uint64(e.sequence),
 		Data:  record.Encode(c),
 	})
 	if err := proto.Unmarshal(raw, r); err != nil || r.GetError() != "" {
@@ -259,15 +259,15 @@
 	}
 }
 
-// chat returns a chat request.
-func (e *env) chat(model string, tokens int) *dispatch.Work {
+// chatRequest returns a chatRequest request.
+func (e *testEnv) chatRequest(model string, tokens int) *dispatch.Work {
 	o, ok := e.state.Current().Organisation("k")
 	if !ok {
 		e.t.Fatal("no organisation")
 	}
-	e.changes++
+	e.sequence++
 	return &dispatch.Work{
-		ID:           fmt.Sprintf("request-%d", e.changes),
+		ID:           fmt.Sprintf("request-%d", e.sequence),
 		Organisation: o,
 		Name:         model,
 		Stream:       true,
@@ -277,9 +277,9 @@
 	}
 }
 
-// call returns a plain service's call.
-func (e *env) call(method, path string) *dispatch.Work {
-	w := e.chat("stock", 0)
+// serviceRequest returns a plain service's serviceRequest.
+func (e *testEnv) serviceRequest(method, path string) *dispatch.Work {
+	w := e.chatRequest("stock", 0)
 	w.Stream = false
 	w.Service = e.state.Current().Services["stock"]
 	w.Method = method
@@ -291,12 +291,12 @@
 
 // fakeSink keeps what a caller would get.
 type fakeSink struct {
-	head    persimmoncross.Head
-	chunks  []string
-	ends    int
-	refusal *persimmoncross.Refusal
-	goneAt  int    // the caller leaves at this chunk; 0 is never
-	onWrite func() // called at each chunk; may be nil
+	head        persimmoncross.Head
+	chunks      []string
+	ends        int
+	refusal     *persimmoncross.Refusal
+	failAtChunk int    // the caller leaves at this chunk; 0 is never
+	onWrite     func() // called at each chunk; may be nil
 }
 
 func (s *fakeSink) Start(h persimmoncross.Head) error {
@@ -309,7 +309,7 @@
 	if s.onWrite != nil {
 		s.onWrite()
 	}
-	if s.goneAt > 0 && len(s.chunks) >= s.goneAt {
+	if s.failAtChunk > 0 && len(s.chunks) >= s.failAtChunk {
 		return io.ErrClosedPipe
 	}
 	return nil
@@ -333,7 +333,7 @@
 	return b.String()
 }
 
-func want(tokens int) string {
+func wantText(tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		fmt.Fprintf(&b, "t%d ", i)
@@ -342,7 +342,7 @@
 }
 
 // serve runs the request to its end.
-func (e *env) serve(w *dispatch.Work) *fakeSink {
+func (e *testEnv) serve(w *dispatch.Work) *fakeSink {
 	s := &fakeSink{}
 	e.dispatcher.Serve(e.t.Context(), w, s)
 	if s.ends != 1 {
@@ -351,8 +351,8 @@
 	return s
 }
 
-// starts returns every run that an upstream began.
-func (e *env) starts() []standin.Run {
+// startedRuns returns every run that an upstream began.
+func (e *testEnv) startedRuns() []standin.Run {
 	var all []standin.Run
 	for _, n := range []string{"engine-1", "engine-2", "engine-3"} {
 		all = append(all, e.engines[n].Book.Runs()...)
@@ -360,11 +360,11 @@
 	return append(all, e.service.Book.Runs()...)
 }
 
-// bills returns the settled requests.
-func (e *env) bills() []*record.Request { return e.ledger.machine.Bills(0, 1000) }
+// settledRequests returns the settled requests.
+func (e *testEnv) settledRequests() []*record.Request { return e.ledger.machine.Bills(0, 1000) }
 
-// boundsOf returns the organisation's bounds, for a test that uses them up.
-func boundsOf(e *env) limits.Bounds {
+// quotaOf returns the organisation's bounds, for a test that uses them up.
+func quotaOf(e *testEnv) limits.Bounds {
 	o, _ := e.state.Current().Organisation("k")
 	return limits.Bounds{
 		Rate:        o.Rate,
--- a/core/coordination/dispatch/hold.go
+++ b/core/coordination/dispatch/hold.go
@@ -10,37 +10,37 @@
 	"persimmoncross/core/coordination/routing"
 )
 
-// asked names what the request asks for, whatever id and key it has.
-func (w *Work) asked() persimmoncross.Digest {
+// quarantineDigest names what the request asks for, whatever id and key it has.
+func (w *Work) quarantineDigest() persimmoncross.Digest {
 	return quarantine.DigestOf(w.Organisation.Name, w.Method, w.Name, w.Path, sha256.Sum256(w.Body))
 }
 
-// stage returns what is done with the request for what it does to upstreams.
-func (r *run) stage() persimmoncross.HoldStage {
-	return r.copy.Stage(r.dispatcher.Keeper.Hold(r.copy.Digest), r.ran != persimmoncross.NotRun)
+// quarantineStage returns what is done with the request for what it does to upstreams.
+func (r *execution) quarantineStage() persimmoncross.HoldStage {
+	return r.copy.Stage(r.dispatcher.Keeper.Hold(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
 }
 
-// heldBack refuses a request that ends upstreams: at once, and as not run only if it
+// checkQuarantine refuses a request that ends upstreams: at once, and as not run only if it
 // has not.
-func (r *run) heldBack() *persimmoncross.Refusal {
-	if r.stage() != persimmoncross.HoldRefuse {
+func (r *execution) checkQuarantine() *persimmoncross.Refusal {
+	if r.quarantineStage() != persimmoncross.HoldRefuse {
 		return nil
 	}
 	d := r.dispatcher
 	d.count("quarantine.refused")
 	d.Book.Asked(r.copy.Digest, r.copy.Service, d.Clock.Now())
-	if r.ran != persimmoncross.NotRun {
+	if r.runStatus != persimmoncross.NotRun {
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "upstreams end under requests like this one")
 	}
-	d.Log.Info().Str("request", r.work.ID).Stringer("digest", r.copy.Digest).Msg("refused: upstreams end under this request")
+	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("refused: upstreams end under this request")
 	return r.refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").After(quarantine.RefusedFor)
 }
 
-// apart adds to a choice what requests under suspicion make of it.
-func (r *run) apart(c routing.Choice) routing.Choice {
+// addIsolation adds to a choice what requests under suspicion make of it.
+func (r *execution) addIsolation(c routing.Choice) routing.Choice {
 	d := r.dispatcher
 	c.Apart = d.Keeper.Apart(r.copy.Service)
-	if r.stage() == persimmoncross.HoldWatch {
+	if r.quarantineStage() == persimmoncross.HoldWatch {
 		d.count("quarantine.watched")
 		d.Book.Asked(r.copy.Digest, r.copy.Service, d.Clock.Now())
 		c.Alone = r.copy.Digest
@@ -48,25 +48,25 @@
 	return c
 }
 
-// explain tells the book how a run ended, and lets it be found out whether an
+// recordForQuarantine tells the book how a run ended, and lets it be found out whether an
 // upstream that cut it has ended.
-func (r *run) explain(ctx context.Context, record *quarantine.Run, u *routing.Upstream, err error) {
+func (r *execution) recordForQuarantine(ctx context.Context, quarantineRun *quarantine.Run, u *routing.Upstream, err error) {
 	d := r.dispatcher
 	now := d.Clock.Now()
 	var a *persimmoncross.AttemptError
 	switch {
 	case err == nil:
-		record.Whole(now)
+		quarantineRun.Whole(now)
 		return
 	case ctx.Err() != nil || !errors.As(err, &a) || !a.Cut:
-		record.Over(now)
+		quarantineRun.Over(now)
 		return
-	case !record.Cut(now):
+	case !quarantineRun.Cut(now):
 		return
 	}
 	d.count("quarantine.probed")
 	go func() {
-		blamed, gone := record.Look(ctx, d.Prober, u.Address, d.Clock)
+		blamed, gone := quarantineRun.Look(ctx, d.Prober, u.Address, d.Clock)
 		if !gone {
 			d.count("quarantine.lived")
 			return
--- a/core/coordination/dispatch/pins.go
+++ b/core/coordination/dispatch/pins.go
@@ -10,8 +10,8 @@
 	"persimmoncross/core/state/settings"
 )
 
-// pinCacheSize bounds the sessions whose pins one entry remembers.
-const pinCacheSize = 50_000
+// maxCachedPins bounds the sessions whose pins one entry remembers.
+const maxCachedPins = 50_000
 
 // pinCache remembers pins that the ledger has committed. A pin changes only
 // when its version is withdrawn, so a remembered one stays right until the
@@ -22,26 +22,26 @@
 }
 
 type cachedPin struct {
-	version persimmoncross.Version
-	until   time.Time
+	version   persimmoncross.Version
+	expiresAt time.Time
 }
 
 func (c *pinCache) get(k [3]string, now time.Time) (persimmoncross.Version, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.pins[k]
-	return p.version, ok && now.Before(p.until)
+	return p.version, ok && now.Before(p.expiresAt)
 }
 
 func (c *pinCache) put(k [3]string, v persimmoncross.Version, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pins == nil || len(c.pins) >= pinCacheSize {
+	if c.pins == nil || len(c.pins) >= maxCachedPins {
 		c.pins = map[[3]string]cachedPin{}
 	}
 	c.pins[k] = cachedPin{
-		version: v,
-		until:   until,
+		version:   v,
+		expiresAt: until,
 	}
 }
 
@@ -49,14 +49,14 @@
 	return [3]string{w.Organisation.Name, w.Session, model}
 }
 
-// pinFor returns the command that pins the session for the step, nil if the
+// choosePin returns the command that pins the session for the step, nil if the
 // request has no session or its pin is known and still permitted.
-func (d *Dispatcher) pinFor(s *settings.Snapshot, w *Work, step persimmoncross.Version) (*record.Pin, persimmoncross.Version, bool) {
-	proposed, ok := d.draw(s, w.Organisation.Name, step)
+func (d *Dispatcher) choosePin(s *settings.Snapshot, w *Work, step persimmoncross.Version) (*record.Pin, persimmoncross.Version, bool) {
+	proposed, ok := d.pickVersion(s, w.Organisation.Name, step)
 	if !ok || w.Session == "" || step.Pinned() {
 		return nil, proposed, ok
 	}
-	known, cached := d.pins.get(pinKey(w, step.Model), d.Clock.Now())
+	known, cached := d.pinnedVersions.get(pinKey(w, step.Model), d.Clock.Now())
 	if cached && s.May(w.Organisation.Name, known) {
 		return nil, known, true
 	}
@@ -78,38 +78,38 @@
 	}
 }
 
-// pinned takes the version that the ledger gave for a pin. If that one has
+// resolvePin takes the version that the ledger gave for a pin. If that one has
 // been withdrawn, the session is moved, once and for all entries.
-func (d *Dispatcher) pinned(ctx context.Context, w *Work, p *record.Pin, text string) (persimmoncross.Version, *persimmoncross.Refusal) {
-	given := persimmoncross.ParseVersion(text)
+func (d *Dispatcher) resolvePin(ctx context.Context, w *Work, p *record.Pin, versionText string) (persimmoncross.Version, *persimmoncross.Refusal) {
+	assigned := persimmoncross.ParseVersion(versionText)
 	s := d.Settings()
-	if s.Withdrawn[given] && p.GetMoved() != text {
-		proposed, ok := d.draw(s, w.Organisation.Name, persimmoncross.ParseVersion(p.GetModel()))
+	if s.Withdrawn[assigned] && p.GetMoved() != versionText {
+		proposed, ok := d.pickVersion(s, w.Organisation.Name, persimmoncross.ParseVersion(p.GetModel()))
 		if !ok {
-			return given, d.noVersion(w, given)
+			return assigned, d.noVersionRefusal(w, assigned)
 		}
 		move := d.newPin(w, p.GetModel(), proposed)
-		move.Moved = text
+		move.Moved = versionText
 		return d.commitPin(ctx, w, move)
 	}
-	if !s.May(w.Organisation.Name, given) {
-		return given, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "the session runs on %q, which %s may not use", given, w.Organisation.Name)
+	if !s.May(w.Organisation.Name, assigned) {
+		return assigned, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "the session runs on %q, which %s may not use", assigned, w.Organisation.Name)
 	}
 	until := d.Clock.Now().Add(w.Organisation.Idle / 2)
-	d.pins.put(pinKey(w, p.GetModel()), given, until)
-	return given, nil
+	d.pinnedVersions.put(pinKey(w, p.GetModel()), assigned, until)
+	return assigned, nil
 }
 
 // commitPin commits a pin apart from a claim.
 func (d *Dispatcher) commitPin(ctx context.Context, w *Work, p *record.Pin) (persimmoncross.Version, *persimmoncross.Refusal) {
-	v, refusal := d.command(ctx, &record.Command{
+	v, refusal := d.proposeCommand(ctx, &record.Command{
 		Pin: p,
 	})
 	if refusal != nil {
 		return persimmoncross.Version{}, refusal
 	}
 	if v.GetState() == record.State_FULL {
-		return persimmoncross.Version{}, fullLedger()
+		return persimmoncross.Version{}, ledgerFullRefusal()
 	}
-	return d.pinned(ctx, w, p, v.GetVersion())
+	return d.resolvePin(ctx, w, p, v.GetVersion())
 }
--- a/core/coordination/dispatch/plan.go
+++ b/core/coordination/dispatch/plan.go
@@ -8,34 +8,34 @@
 	"persimmoncross/core/state/settings"
 )
 
-// permitted refuses what the organisation may not use, before anything runs.
-func (d *Dispatcher) permitted(w *Work) *persimmoncross.Refusal {
+// checkPermission refuses what the organisation may not use, before anything runs.
+func (d *Dispatcher) checkPermission(w *Work) *persimmoncross.Refusal {
 	if w.Service != nil {
-		return d.mayCall(w)
+		return d.checkServicePermission(w)
 	}
-	_, refusal := d.steps(d.Settings(), w)
+	_, refusal := d.permittedSteps(d.Settings(), w)
 	return refusal
 }
 
-// mayCall refuses a plain service's call that is not permitted now.
-func (d *Dispatcher) mayCall(w *Work) *persimmoncross.Refusal {
+// checkServicePermission refuses a plain service's call that is not permitted now.
+func (d *Dispatcher) checkServicePermission(w *Work) *persimmoncross.Refusal {
 	if d.Settings().Named(w.Organisation.Name).Services[w.Service.Name] {
 		return nil
 	}
 	return persimmoncross.Refuse(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, w.Service.Name)
 }
 
-// noVersion refuses a step that has no version to run on now.
-func (d *Dispatcher) noVersion(w *Work, step persimmoncross.Version) *persimmoncross.Refusal {
-	if mayUse(d.Settings().Named(w.Organisation.Name), step) {
+// noVersionRefusal refuses a step that has no version to run on now.
+func (d *Dispatcher) noVersionRefusal(w *Work, step persimmoncross.Version) *persimmoncross.Refusal {
+	if isAllowed(d.Settings().Named(w.Organisation.Name), step) {
 		return persimmoncross.Refuse(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", step)
 	}
 	return persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, step)
 }
 
-// steps returns the steps of what was asked for that the organisation may use.
+// permittedSteps returns the permittedSteps of what was asked for that the organisation may use.
 // A step without a version stands for any permitted version of its model.
-func (d *Dispatcher) steps(s *settings.Snapshot, w *Work) ([]persimmoncross.Version, *persimmoncross.Refusal) {
+func (d *Dispatcher) permittedSteps(s *settings.Snapshot, w *Work) ([]persimmoncross.Version, *persimmoncross.Refusal) {
 	_, cascade := s.File.Cascades[w.Name]
 	named := persimmoncross.ParseVersion(w.Name)
 	if m, ok := s.File.Models[named.Model]; !cascade && (!ok || named.Pinned() && m.Versions[named.Name] == nil) {
@@ -50,7 +50,7 @@
 		if len(permittedVersions(s, w.Organisation.Name, step)) > 0 {
 			steps = append(steps, step)
 		}
-		allowed = allowed || mayUse(s.Named(w.Organisation.Name), step)
+		allowed = allowed || isAllowed(s.Named(w.Organisation.Name), step)
 	}
 	switch {
 	case len(steps) > 0:
@@ -61,9 +61,9 @@
 	return nil, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.Name)
 }
 
-// mayUse reports whether the organisation is allowed the version, or a version
+// isAllowed reports whether the organisation is allowed the version, or a version
 // of the model, withdrawn or not.
-func mayUse(o *settings.Organisation, step persimmoncross.Version) bool {
+func isAllowed(o *settings.Organisation, step persimmoncross.Version) bool {
 	for v := range o.Versions {
 		if v == step || !step.Pinned() && v.Model == step.Model {
 			return true
@@ -84,10 +84,10 @@
 	return list
 }
 
-// draw chooses one of the step's permitted versions by their weights in force.
-// If the one drawn is being rolled out and may get no more work now, the draw
+// pickVersion chooses one of the step's permitted versions by their weights in force.
+// If the one drawn is being rolled out and may get no more work now, the pickVersion
 // is among the others; it gets the work only if there is no other.
-func (d *Dispatcher) draw(s *settings.Snapshot, organisation string, step persimmoncross.Version) (persimmoncross.Version, bool) {
+func (d *Dispatcher) pickVersion(s *settings.Snapshot, organisation string, step persimmoncross.Version) (persimmoncross.Version, bool) {
 	permitted := permittedVersions(s, organisation, step)
 	if len(permitted) == 0 {
 		return persimmoncross.Version{}, false
@@ -101,7 +101,7 @@
 		usable = permitted
 	}
 	for len(usable) > 1 {
-		i := d.drawOne(usable, weights)
+		i := d.pickByWeight(usable, weights)
 		if d.Evidence.Expose(usable[i]) {
 			return usable[i], true
 		}
@@ -111,8 +111,8 @@
 	return usable[0], true
 }
 
-// drawOne returns the index of one of the versions, by weight.
-func (d *Dispatcher) drawOne(usable []persimmoncross.Version, weights map[persimmoncross.Version]int) int {
+// pickByWeight returns the index of one of the versions, by weight.
+func (d *Dispatcher) pickByWeight(usable []persimmoncross.Version, weights map[persimmoncross.Version]int) int {
 	total := 0
 	for _, v := range usable {
 		total += max(1, weights[v])
--- a/core/coordination/dispatch/rating.go
+++ b/core/coordination/dispatch/rating.go
@@ -10,53 +10,53 @@
 
 // Bounds of the ratings that roll-outs ask for.
 const (
-	ratingRing = 256
-	ratingWait = 10 * time.Second
+	maxQueuedRatings = 256
+	ratingTimeout    = 10 * time.Second
 )
 
-// rating is an answer that is to be rated for a roll-out.
-type rating struct {
-	version      persimmoncross.Version
-	organisation string
-	quality      float64
-	question     []byte
-	answer       []byte
+// ratingRequest is an answer that is to be rated for a roll-out.
+type ratingRequest struct {
+	version          persimmoncross.Version
+	organisation     string
+	qualityThreshold float64
+	question         []byte
+	answer           []byte
 }
 
-// sample begins to keep the answer, if the roll-outs want it rated. A
+// startSampling begins to keep the answer, if the roll-outs want it rated. A
 // cascade's held answers were rated already.
-func (r *run) sample(v persimmoncross.Version) {
+func (r *execution) startSampling(v persimmoncross.Version) {
 	d := r.dispatcher
-	if d.Rater == nil || v.Model == "" || r.rated || !d.Evidence.Sample(v) {
+	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.Evidence.Sample(v) {
 		return
 	}
-	r.sampled = &rating{
-		version:      v,
-		organisation: r.work.Organisation.Name,
-		quality:      r.work.Organisation.Quality,
-		question:     r.work.Body,
+	r.ratingSample = &ratingRequest{
+		version:          v,
+		organisation:     r.request.Organisation.Name,
+		qualityThreshold: r.request.Organisation.Quality,
+		question:         r.request.Body,
 	}
 }
 
-func (r *run) sampleChunk(chunk []byte) {
-	if r.sampled == nil {
+func (r *execution) sampleChunk(chunk []byte) {
+	if r.ratingSample == nil {
 		return
 	}
-	if len(r.sampled.answer)+len(chunk) > ledger.MaxAnswer {
-		r.sampled = nil
+	if len(r.ratingSample.answer)+len(chunk) > ledger.MaxAnswer {
+		r.ratingSample = nil
 		r.dispatcher.count("rating.refused.toolarge")
 		return
 	}
-	r.sampled.answer = append(r.sampled.answer, chunk...)
+	r.ratingSample.answer = append(r.ratingSample.answer, chunk...)
 }
 
-// postSample hands the whole answer to the rating goroutine.
-func (r *run) postSample() {
-	if r.sampled == nil {
+// enqueueSample hands the whole answer to the rating goroutine.
+func (r *execution) enqueueSample() {
+	if r.ratingSample == nil {
 		return
 	}
 	select {
-	case r.dispatcher.ratings <- *r.sampled:
+	case r.dispatcher.ratingQueue <- *r.ratingSample:
 	default:
 		r.dispatcher.count("rating.refused.ringfull")
 	}
@@ -68,20 +68,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-d.ratings:
-			d.rate(ctx, n)
+		case request := <-d.ratingQueue:
+			d.rate(ctx, request)
 		}
 	}
 }
 
-func (d *Dispatcher) rate(ctx context.Context, n rating) {
-	ctx, cancel := context.WithTimeout(ctx, ratingWait)
+func (d *Dispatcher) rate(ctx context.Context, request ratingRequest) {
+	ctx, cancel := context.WithTimeout(ctx, ratingTimeout)
 	defer cancel()
-	value, err := d.Rater.Rate(ctx, n.question, n.answer, n.version)
+	value, err := d.Rater.Rate(ctx, request.question, request.answer, request.version)
 	if err != nil {
 		d.count("rating.failed")
 		return
 	}
 	d.count("rated")
-	d.Evidence.Rated(n.version, n.organisation, value < n.quality)
+	d.Evidence.Rated(request.version, request.organisation, value < request.qualityThreshold)
 }
--- a/core/coordination/dispatch/recording.go
+++ b/core/coordination/dispatch/recording.go
@@ -9,140 +9,140 @@
 	"persimmoncross"
 )
 
-// recordingSize bounds the bytes of one answer that are kept while it runs.
+// maxSharedResponseBytes bounds the bytes of one answer that are kept while it runs.
 // Beyond it the run waits for its readers, and what all of them have read is
 // dropped, so that a long answer takes flat memory; a reader that comes later
 // is refused.
-const recordingSize = 1 << 20
+const maxSharedResponseBytes = 1 << 20
 
-// recordings holds the answers of the keyed requests that run in this process.
-type recordings struct {
-	mu   sync.Mutex // guards open
-	byID map[[2]string]*recording
+// sharedResponses holds the answers of the keyed requests that run in this process.
+type sharedResponses struct {
+	mu    sync.Mutex // guards open
+	byKey map[[2]string]*sharedResponse
 }
 
-// open returns the request's recording, and whether it was made now. It
+// getOrCreate returns the request's recording, and whether it was made now. It
 // returns nil if the key stands for another request.
-func (r *recordings) open(w *Work) (rec *recording, created bool) {
+func (r *sharedResponses) getOrCreate(w *Work) (response *sharedResponse, created bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.byID == nil {
-		r.byID = map[[2]string]*recording{}
+	if r.byKey == nil {
+		r.byKey = map[[2]string]*sharedResponse{}
 	}
 	id := [2]string{w.Organisation.Name, w.Key}
-	if rec = r.byID[id]; rec != nil {
-		if !bytes.Equal(rec.digest, w.digest()) {
+	if response = r.byKey[id]; response != nil {
+		if !bytes.Equal(response.requestDigest, w.idempotencyDigest()) {
 			return nil, false
 		}
-		return rec, false
+		return response, false
 	}
-	rec = &recording{
-		digest:  w.digest(),
-		changed: make(chan struct{}),
-		readers: map[*int]bool{},
+	response = &sharedResponse{
+		requestDigest: w.idempotencyDigest(),
+		changed:       make(chan struct{}),
+		readers:       map[*int]bool{},
 	}
-	r.byID[id] = rec
-	return rec, true
+	r.byKey[id] = response
+	return response, true
 }
 
-func (r *recordings) find(organisation, key string) *recording {
+func (r *sharedResponses) find(organisation, key string) *sharedResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.byID[[2]string{organisation, key}]
+	return r.byKey[[2]string{organisation, key}]
 }
 
-func (r *recordings) close(w *Work, rec *recording) {
+func (r *sharedResponses) close(w *Work, response *sharedResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := [2]string{w.Organisation.Name, w.Key}
-	if r.byID[id] == rec {
-		delete(r.byID, id)
+	if r.byKey[id] == response {
+		delete(r.byKey, id)
 	}
 }
 
-// recording is a [persimmoncross.Sink] that any number of callers read from
+// sharedResponse is a [persimmoncross.Sink] that any number of callers read from
 // its beginning.
-type recording struct {
-	digest []byte
-
-	mu      sync.Mutex // guards all below
-	head    *persimmoncross.Head
-	chunks  [][]byte
-	dropped int           // chunks no longer held, before chunks
-	size    int           // bytes held
-	readers map[*int]bool // each reader's next chunk
-	ended   bool
-	refusal *persimmoncross.Refusal
-	changed chan struct{} // closed and replaced at each change
+type sharedResponse struct {
+	requestDigest []byte
+
+	mu              sync.Mutex // guards all below
+	head            *persimmoncross.Head
+	chunks          [][]byte
+	discardedChunks int           // chunks no longer held, before chunks
+	bufferedBytes   int           // bytes held
+	readers         map[*int]bool // each reader's next chunk
+	ended           bool
+	refusal         *persimmoncross.Refusal
+	changed         chan struct{} // closed and replaced at each change
 }
 
 // Start implements [persimmoncross.Sink].
-func (r *recording) Start(h persimmoncross.Head) error {
+func (r *sharedResponse) Start(h persimmoncross.Head) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.head = &h
-	r.wake()
+	r.broadcast()
 	return nil
 }
 
 // Write implements [persimmoncross.Sink].
-func (r *recording) Write(chunk []byte) error {
+func (r *sharedResponse) Write(chunk []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.size > recordingSize && !r.drop() {
+	for r.bufferedBytes > maxSharedResponseBytes && !r.discardConsumed() {
 		changed := r.changed
 		r.mu.Unlock()
 		<-changed
 		r.mu.Lock()
 	}
 	r.chunks = append(r.chunks, chunk)
-	r.size += len(chunk)
-	r.wake()
+	r.bufferedBytes += len(chunk)
+	r.broadcast()
 	return nil
 }
 
 // End implements [persimmoncross.Sink].
-func (r *recording) End(refusal *persimmoncross.Refusal) {
+func (r *sharedResponse) End(refusal *persimmoncross.Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended = true
 	r.refusal = refusal
-	r.wake()
+	r.broadcast()
 }
 
-func (r *recording) wake() {
+func (r *sharedResponse) broadcast() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// drop forgets the chunks that every reader has passed; without readers, all.
+// discardConsumed forgets the chunks that every reader has passed; without readers, all.
 // It reports whether there is room again.
-func (r *recording) drop() bool {
-	least := r.dropped + len(r.chunks)
+func (r *sharedResponse) discardConsumed() bool {
+	minNext := r.discardedChunks + len(r.chunks)
 	for next := range r.readers {
-		least = min(least, *next)
+		minNext = min(minNext, *next)
 	}
-	for r.dropped < least {
-		r.size -= len(r.chunks[0])
+	for r.discardedChunks < minNext {
+		r.bufferedBytes -= len(r.chunks[0])
 		r.chunks[0] = nil
 		r.chunks = r.chunks[1:]
-		r.dropped++
+		r.discardedChunks++
 	}
-	return r.size <= recordingSize
+	return r.bufferedBytes <= maxSharedResponseBytes
 }
 
-// copyTo hands the answer to the sink from its first chunk, as it comes.
-func (r *recording) copyTo(ctx context.Context, sink persimmoncross.Sink) {
+// streamTo hands the answer to the sink from its first chunk, as it comes.
+func (r *sharedResponse) streamTo(ctx context.Context, sink persimmoncross.Sink) {
 	next := 0
 	r.mu.Lock()
-	if r.dropped > 0 {
+	if r.discardedChunks > 0 {
 		r.mu.Unlock()
-		sink.End(lostAnswer())
+		sink.End(responseLostRefusal())
 		return
 	}
 	r.readers[&next] = true
 	r.mu.Unlock()
-	defer r.forget(&next)
+	defer r.removeReader(&next)
 	started := false
 	for {
 		chunks, head, ended, refusal, changed := r.read(&next)
@@ -173,25 +173,25 @@
 	}
 }
 
-func (r *recording) read(next *int) (chunks [][]byte, head *persimmoncross.Head, ended bool, refusal *persimmoncross.Refusal, changed chan struct{}) {
+func (r *sharedResponse) read(next *int) (chunks [][]byte, head *persimmoncross.Head, ended bool, refusal *persimmoncross.Refusal, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A copy: what the reader has not handed on yet may be dropped meanwhile.
-	chunks = slices.Clone(r.chunks[*next-r.dropped:])
+	chunks = slices.Clone(r.chunks[*next-r.discardedChunks:])
 	*next += len(chunks)
-	if len(chunks) > 0 && r.size > recordingSize {
-		r.wake() // the run may be waiting for this reader
+	if len(chunks) > 0 && r.bufferedBytes > maxSharedResponseBytes {
+		r.broadcast() // the run may be waiting for this reader
 	}
 	return chunks, r.head, r.ended, r.refusal, r.changed
 }
 
-func (r *recording) forget(next *int) {
+func (r *sharedResponse) removeReader(next *int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.readers, next)
-	r.wake()
+	r.broadcast()
 }
 
-func lostAnswer() *persimmoncross.Refusal {
+func responseLostRefusal() *persimmoncross.Refusal {
 	return persimmoncross.Refuse(persimmoncross.CodeAnswerLost, "the request ran and is billed, but its answer is no longer kept").WithRun(persimmoncross.Ran)
 }
--- a/core/coordination/dispatch/refusal_test.go
+++ b/core/coordination/dispatch/refusal_test.go
@@ -9,74 +9,74 @@
 )
 
 // Every refusal that says not-run is checked against the upstreams' books.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunRefusalsStartNoRun(t *testing.T) {
 	stop := persimmoncross.Refuse(persimmoncross.CodeStopping, "stopping")
 	lapsed := persimmoncross.Refuse(persimmoncross.CodeNoLease, "no lease")
 	for _, c := range []struct {
 		name    string
-		prepare func(e *env)
-		work    func(e *env) *dispatch.Work
+		prepare func(e *testEnv)
+		work    func(e *testEnv) *dispatch.Work
 		code    persimmoncross.Code
 		retry   bool // the refusal says when to come back
 	}{
 		{
 			name:    "stopping",
-			prepare: func(e *env) { e.gate.set(stop, nil) },
+			prepare: func(e *testEnv) { e.gate.set(stop, nil) },
 			code:    persimmoncross.CodeStopping,
 		},
 		{
 			name:    "no lease",
-			prepare: func(e *env) { e.gate.set(nil, lapsed) },
+			prepare: func(e *testEnv) { e.gate.set(nil, lapsed) },
 			code:    persimmoncross.CodeNoLease,
 		},
 		{
 			name:    "rate",
-			prepare: func(e *env) { e.apply(`, "rate": 0.001, "burst": 1`); e.serve(e.chat("nothing", 1)) },
-			work: func(e *env) *dispatch.Work {
-				e.dispatcher.Limits.Enter("relay", boundsOf(e))
-				return e.chat("small", 1)
+			prepare: func(e *testEnv) { e.apply(`, "rate": 0.001, "burst": 1`); e.serve(e.chatRequest("nothing", 1)) },
+			work: func(e *testEnv) *dispatch.Work {
+				e.dispatcher.Limits.Enter("relay", quotaOf(e))
+				return e.chatRequest("small", 1)
 			},
 			code:  persimmoncross.CodeRateLimited,
 			retry: true,
 		},
 		{
 			name:    "concurrency",
-			prepare: func(e *env) { e.apply(`, "concurrency": 1`) },
-			work: func(e *env) *dispatch.Work {
-				e.dispatcher.Limits.Enter("relay", boundsOf(e))
-				return e.chat("small", 1)
+			prepare: func(e *testEnv) { e.apply(`, "concurrency": 1`) },
+			work: func(e *testEnv) *dispatch.Work {
+				e.dispatcher.Limits.Enter("relay", quotaOf(e))
+				return e.chatRequest("small", 1)
 			},
 			code:  persimmoncross.CodeConcurrency,
 			retry: true,
 		},
 		{
 			name:    "withdrawn",
-			prepare: func(e *env) { e.withdraw("large@1") },
-			work:    func(e *env) *dispatch.Work { return e.chat("large", 1) },
+			prepare: func(e *testEnv) { e.withdraw("large@1") },
+			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeVersionWithdrawn,
 		},
 		{
 			name: "unknown model",
-			work: func(e *env) *dispatch.Work { return e.chat("huge", 1) },
+			work: func(e *testEnv) *dispatch.Work { return e.chatRequest("huge", 1) },
 			code: persimmoncross.CodeModelUnknown,
 		},
 		{
 			name:    "forbidden model",
-			prepare: func(e *env) { e.apply(`, "deny": ["large"]`) },
-			work:    func(e *env) *dispatch.Work { return e.chat("large", 1) },
+			prepare: func(e *testEnv) { e.apply(`, "deny": ["large"]`) },
+			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeModelForbidden,
 		},
 		{
 			name:    "claim without a quorum",
-			prepare: func(e *env) { e.ledger.down = true },
-			work:    func(e *env) *dispatch.Work { return e.call("POST", "/deposit") },
+			prepare: func(e *testEnv) { e.ledger.unavailable = true },
+			work:    func(e *testEnv) *dispatch.Work { return e.serviceRequest("POST", "/deposit") },
 			code:    persimmoncross.CodeLedgerUnavailable,
 			retry:   true,
 		},
 		{
 			name: "time is up",
-			work: func(e *env) *dispatch.Work {
-				w := e.chat("small", 1)
+			work: func(e *testEnv) *dispatch.Work {
+				w := e.chatRequest("small", 1)
 				w.Deadline = time.Now().Add(-time.Second)
 				return w
 			},
@@ -84,18 +84,18 @@
 		},
 		{
 			name: "no engine holds the version",
-			prepare: func(e *env) {
+			prepare: func(e *testEnv) {
 				u, _ := e.dispatcher.Table.Find("engine-3")
 				u.SetLeaving(true)
 			},
-			work:  func(e *env) *dispatch.Work { return e.chat("large", 1) },
+			work:  func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
 			code:  persimmoncross.CodeNoUpstream,
 			retry: true,
 		},
 		{
 			name:    "no connection to any engine",
-			prepare: func(e *env) { e.addresses["engine-3"] = "127.0.0.1:1"; e.apply("") },
-			work:    func(e *env) *dispatch.Work { return e.chat("large", 1) },
+			prepare: func(e *testEnv) { e.addresses["engine-3"] = "127.0.0.1:1"; e.apply("") },
+			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeUpstreamFailed,
 			retry:   true,
 		},
@@ -105,7 +105,7 @@
 			if c.prepare != nil {
 				c.prepare(e)
 			}
-			w := e.chat("small", 1)
+			w := e.chatRequest("small", 1)
 			if c.work != nil {
 				w = c.work(e)
 			}
@@ -116,10 +116,10 @@
 			if c.retry && s.refusal.RetryAfter <= 0 {
 				t.Error("it does not say when to come back")
 			}
-			if n := len(e.starts()); n != 0 {
+			if n := len(e.startedRuns()); n != 0 {
 				t.Errorf("%d runs began", n)
 			}
-			if n := len(e.bills()); n != 0 {
+			if n := len(e.settledRequests()); n != 0 {
 				t.Errorf("%d bills", n)
 			}
 		})
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -14,137 +14,137 @@
 	"persimmoncross/core/state/record"
 )
 
-// joinTries is how often a request that another entry runs is asked for there
-// before that entry's process is taken for dead; the tries are joinPause apart,
+// maxJoinAttempts is how often a request that another entry runs is asked for there
+// before that entry's process is taken for dead; the tries are joinRetryInterval apart,
 // together longer than a settings lease, so that it starts nothing any more.
 const (
-	joinTries = 12
-	joinPause = 250 * time.Millisecond
+	maxJoinAttempts   = 12
+	joinRetryInterval = 250 * time.Millisecond
 )
 
-// run is one request under way.
-type run struct {
-	dispatcher *Dispatcher
-	work       *Work
-	sink       persimmoncross.Sink
-	ran        persimmoncross.Run
-	attempts   int
-	tried      map[string]bool
-	lines      []*record.Line
-	pins       []*record.Pin
-	kept       *record.Answer // nil once it is too large
-	keptSize   int
-	first      time.Duration // to the latest attempt's first token
-	started    bool          // a part of the answer went to the sink
-	partial    *record.Line
-	rated      bool                         // a cascade has rated the answer
-	sampled    *rating                      // nil unless the answer is to be rated
-	reserved   chan *persimmoncross.Refusal // the outcome of a claim made meanwhile
-	copy       quarantine.Copy
+// execution is one request under way.
+type execution struct {
+	dispatcher       *Dispatcher
+	request          *Work
+	sink             persimmoncross.Sink
+	runStatus        persimmoncross.Run
+	attemptCount     int
+	triedUpstreams   map[string]bool
+	billingLines     []*record.Line
+	pins             []*record.Pin
+	storedAnswer     *record.Answer // nil once it is too large
+	answerBytes      int
+	timeToFirstToken time.Duration // to the latest attempt's first token
+	responseStarted  bool          // a part of the answer went to the sink
+	partialLine      *record.Line
+	alreadyRated     bool                         // a cascade has rated the answer
+	ratingSample     *ratingRequest               // nil unless the answer is to be rated
+	claimResult      chan *persimmoncross.Refusal // the outcome of a claim made meanwhile
+	copy             quarantine.Copy
 }
 
-// run claims, runs and settles the request.
-func (d *Dispatcher) run(ctx context.Context, w *Work, sink persimmoncross.Sink) {
-	r := &run{
-		dispatcher: d,
-		work:       w,
-		sink:       sink,
-		ran:        persimmoncross.NotRun,
-		tried:      map[string]bool{},
-		kept:       &record.Answer{},
+// execute claims, runs and settles the request.
+func (d *Dispatcher) execute(ctx context.Context, w *Work, sink persimmoncross.Sink) {
+	r := &execution{
+		dispatcher:     d,
+		request:        w,
+		sink:           sink,
+		runStatus:      persimmoncross.NotRun,
+		triedUpstreams: map[string]bool{},
+		storedAnswer:   &record.Answer{},
 		copy: quarantine.Copy{
-			Digest:  w.asked(),
+			Digest:  w.quarantineDigest(),
 			Service: w.Name,
 			Book:    d.Book,
 		},
 	}
-	defer func() { r.copy.Done(r.ran != persimmoncross.NotRun) }()
-	if refusal := r.heldBack(); refusal != nil {
+	defer func() { r.copy.Done(r.runStatus != persimmoncross.NotRun) }()
+	if refusal := r.checkQuarantine(); refusal != nil {
 		sink.End(refusal) // before anything is claimed for it
 		return
 	}
-	first, refusal := r.open(ctx)
+	first, refusal := r.prepare(ctx)
 	if refusal != nil || first == nil {
 		if refusal != nil {
 			sink.End(refusal)
 		}
 		return
 	}
-	refusal = first.execute(ctx)
+	refusal = first.runSteps(ctx)
 	r.close(ctx, refusal)
 }
 
-// opened is a claimed request, with its steps.
-type opened struct {
-	run   *run
-	steps []persimmoncross.Version
-	begin int                    // the step to start with
-	first persimmoncross.Version // for that step
+// claimedExecution is a claimed request, with its steps.
+type claimedExecution struct {
+	execution    *execution
+	steps        []persimmoncross.Version
+	firstStep    int                    // the step to start with
+	firstVersion persimmoncross.Version // for that step
 }
 
-// open claims the request. A nil result without a refusal means that the sink
+// prepare claims the request. A nil result without a refusal means that the sink
 // has had its answer already: a recorded one, or another entry's.
-func (r *run) open(ctx context.Context) (*opened, *persimmoncross.Refusal) {
-	d, w := r.dispatcher, r.work
-	o := &opened{
-		run: r,
+func (r *execution) prepare(ctx context.Context) (*claimedExecution, *persimmoncross.Refusal) {
+	d, w := r.dispatcher, r.request
+	o := &claimedExecution{
+		execution: r,
 	}
 	var pin *record.Pin
 	if w.Service == nil {
 		s := d.Settings()
-		steps, refusal := d.steps(s, w)
+		steps, refusal := d.permittedSteps(s, w)
 		if refusal != nil {
 			return nil, refusal
 		}
 		var ok bool
 		o.steps = steps
-		o.begin = d.beginAt(s, w, steps)
-		if pin, o.first, ok = d.pinFor(s, w, steps[o.begin]); !ok {
-			return nil, d.noVersion(w, steps[o.begin])
+		o.firstStep = d.chooseFirstStep(s, w, steps)
+		if pin, o.firstVersion, ok = d.choosePin(s, w, steps[o.firstStep]); !ok {
+			return nil, d.noVersionRefusal(w, steps[o.firstStep])
 		}
 	}
 	if w.Key == "" && !w.Once && pin == nil {
-		r.reserve(ctx)
+		r.claimAsync(ctx)
 		return o, nil
 	}
-	v, refusal := r.claim(ctx, pin)
+	v, refusal := r.claimOrReplay(ctx, pin)
 	if v == nil || refusal != nil {
 		return nil, refusal
 	}
 	if pin != nil {
-		version, refusal := d.pinned(ctx, w, pin, v.GetVersion())
+		version, refusal := d.resolvePin(ctx, w, pin, v.GetVersion())
 		if refusal != nil {
 			d.settle(ctx, r, ledger.NotRun)
 			return nil, refusal
 		}
-		o.first = version
+		o.firstVersion = version
 		r.pins = append(r.pins, pin)
 	}
 	return o, nil
 }
 
-// reserve claims while the first attempt runs: the request has no key, so
+// claimAsync claims while the first attempt runs: the request has no key, so
 // nobody else can have claimed it.
-func (r *run) reserve(ctx context.Context) {
-	r.reserved = make(chan *persimmoncross.Refusal, 1)
+func (r *execution) claimAsync(ctx context.Context) {
+	r.claimResult = make(chan *persimmoncross.Refusal, 1)
 	ctx = context.WithoutCancel(ctx)
 	go func() {
-		ctx, cancel := context.WithDeadline(ctx, r.work.Deadline.Add(settleGrace))
+		ctx, cancel := context.WithDeadline(ctx, r.request.Deadline.Add(settleGracePeriod))
 		defer cancel()
-		v, refusal := r.dispatcher.claim(ctx, r.work, nil, "")
+		v, refusal := r.dispatcher.claim(ctx, r.request, nil, "")
 		if refusal == nil && v.GetState() != record.State_NEW {
-			refusal = fullLedger()
+			refusal = ledgerFullRefusal()
 		}
-		r.reserved <- refusal
+		r.claimResult <- refusal
 	}()
 }
 
-// claim gets the right to run the request, or gives the sink the answer that
+// claimOrReplay gets the right to run the request, or gives the sink the answer that
 // there is already, and returns nil.
-func (r *run) claim(ctx context.Context, pin *record.Pin) (*record.Verdict, *persimmoncross.Refusal) {
-	dead := ""
+func (r *execution) claimOrReplay(ctx context.Context, pin *record.Pin) (*record.Verdict, *persimmoncross.Refusal) {
+	deadOwner := ""
 	for try := 0; ; try++ {
-		v, refusal := r.dispatcher.claim(ctx, r.work, pin, dead)
+		v, refusal := r.dispatcher.claim(ctx, r.request, pin, deadOwner)
 		if refusal != nil {
 			return nil, refusal
 		}
@@ -152,39 +152,39 @@
 		case record.State_NEW:
 			return v, nil
 		case record.State_SETTLED:
-			return nil, r.replay(v)
+			return nil, r.replayAnswer(v)
 		case record.State_REUSED:
 			return nil, persimmoncross.Refuse(persimmoncross.CodeKeyReused, "the key was used for another request")
 		case record.State_LOST:
 			return nil, persimmoncross.Refuse(persimmoncross.CodeOutcomeUnknown, "the entry that ran the request is gone; it will not be run again").WithRun(persimmoncross.Unknown)
 		case record.State_RUNNING:
 		default:
-			return nil, fullLedger()
+			return nil, ledgerFullRefusal()
 		}
 		owner := v.GetOwner()
-		if r.dispatcher.Joiner.Join(ctx, owner, r.work.Organisation.Name, r.work.Key, r.sink) == nil {
+		if r.dispatcher.Joiner.Join(ctx, owner, r.request.Organisation.Name, r.request.Key, r.sink) == nil {
 			r.dispatcher.count("joined")
 			return nil, nil
 		}
-		if try >= joinTries {
-			dead = owner
+		if try >= maxJoinAttempts {
+			deadOwner = owner
 		}
 		select {
-		case <-r.dispatcher.Clock.After(joinPause):
+		case <-r.dispatcher.Clock.After(joinRetryInterval):
 		case <-ctx.Done():
 			return nil, persimmoncross.Refuse(persimmoncross.CodeDeadline, "another entry runs the request and did not answer in time").WithRun(persimmoncross.Unknown)
 		}
 	}
 }
 
-// replay gives the sink the answer that the ledger kept.
-func (r *run) replay(v *record.Verdict) *persimmoncross.Refusal {
+// replayAnswer gives the sink the answer that the ledger kept.
+func (r *execution) replayAnswer(v *record.Verdict) *persimmoncross.Refusal {
 	if v.GetOutcome() != ledger.Whole {
 		return persimmoncross.Refuse(persimmoncross.CodeOutcomeUnknown, "the request ended as %q and may not run again", v.GetOutcome()).WithRun(persimmoncross.Ran)
 	}
 	a := &record.Answer{}
 	if len(v.GetAnswer()) == 0 || proto.Unmarshal(v.GetAnswer(), a) != nil {
-		return lostAnswer()
+		return responseLostRefusal()
 	}
 	r.dispatcher.count("replayed")
 	head := persimmoncross.Head{
@@ -208,41 +208,41 @@
 	return nil
 }
 
-// execute runs the steps.
-func (o *opened) execute(ctx context.Context) *persimmoncross.Refusal {
-	if o.run.work.Service != nil {
-		return o.run.service(ctx)
+// runSteps runs the steps.
+func (o *claimedExecution) runSteps(ctx context.Context) *persimmoncross.Refusal {
+	if o.execution.request.Service != nil {
+		return o.execution.callService(ctx)
 	}
 	if len(o.steps) > 1 {
-		return o.cascade(ctx)
+		return o.runCascade(ctx)
 	}
-	return o.run.step(ctx, o.steps[0], o.first, o.run)
+	return o.execution.runStep(ctx, o.steps[0], o.firstVersion, o.execution)
 }
 
 // close settles, and only then releases the end of the answer.
-func (r *run) close(ctx context.Context, refusal *persimmoncross.Refusal) {
-	if r.reserved != nil {
-		if failed := <-r.reserved; failed != nil && refusal == nil {
-			r.dispatcher.settleLate(r)
-			r.sink.End(failed.WithRun(r.ran))
+func (r *execution) close(ctx context.Context, refusal *persimmoncross.Refusal) {
+	if r.claimResult != nil {
+		if failed := <-r.claimResult; failed != nil && refusal == nil {
+			r.dispatcher.enqueueLateSettlement(r)
+			r.sink.End(failed.WithRun(r.runStatus))
 			return
 		}
 	}
 	outcome := ledger.Whole
 	switch {
 	case refusal == nil:
-	case r.ran == persimmoncross.NotRun:
+	case r.runStatus == persimmoncross.NotRun:
 		outcome = ledger.NotRun
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
 		outcome = ledger.Cancelled
 	default:
 		outcome = ledger.Failed
 	}
-	if outcome == ledger.Cancelled && r.partial != nil {
-		r.lines = append(r.lines, r.partial)
+	if outcome == ledger.Cancelled && r.partialLine != nil {
+		r.billingLines = append(r.billingLines, r.partialLine)
 	}
 	if outcome == ledger.Whole {
-		r.postSample()
+		r.enqueueSample()
 	}
 	failed := r.dispatcher.settle(ctx, r, outcome)
 	if refusal == nil {
@@ -253,36 +253,36 @@
 
 // run is the writer of the step whose answer the caller gets.
 
-func (r *run) start(h persimmoncross.Head) error {
-	r.started = true
-	r.sample(h.Version)
-	h.Request = r.work.ID
-	if r.kept != nil {
-		r.kept.Status = int32(h.Status)
-		r.kept.Type = h.ContentType
-		r.kept.Version = h.Version.String()
-		r.kept.Request = h.Request
-		r.kept.Stream = h.Stream
+func (r *execution) start(h persimmoncross.Head) error {
+	r.responseStarted = true
+	r.startSampling(h.Version)
+	h.Request = r.request.ID
+	if r.storedAnswer != nil {
+		r.storedAnswer.Status = int32(h.Status)
+		r.storedAnswer.Type = h.ContentType
+		r.storedAnswer.Version = h.Version.String()
+		r.storedAnswer.Request = h.Request
+		r.storedAnswer.Stream = h.Stream
 	}
 	return r.sink.Start(h)
 }
 
-func (r *run) write(chunk []byte) error {
-	r.keptSize += len(chunk)
+func (r *execution) write(chunk []byte) error {
+	r.answerBytes += len(chunk)
 	r.sampleChunk(chunk)
-	if r.keptSize > ledger.MaxAnswer || r.work.Key == "" {
-		r.kept = nil
+	if r.answerBytes > ledger.MaxAnswer || r.request.Key == "" {
+		r.storedAnswer = nil
 	}
-	if r.kept != nil {
-		r.kept.Chunks = append(r.kept.Chunks, chunk)
+	if r.storedAnswer != nil {
+		r.storedAnswer.Chunks = append(r.storedAnswer.Chunks, chunk)
 	}
 	return r.sink.Write(chunk)
 }
 
-func (r *run) committed() bool { return r.started }
+func (r *execution) committed() bool { return r.responseStarted }
 
-// attemptID is unique: the request's id is, and the attempts are numbered.
-func (r *run) attemptID() string {
-	r.attempts++
-	return fmt.Sprintf("%s-%d", r.work.ID, r.attempts)
+// newAttemptID is unique: the request's id is, and the attempts are numbered.
+func (r *execution) newAttemptID() string {
+	r.attemptCount++
+	return fmt.Sprintf("%s-%d", r.request.ID, r.attemptCount)
 }
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -13,36 +13,36 @@
 
 // Times to come back that refusals name.
 const (
-	ledgerWait = 2 * time.Second // an election
-	fullWait   = time.Minute
-	poolWait   = time.Second
-	lateRing   = 4096 // requests to be closed late
+	ledgerRetryAfter     = 2 * time.Second // an election
+	ledgerFullRetryAfter = time.Minute
+	upstreamRetryAfter   = time.Second
+	maxLateSettlements   = 4096 // requests to be closed late
 )
 
-// command commits a ledger command and returns the ledger's verdict.
-func (d *Dispatcher) command(ctx context.Context, c *record.Command) (*record.Verdict, *persimmoncross.Refusal) {
+// proposeCommand commits a ledger proposeCommand and returns the ledger's verdict.
+func (d *Dispatcher) proposeCommand(ctx context.Context, c *record.Command) (*record.Verdict, *persimmoncross.Refusal) {
 	raw, err := d.Ledger.Propose(ctx, record.Encode(c))
 	if err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger does not answer: %v", err).After(ledgerWait)
+		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger does not answer: %v", err).After(ledgerRetryAfter)
 	}
 	v := &record.Verdict{}
 	if err := proto.Unmarshal(raw, v); err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger's answer can't be decoded").After(ledgerWait)
+		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger's answer can't be decoded").After(ledgerRetryAfter)
 	}
 	return v, nil
 }
 
-func (d *Dispatcher) claim(ctx context.Context, w *Work, p *record.Pin, dead string) (*record.Verdict, *persimmoncross.Refusal) {
-	return d.command(ctx, &record.Command{
+func (d *Dispatcher) claim(ctx context.Context, w *Work, p *record.Pin, deadOwner string) (*record.Verdict, *persimmoncross.Refusal) {
+	return d.proposeCommand(ctx, &record.Command{
 		Claim: &record.Claim{
 			Organisation: w.Organisation.Name,
 			Key:          w.ledgerKey(),
-			Digest:       w.digest(),
+			Digest:       w.idempotencyDigest(),
 			Owner:        d.Owner,
 			Once:         w.Once,
 			Time:         d.Stamp(),
 			Pin:          p,
-			Dead:         dead,
+			Dead:         deadOwner,
 			Request:      w.ID,
 		},
 	})
@@ -50,21 +50,21 @@
 
 // settle commits the request's end. It outlives the caller and the deadline,
 // within a grace.
-func (d *Dispatcher) settle(ctx context.Context, r *run, outcome string) *persimmoncross.Refusal {
-	deadline := r.work.Deadline.Add(settleGrace)
+func (d *Dispatcher) settle(ctx context.Context, r *execution, outcome string) *persimmoncross.Refusal {
+	deadline := r.request.Deadline.Add(settleGracePeriod)
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	c := r.settlement(outcome)
-	v, refusal := d.command(ctx, &record.Command{
-		Settle: c,
+	settlement := r.settlement(outcome)
+	v, refusal := d.proposeCommand(ctx, &record.Command{
+		Settle: settlement,
 	})
 	if refusal != nil {
-		d.settleLate(r)
-		return refusal.WithRun(r.ran)
+		d.enqueueLateSettlement(r)
+		return refusal.WithRun(r.runStatus)
 	}
 	// The sweeper may have settled it, if this process was taken for dead.
-	swept := outcome == ledger.Whole && v.GetOutcome() == ledger.Swept
-	if v.GetState() != record.State_SETTLED || v.GetOutcome() != outcome && !swept {
+	settledBySweeper := outcome == ledger.Whole && v.GetOutcome() == ledger.Swept
+	if v.GetState() != record.State_SETTLED || v.GetOutcome() != outcome && !settledBySweeper {
 		d.count("settle.stale")
 		return persimmoncross.Refuse(persimmoncross.CodeAnswerLost, "another entry has taken the request over").WithRun(persimmoncross.Ran)
 	}
@@ -72,32 +72,32 @@
 	return nil
 }
 
-func (r *run) settlement(outcome string) *record.Settle {
-	c := &record.Settle{
-		Organisation: r.work.Organisation.Name,
-		Key:          r.work.ledgerKey(),
+func (r *execution) settlement(outcome string) *record.Settle {
+	settlement := &record.Settle{
+		Organisation: r.request.Organisation.Name,
+		Key:          r.request.ledgerKey(),
 		Owner:        r.dispatcher.Owner,
-		Lines:        r.lines,
+		Lines:        r.billingLines,
 		Outcome:      outcome,
 		Time:         r.dispatcher.Stamp(),
 		Pins:         r.pins,
 	}
-	if outcome == ledger.Whole && r.work.Key != "" && r.kept != nil {
-		c.Answer = record.Encode(r.kept)
+	if outcome == ledger.Whole && r.request.Key != "" && r.storedAnswer != nil {
+		settlement.Answer = record.Encode(r.storedAnswer)
 	}
-	return c
+	return settlement
 }
 
-// settleLate leaves a request whose caller has had its final answer, without
+// enqueueLateSettlement leaves a request whose caller has had its final answer, without
 // the ledger's, to be closed as failed once the ledger answers again: else its
 // claim would stand for as long as this process lives.
-func (d *Dispatcher) settleLate(r *run) {
+func (d *Dispatcher) enqueueLateSettlement(r *execution) {
 	outcome := ledger.Failed
-	if r.ran == persimmoncross.NotRun {
+	if r.runStatus == persimmoncross.NotRun {
 		outcome = ledger.NotRun
 	}
 	select {
-	case d.late <- r.settlement(outcome):
+	case d.lateSettlements <- r.settlement(outcome):
 	default:
 		d.count("settle.refused.ringfull")
 	}
@@ -109,24 +109,24 @@
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-d.late:
+		case settlement := <-d.lateSettlements:
 			command := &record.Command{
-				Settle: c,
+				Settle: settlement,
 			}
 			for ctx.Err() == nil {
-				if _, refusal := d.command(ctx, command); refusal == nil {
+				if _, refusal := d.proposeCommand(ctx, command); refusal == nil {
 					d.count("settled.late")
 					break
 				}
 				select {
 				case <-ctx.Done():
-				case <-d.Clock.After(poolWait):
+				case <-d.Clock.After(upstreamRetryAfter):
 				}
 			}
 		}
 	}
 }
 
-func fullLedger() *persimmoncross.Refusal {
-	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the ledger's tables are full").After(fullWait)
+func ledgerFullRefusal() *persimmoncross.Refusal {
+	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the ledger's tables are full").After(ledgerFullRetryAfter)
 }
--- a/core/coordination/dispatch/watchdog.go
+++ b/core/coordination/dispatch/watchdog.go
@@ -14,31 +14,31 @@
 
 // watchdog cancels an attempt whose upstream is silent for too long.
 type watchdog struct {
-	clock persimmoncross.Clock
-	last  atomic.Int64 // Unix nanoseconds of the latest sign of life
-	done  chan struct{}
+	clock        persimmoncross.Clock
+	lastActivity atomic.Int64 // Unix nanoseconds of the latest sign of life
+	done         chan struct{}
 }
 
-// watch starts a watchdog over one attempt.
-func (r *run) watch(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
+// startWatchdog starts a watchdog over one attempt.
+func (r *execution) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	g := &watchdog{
 		clock: r.dispatcher.Clock,
 		done:  make(chan struct{}),
 	}
-	g.feed()
-	if r.work.Stall > 0 {
-		go g.guard(ctx, cancel, r.work.Stall)
+	g.recordActivity()
+	if r.request.Stall > 0 {
+		go g.run(ctx, cancel, r.request.Stall)
 	}
 	return g
 }
 
-func (g *watchdog) feed() { g.last.Store(g.clock.Now().UnixNano()) }
+func (g *watchdog) recordActivity() { g.lastActivity.Store(g.clock.Now().UnixNano()) }
 
 func (g *watchdog) stop() { close(g.done) }
 
-func (g *watchdog) guard(ctx context.Context, cancel context.CancelCauseFunc, stall time.Duration) {
+func (g *watchdog) run(ctx context.Context, cancel context.CancelCauseFunc, stall time.Duration) {
 	for {
-		silent := time.Duration(g.clock.Now().UnixNano() - g.last.Load())
+		silent := time.Duration(g.clock.Now().UnixNano() - g.lastActivity.Load())
 		if silent >= stall {
 			cancel(errStalled)
 			return
--- a/core/coordination/dispatch/work.go
+++ b/core/coordination/dispatch/work.go
@@ -35,8 +35,8 @@
 	return "request:" + w.ID
 }
 
-// digest tells whether a resend is the same request.
-func (w *Work) digest() []byte {
+// idempotencyDigest tells whether a resend is the same request.
+func (w *Work) idempotencyDigest() []byte {
 	h := sha256.New()
 	for _, s := range []string{w.Method, w.Path, w.Name, w.Session} {
 		h.Write([]byte(s))
@@ -46,16 +46,16 @@
 	return h.Sum(nil)
 }
 
-// attempts returns how many tries the request may have.
-func (w *Work) attempts() int {
+// maxAttempts returns how many tries the request may have.
+func (w *Work) maxAttempts() int {
 	if w.Service != nil {
 		return w.Service.Attempts
 	}
 	return w.Organisation.Attempts
 }
 
-// worse returns the run word that says more of two.
-func worse(a, b persimmoncross.Run) persimmoncross.Run {
+// strongerRunStatus returns the run word that says more of two.
+func strongerRunStatus(a, b persimmoncross.Run) persimmoncross.Run {
 	rank := map[persimmoncross.Run]int{
 		persimmoncross.NotRun:  0,
 		persimmoncross.Unknown: 1,
--- a/core/coordination/limits/limits.go
+++ b/core/coordination/limits/limits.go
@@ -16,35 +16,35 @@
 
 // When the upstreams are full, as shares of their slots.
 const (
-	fullAt       = 0.7 // of the slots: the rest is found free by who is under its part
-	aloneAt      = 8.0 // times the slots, for an organisation that is alone
-	overloadWait = time.Second
+	fairShareThreshold      = 0.7 // of the slots: the rest is found free by who is under its part
+	maxSoleOrganisationLoad = 8.0 // times the slots, for an organisation that is alone
+	overloadRetryAfter      = time.Second
 )
 
-// concurrencyWait is what a caller is told when all its places are taken.
-const concurrencyWait = time.Second
+// concurrencyRetryAfter is what a caller is told when all its places are taken.
+const concurrencyRetryAfter = time.Second
 
 // Limits is one entry's account of each organisation.
 type Limits struct {
 	Clock   persimmoncross.Clock
 	Entries func() int // alive, at least 1
 
-	mu       sync.Mutex // guards all below
-	accounts map[string]*account
-	pools    map[string]*pool
+	mu                  sync.Mutex // guards all below
+	usageByOrganisation map[string]*organisationUsage
+	pools               map[string]*upstreamPool
 }
 
-// pool counts what runs on the upstreams behind one name.
-type pool struct {
-	by     map[string]int // by organisation, here
-	others map[string]int // the same at the other entries, as they said last
-	then   map[string]int // by, when they said it
+// upstreamPool counts what runs on the upstreams behind one name.
+type upstreamPool struct {
+	local             map[string]int // by organisation, here
+	peers             map[string]int // the same at the other entries, as they said last
+	localAtPeerUpdate map[string]int // by, when they said it
 }
 
-type account struct {
-	tokens  float64
-	at      time.Time
-	running int
+type organisationUsage struct {
+	tokens     float64
+	refilledAt time.Time
+	inFlight   int
 }
 
 // Bounds are one organisation's numbers for the whole fleet.
@@ -58,126 +58,126 @@
 
 // Enter admits a request of the organisation or refuses it with the time when
 // it would be admitted. The function it returns ends the request.
-func (l *Limits) Enter(organisation string, b Bounds) (leave func(), refusal *persimmoncross.Refusal) {
-	share := 1 / float64(max(1, l.Entries()))
-	rate := b.Rate * share
-	burst := math.Max(1, float64(b.Burst)*share)
-	places := int(math.Max(1, math.Ceil(float64(b.Concurrency)*share)))
+func (l *Limits) Enter(organisation string, b Bounds) (release func(), refusal *persimmoncross.Refusal) {
+	entryShare := 1 / float64(max(1, l.Entries()))
+	rate := b.Rate * entryShare
+	burst := math.Max(1, float64(b.Burst)*entryShare)
+	maxConcurrent := int(math.Max(1, math.Ceil(float64(b.Concurrency)*entryShare)))
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.account(organisation, now, burst)
-	a.tokens = math.Min(burst, a.tokens+rate*now.Sub(a.at).Seconds())
-	a.at = now
+	a := l.usageOf(organisation, now, burst)
+	a.tokens = math.Min(burst, a.tokens+rate*now.Sub(a.refilledAt).Seconds())
+	a.refilledAt = now
 	if a.tokens < 1 {
 		wait := time.Duration((1 - a.tokens) / rate * float64(time.Second))
 		return nil, persimmoncross.Refuse(persimmoncross.CodeRateLimited, "%s is over its rate of %g requests a second", organisation, b.Rate).After(wait)
 	}
-	if a.running >= places {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeConcurrency, "%s has all of its %d places taken", organisation, b.Concurrency).After(concurrencyWait)
+	if a.inFlight >= maxConcurrent {
+		return nil, persimmoncross.Refuse(persimmoncross.CodeConcurrency, "%s has all of its %d places taken", organisation, b.Concurrency).After(concurrencyRetryAfter)
 	}
 	p := l.pool(b.Pool)
-	if refusal := l.fair(organisation, p, b); refusal != nil {
+	if refusal := l.checkFairShare(organisation, p, b); refusal != nil {
 		return nil, refusal
 	}
 	a.tokens--
-	a.running++
-	p.enter(organisation)
+	a.inFlight++
+	p.add(organisation)
 	var once sync.Once
-	return func() { once.Do(func() { l.leave(a, p, organisation) }) }, nil
+	return func() { once.Do(func() { l.release(a, p, organisation) }) }, nil
 }
 
-func (l *Limits) account(organisation string, now time.Time, burst float64) *account {
-	if l.accounts == nil {
-		l.accounts = map[string]*account{}
+func (l *Limits) usageOf(organisation string, now time.Time, burst float64) *organisationUsage {
+	if l.usageByOrganisation == nil {
+		l.usageByOrganisation = map[string]*organisationUsage{}
 	}
-	a := l.accounts[organisation]
+	a := l.usageByOrganisation[organisation]
 	if a == nil {
-		a = &account{
-			tokens: burst,
-			at:     now,
+		a = &organisationUsage{
+			tokens:     burst,
+			refilledAt: now,
 		}
-		l.accounts[organisation] = a
+		l.usageByOrganisation[organisation] = a
 	}
 	return a
 }
 
-func (l *Limits) leave(a *account, p *pool, organisation string) {
+func (l *Limits) release(a *organisationUsage, p *upstreamPool, organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.running--
-	p.leave(organisation)
+	a.inFlight--
+	p.remove(organisation)
 }
 
-// fair refuses an organisation that holds more than its part of a pool while
+// checkFairShare refuses an organisation that holds more than its part of a pool while
 // the pool is full: all slots taken, over all entries. An organisation's part
 // is an equal one among those that have anything running there; one that is
 // alone may queue, up to a bound.
-func (l *Limits) fair(organisation string, p *pool, b Bounds) *persimmoncross.Refusal {
+func (l *Limits) checkFairShare(organisation string, p *upstreamPool, b Bounds) *persimmoncross.Refusal {
 	if b.Capacity == 0 {
 		return nil
 	}
-	held := l.held(p)
+	usage := l.estimateUsage(p)
 	running := 0
-	for _, n := range held {
+	for _, n := range usage {
 		running += n
 	}
-	if float64(running) < fullAt*float64(b.Capacity) {
+	if float64(running) < fairShareThreshold*float64(b.Capacity) {
 		return nil
 	}
-	active := len(held)
-	if held[organisation] == 0 {
-		active++
+	activeOrganisations := len(usage)
+	if usage[organisation] == 0 {
+		activeOrganisations++
 	}
-	part := float64(b.Capacity) / float64(active)
-	if active == 1 {
-		part = aloneAt * float64(b.Capacity)
+	fairShare := float64(b.Capacity) / float64(activeOrganisations)
+	if activeOrganisations == 1 {
+		fairShare = maxSoleOrganisationLoad * float64(b.Capacity)
 	}
 	// Who is under the part gets in although the pool is full.
-	if float64(held[organisation]) < math.Max(1, part) {
+	if float64(usage[organisation]) < math.Max(1, fairShare) {
 		return nil
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the upstreams are full, and %s holds its part of them", organisation).After(overloadWait)
+	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the upstreams are full, and %s holds its part of them", organisation).After(overloadRetryAfter)
 }
 
-// held estimates what each organisation runs of a pool at all entries: what
+// estimateUsage estimates what each organisation runs of a pool at all entries: what
 // the others said last, and since then as much more or less as at this entry,
 // for the balancer treats them alike.
-func (l *Limits) held(p *pool) map[string]int {
-	peers := max(1, l.Entries()) - 1
-	held := map[string]int{}
-	for name, n := range p.others {
-		held[name] = n
-	}
-	for name, n := range p.by {
-		held[name] += peers * (n - p.then[name])
-	}
-	for name, n := range p.then {
-		if p.by[name] == 0 {
-			held[name] -= peers * n
+func (l *Limits) estimateUsage(p *upstreamPool) map[string]int {
+	peerCount := max(1, l.Entries()) - 1
+	usage := map[string]int{}
+	for name, n := range p.peers {
+		usage[name] = n
+	}
+	for name, n := range p.local {
+		usage[name] += peerCount * (n - p.localAtPeerUpdate[name])
+	}
+	for name, n := range p.localAtPeerUpdate {
+		if p.local[name] == 0 {
+			usage[name] -= peerCount * n
 		}
 	}
-	for name := range held {
-		if held[name] = max(0, held[name]) + p.by[name]; held[name] == 0 {
-			delete(held, name)
+	for name := range usage {
+		if usage[name] = max(0, usage[name]) + p.local[name]; usage[name] == 0 {
+			delete(usage, name)
 		}
 	}
-	for name, n := range p.by {
-		held[name] = max(held[name], n)
+	for name, n := range p.local {
+		usage[name] = max(usage[name], n)
 	}
-	return held
+	return usage
 }
 
 // Observe takes what the other entries run now, by pool and organisation.
-func (l *Limits) Observe(others map[string]map[string]int) {
+func (l *Limits) Observe(usage map[string]map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name := range others {
+	for name := range usage {
 		l.pool(name)
 	}
 	for name, p := range l.pools {
-		p.others = others[name]
-		p.then = maps.Clone(p.by)
+		p.peers = usage[name]
+		p.localAtPeerUpdate = maps.Clone(p.local)
 	}
 }
 
@@ -187,32 +187,32 @@
 	defer l.mu.Unlock()
 	all := map[string]map[string]int{}
 	for name, p := range l.pools {
-		if len(p.by) > 0 {
-			all[name] = maps.Clone(p.by)
+		if len(p.local) > 0 {
+			all[name] = maps.Clone(p.local)
 		}
 	}
 	return all
 }
 
-func (p *pool) enter(organisation string) {
-	p.by[organisation]++
+func (p *upstreamPool) add(organisation string) {
+	p.local[organisation]++
 }
 
-func (p *pool) leave(organisation string) {
-	p.by[organisation]--
-	if p.by[organisation] == 0 {
-		delete(p.by, organisation)
+func (p *upstreamPool) remove(organisation string) {
+	p.local[organisation]--
+	if p.local[organisation] == 0 {
+		delete(p.local, organisation)
 	}
 }
 
-func (l *Limits) pool(name string) *pool {
+func (l *Limits) pool(name string) *upstreamPool {
 	if l.pools == nil {
-		l.pools = map[string]*pool{}
+		l.pools = map[string]*upstreamPool{}
 	}
 	p := l.pools[name]
 	if p == nil {
-		p = &pool{
-			by: map[string]int{},
+		p = &upstreamPool{
+			local: map[string]int{},
 		}
 		l.pools[name] = p
 	}
--- a/core/coordination/limits/limits_test.go
+++ b/core/coordination/limits/limits_test.go
@@ -16,7 +16,7 @@
 // Now implements [persimmoncross.Clock].
 func (c *fakeClock) Now() time.Time { return c.now }
 
-func newLimits(entries int) (*Limits, *fakeClock) {
+func newLimiter(entries int) (*Limits, *fakeClock) {
 	c := &fakeClock{
 		now: time.Unix(1000, 0),
 	}
@@ -27,9 +27,9 @@
 }
 
 // A caller who comes back when it was told to gets in, and not before.
-func TestRateTellsWhenToComeBack(t *testing.T) {
+func TestRetryAfterMatchesRateLimit(t *testing.T) {
 	for _, entries := range []int{1, 4} {
-		l, clock := newLimits(entries)
+		l, clock := newLimiter(entries)
 		b := Bounds{
 			Rate:        8,
 			Burst:       8,
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestFairness(t *testing.T) {
+func TestFairShare(t *testing.T) {
 	b := Bounds{
 		Rate:        1e6,
 		Burst:       1e6,
@@ -75,15 +75,15 @@
 		}
 	}
 	t.Run("alone", func(t *testing.T) {
-		l, _ := newLimits(1)
-		if n, _ := fill(l, "big"); n != aloneAt*100 {
+		l, _ := newLimiter(1)
+		if n, _ := fill(l, "big"); n != maxSoleOrganisationLoad*100 {
 			t.Errorf("%d admitted", n)
 		}
 	})
 	t.Run("beside another", func(t *testing.T) {
-		l, _ := newLimits(1)
+		l, _ := newLimiter(1)
 		l.Enter("small", b)
-		if n, _ := fill(l, "big"); n != fullAt*100-1 {
+		if n, _ := fill(l, "big"); n != fairShareThreshold*100-1 {
 			t.Errorf("%d of big admitted", n)
 		}
 		if n, _ := fill(l, "small"); n != 49 {
@@ -91,7 +91,7 @@
 		}
 	})
 	t.Run("by what the others run", func(t *testing.T) {
-		l, _ := newLimits(2)
+		l, _ := newLimiter(2)
 		l.Observe(map[string]map[string]int{
 			"m": {
 				"small": 1,
@@ -106,7 +106,7 @@
 		}
 	})
 	t.Run("places come back", func(t *testing.T) {
-		l, _ := newLimits(1)
+		l, _ := newLimiter(1)
 		l.Enter("small", b)
 		_, leave := fill(l, "big")
 		leave()
--- a/core/coordination/orders/orders.go
+++ b/core/coordination/orders/orders.go
@@ -19,7 +19,7 @@
 // Rules of the plan.
 const (
 	DefaultAtOnce = 2               // loads at once, if the settings don't say
-	giveUpAfter   = 5 * time.Minute // a load that is not reported by then is ordered again
+	loadTimeout   = 5 * time.Minute // a load that is not reported by then is ordered again
 )
 
 // The kinds of order.
@@ -51,31 +51,31 @@
 	Since  time.Time     // when this VM became the giver
 	Lease  time.Duration // how long a former giver may still give orders
 
-	loading map[Order]given // ordered, and not reported yet
+	pendingLoads map[Order]pendingLoad // ordered, and not reported yet
 }
 
-// given is when an order was given, and to which life of its engine.
-type given struct {
-	at    time.Time
-	lives uint64
+// pendingLoad is when an order was pendingLoad, and to which life of its engine.
+type pendingLoad struct {
+	orderedAt      time.Time
+	engineRestarts uint64
 }
 
 // Plan returns the orders to give now.
 func (p *Planner) Plan(now time.Time, engines []Engine, withdrawn map[persimmoncross.Version]bool) []Order {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
-	p.forget(now, engines)
+	p.prunePendingLoads(now, engines)
 	var list []Order
 	for _, e := range engines {
-		if !e.Live || len(e.Reported) == 0 || p.busy(e.Name) || !p.may(now, e) {
+		if !e.Live || len(e.Reported) == 0 || p.isLoading(e.Name) || !p.canOrder(now, e) {
 			continue
 		}
-		if o, ok := p.next(e, engines, withdrawn); ok {
+		if o, ok := p.nextOrder(e, engines, withdrawn); ok {
 			list = append(list, o)
 			if o.Kind == Load {
-				p.loading[o] = given{
-					at:    now,
-					lives: e.Lives,
+				p.pendingLoads[o] = pendingLoad{
+					orderedAt:      now,
+					engineRestarts: e.Lives,
 				}
 			}
 		}
@@ -83,18 +83,18 @@
 	return list
 }
 
-// may reports whether the engine may be ordered already.
-func (p *Planner) may(now time.Time, e Engine) bool {
+// canOrder reports whether the engine canOrder be ordered already.
+func (p *Planner) canOrder(now time.Time, e Engine) bool {
 	return e.Fencing || now.Sub(p.Since) > p.Lease
 }
 
-// next returns the engine's next order: it loads before it unloads.
-func (p *Planner) next(e Engine, engines []Engine, withdrawn map[persimmoncross.Version]bool) (Order, bool) {
+// nextOrder returns the engine's nextOrder order: it loads before it unloads.
+func (p *Planner) nextOrder(e Engine, engines []Engine, withdrawn map[persimmoncross.Version]bool) (Order, bool) {
 	for _, v := range e.Declared {
 		if withdrawn[v] || slices.Contains(e.Reported, v) {
 			continue
 		}
-		if len(p.loading) < p.atOnce() && p.spare(e, engines) {
+		if len(p.pendingLoads) < p.maxConcurrentLoads() && p.canSpare(e, engines) {
 			return Order{
 				Engine:  e.Name,
 				Kind:    Load,
@@ -107,7 +107,7 @@
 		if slices.Contains(e.Declared, v) && !withdrawn[v] {
 			continue
 		}
-		if withdrawn[v] || !declared(v, engines) || p.held(v, e, engines) {
+		if withdrawn[v] || !isDeclared(v, engines) || p.isServedElsewhere(v, e, engines) {
 			return Order{
 				Engine:  e.Name,
 				Kind:    Unload,
@@ -118,39 +118,39 @@
 	return Order{}, false
 }
 
-// spare reports whether everything that the engine serves is served by another
+// canSpare reports whether everything that the engine serves is served by another
 // one that is not loading: an engine that loads may be slow.
-func (p *Planner) spare(e Engine, engines []Engine) bool {
+func (p *Planner) canSpare(e Engine, engines []Engine) bool {
 	for _, v := range e.Reported {
-		alone := true
+		soleProvider := true
 		for _, o := range engines {
-			alone = alone && (o.Name == e.Name || !slices.Contains(o.Declared, v))
+			soleProvider = soleProvider && (o.Name == e.Name || !slices.Contains(o.Declared, v))
 		}
 		// Nobody else is even meant to serve it: waiting would not help.
-		if !alone && !p.held(v, e, engines) {
+		if !soleProvider && !p.isServedElsewhere(v, e, engines) {
 			return false
 		}
 	}
 	return true
 }
 
-// held reports whether another live engine that is not loading holds the version.
-func (p *Planner) held(v persimmoncross.Version, but Engine, engines []Engine) bool {
+// isServedElsewhere reports whether another live engine that is not loading holds the version.
+func (p *Planner) isServedElsewhere(v persimmoncross.Version, except Engine, engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(o Engine) bool {
-		return o.Name != but.Name && o.Live && !p.busy(o.Name) && slices.Contains(o.Reported, v)
+		return o.Name != except.Name && o.Live && !p.isLoading(o.Name) && slices.Contains(o.Reported, v)
 	})
 }
 
-func declared(v persimmoncross.Version, engines []Engine) bool {
+func isDeclared(v persimmoncross.Version, engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(o Engine) bool { return slices.Contains(o.Declared, v) })
 }
 
 // Failed tells that a load could not be ordered.
-func (p *Planner) Failed(o Order) { delete(p.loading, o) }
+func (p *Planner) Failed(o Order) { delete(p.pendingLoads, o) }
 
-// busy reports whether the engine is loading.
-func (p *Planner) busy(engine string) bool {
-	for o := range p.loading {
+// isLoading reports whether the engine is loading.
+func (p *Planner) isLoading(engine string) bool {
+	for o := range p.pendingLoads {
 		if o.Engine == engine {
 			return true
 		}
@@ -158,21 +158,21 @@
 	return false
 }
 
-// forget ends the loads that are reported, given up, or of engines that are gone or
+// prunePendingLoads ends the loads that are reported, given up, or of engines that are gone or
 // have started again: those know of no order.
-func (p *Planner) forget(now time.Time, engines []Engine) {
-	if p.loading == nil {
-		p.loading = map[Order]given{}
+func (p *Planner) prunePendingLoads(now time.Time, engines []Engine) {
+	if p.pendingLoads == nil {
+		p.pendingLoads = map[Order]pendingLoad{}
 	}
-	for o, g := range p.loading {
+	for o, g := range p.pendingLoads {
 		i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == o.Engine })
-		if i < 0 || now.Sub(g.at) > giveUpAfter || engines[i].Lives != g.lives || slices.Contains(engines[i].Reported, o.Version) {
-			delete(p.loading, o)
+		if i < 0 || now.Sub(g.orderedAt) > loadTimeout || engines[i].Lives != g.engineRestarts || slices.Contains(engines[i].Reported, o.Version) {
+			delete(p.pendingLoads, o)
 		}
 	}
 }
 
-func (p *Planner) atOnce() int {
+func (p *Planner) maxConcurrentLoads() int {
 	if p.AtOnce == 0 {
 		return DefaultAtOnce
 	}
--- a/core/coordination/orders/orders_test.go
+++ b/core/coordination/orders/orders_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-func versions(names ...string) []persimmoncross.Version {
+func parseVersions(names ...string) []persimmoncross.Version {
 	var list []persimmoncross.Version
 	for _, n := range names {
 		list = append(list, persimmoncross.ParseVersion(n))
@@ -19,7 +19,7 @@
 	return list
 }
 
-func engine(name string, declared, reported []persimmoncross.Version) Engine {
+func newEngine(name string, declared, reported []persimmoncross.Version) Engine {
 	return Engine{
 		Name:     name,
 		Fencing:  true,
@@ -30,11 +30,11 @@
 }
 
 func TestPlan(t *testing.T) {
-	both, one := versions("m@1", "m@2"), versions("m@1")
-	silent := engine("a", both, nil)
-	leaving := engine("a", both, one)
+	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
+	silent := newEngine("a", both, nil)
+	leaving := newEngine("a", both, one)
 	leaving.Live = false
-	ignores := engine("a", both, one)
+	ignores := newEngine("a", both, one)
 	ignores.Fencing = false
 	for _, c := range []struct {
 		name      string
@@ -45,38 +45,38 @@
 	}{
 		{
 			name:    "nothing to do",
-			engines: []Engine{engine("a", one, one)},
+			engines: []Engine{newEngine("a", one, one)},
 			want:    "[]",
 		},
 		{
 			name:    "loads two at once, and never all that serve a version",
-			engines: []Engine{engine("a", both, one), engine("b", both, one), engine("c", both, one), engine("d", both, one)},
+			engines: []Engine{newEngine("a", both, one), newEngine("b", both, one), newEngine("c", both, one), newEngine("d", both, one)},
 			want:    "[{a load m@2} {b load m@2}]",
 		},
 		{
 			name:    "one of two",
-			engines: []Engine{engine("a", both, one), engine("b", both, one)},
+			engines: []Engine{newEngine("a", both, one), newEngine("b", both, one)},
 			want:    "[{a load m@2}]",
 		},
 		{
 			name:    "the only one there is",
-			engines: []Engine{engine("a", both, one)},
+			engines: []Engine{newEngine("a", both, one)},
 			want:    "[{a load m@2}]",
 		},
 		{
 			name:      "not a withdrawn version",
-			engines:   []Engine{engine("a", both, one)},
+			engines:   []Engine{newEngine("a", both, one)},
 			withdrawn: "m@2",
 			want:      "[]",
 		},
 		{
 			name:    "unloads what another holds",
-			engines: []Engine{engine("a", versions("m@2"), both), engine("b", one, one)},
+			engines: []Engine{newEngine("a", parseVersions("m@2"), both), newEngine("b", one, one)},
 			want:    "[{a unload m@1}]",
 		},
 		{
 			name:    "does not unload the last that holds a declared version",
-			engines: []Engine{engine("a", versions("m@2"), both), engine("b", one, versions("x@1"))},
+			engines: []Engine{newEngine("a", parseVersions("m@2"), both), newEngine("b", one, parseVersions("x@1"))},
 			want:    "[{b load m@1}]",
 		},
 		{
@@ -119,7 +119,7 @@
 
 // A new version comes to all engines while at every moment another engine that
 // is not loading serves the old one, and never more than two load.
-func TestRolloutOverAllEnginesKeepsCapacity(t *testing.T) {
+func TestLoadingAllEnginesKeepsCapacity(t *testing.T) {
 	const engines = 7
 	p := &Planner{
 		Since: start,
@@ -127,7 +127,7 @@
 	}
 	var list []Engine
 	for i := range engines {
-		list = append(list, engine(fmt.Sprint(i), versions("m@1", "m@2"), versions("m@1")))
+		list = append(list, newEngine(fmt.Sprint(i), parseVersions("m@1", "m@2"), parseVersions("m@1")))
 	}
 	rounds := 0
 	for now := start; ; now = now.Add(time.Second) {
@@ -155,12 +155,12 @@
 
 // An order that an engine's former life was given is given to the later one; one
 // that the later life reports as done is not.
-func TestOrdersToALaterLife(t *testing.T) {
-	both, one := versions("m@1", "m@2"), versions("m@1")
+func TestLoadIsReorderedAfterEngineRestart(t *testing.T) {
+	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
 	p := &Planner{
 		Since: start,
 	}
-	a, b := engine("a", both, one), engine("b", one, one)
+	a, b := newEngine("a", both, one), newEngine("b", one, one)
 	plan := func(after time.Duration) string {
 		return fmt.Sprint(p.Plan(start.Add(after), []Engine{a, b}, nil))
 	}
--- a/core/coordination/rollout/evalue.go
+++ b/core/coordination/rollout/evalue.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// alternatives are the failure rates that the test bets on, as shares of the
+// alternativeRates are the failure rates that the test bets on, as shares of the
 // way from the limit to certain failure.
-var alternatives = []float64{0.03, 0.08, 0.2, 0.4, 0.7, 0.95}
+var alternativeRates = []float64{0.03, 0.08, 0.2, 0.4, 0.7, 0.95}
 
 // Evalue returns the evidence that bad of runs fail more often than the limit
 // allows: the likelihood of the counts under a mixture of worse rates, divided
@@ -14,34 +14,34 @@
 // supermartingale that starts at 1, so the chance that it ever reaches 1/a is
 // at most a (Ville's inequality), however often it is looked at. It depends on
 // the counts alone: the entries' counts can be added in any order.
-func Evalue(runs, bad uint64, limit float64) float64 {
+func Evalue(runs, failedRuns uint64, limit float64) float64 {
 	if runs == 0 {
 		return 1
 	}
 	limit = min(max(limit, minLimit), 1-minLimit)
-	good := float64(runs - min(bad, runs))
+	good := float64(runs - min(failedRuns, runs))
 	sum := 0.0
-	for _, a := range alternatives {
+	for _, a := range alternativeRates {
 		p := limit + a*(1-limit)
-		logRatio := float64(bad)*math.Log(p/limit) + good*math.Log((1-p)/(1-limit))
-		sum += math.Exp(min(logRatio, maxLog))
+		logRatio := float64(failedRuns)*math.Log(p/limit) + good*math.Log((1-p)/(1-limit))
+		sum += math.Exp(min(logRatio, maxLogRatio))
 	}
-	return sum / float64(len(alternatives))
+	return sum / float64(len(alternativeRates))
 }
 
 const (
-	minLimit = 1e-4
-	maxLog   = 600 // the exponential stays finite
+	minLimit    = 1e-4
+	maxLogRatio = 600 // the exponential stays finite
 )
 
-// upperRate returns a rate that the true one exceeds only rarely, from counts:
+// upperConfidenceBound returns a rate that the true one exceeds only rarely, from counts:
 // the upper end of Wilson's interval at one standard error.
-func upperRate(runs, bad uint64) float64 {
+func upperConfidenceBound(runs, failedRuns uint64) float64 {
 	if runs == 0 {
 		return 0
 	}
 	n := float64(runs)
-	p := float64(min(bad, runs)) / n
+	p := float64(min(failedRuns, runs)) / n
 	const z = 1.0
 	centre := p + z*z/(2*n)
 	spread := z * math.Sqrt(p*(1-p)/n+z*z/(4*n*n))
--- a/core/coordination/rollout/evidence.go
+++ b/core/coordination/rollout/evidence.go
@@ -18,15 +18,15 @@
 
 // Rules of the local brake.
 const (
-	brakeAfter  = 5    // hard failures in a row
-	slowShare   = 0.95 // the quantile of the old version's times that is slow
-	slowEvery   = 64   // runs after which that quantile is computed anew
-	slowSample  = 512  // times that are remembered
-	slowDecay   = 0.015
-	slowAtLeast = 32          // times before any run is called slow
-	maxControls = 8           // runs of other versions that wait to be compared with: the latest
-	renewAfter  = time.Minute // a stage that got stuck, since callers left, gets its budget again
-	sampleFirst = 50          // answers of the old version rated before any of the new
+	maxConsecutiveFailures = 5    // hard failures in a row
+	slowQuantile           = 0.95 // the quantile of the old version's times that is slow
+	runsPerSlowUpdate      = 64   // runs after which that quantile is computed anew
+	latencySampleSize      = 512  // times that are remembered
+	latencySampleDecay     = 0.015
+	minLatencySamples      = 32          // times before any run is called slow
+	maxControlRuns         = 8           // runs of other versions that wait to be compared with: the latest
+	budgetRenewInterval    = time.Minute // a stage that got stuck, since callers left, gets its budget again
+	minBaselineRatings     = 50          // answers of the old version rated before any of the new
 )
 
 // Tally counts what was seen of one version from one organisation.
@@ -60,12 +60,12 @@
 	Judge Judge
 	Clock persimmoncross.Clock
 
-	mu       sync.Mutex // guards all below
-	tallies  map[Subject]*Tally
-	failures map[persimmoncross.Version]int // in a row
-	exposed  map[persimmoncross.Version]exposure
-	times    map[string]*modelTimes // by model
-	plans    map[persimmoncross.Version]Plan
+	mu                  sync.Mutex // guards all below
+	tallies             map[Subject]*Tally
+	consecutiveFailures map[persimmoncross.Version]int // in a row
+	exposures           map[persimmoncross.Version]exposure
+	latencies           map[string]*modelLatency // by model
+	plans               map[persimmoncross.Version]Plan
 }
 
 // Plan is a roll-out in force, as this entry must keep to it.
@@ -78,23 +78,23 @@
 
 // exposure counts what a version got in a stage.
 type exposure struct {
-	stage int
-	used  int       // of the budget
-	since time.Time // the budget's beginning
-	done  uint64    // runs that ended, pinned sessions' too
+	stage         int
+	budgetUsed    int       // of the budget
+	budgetStart   time.Time // the budget's beginning
+	completedRuns uint64    // runs that ended, pinned sessions' too
 }
 
-// modelTimes estimates which times to the first token are slow for a model,
+// modelLatency estimates which times to the first token are slow for a model,
 // from runs on versions that are not being rolled out.
-type modelTimes struct {
-	sample metrics.Sample
-	slow   time.Duration
-	seen   int
-	// controls holds, for the latest runs of versions that are not being rolled
+type modelLatency struct {
+	sample        metrics.Sample
+	slowThreshold time.Duration
+	sampleCount   int
+	// controlRuns holds, for the latest runs of versions that are not being rolled
 	// out, whether each was slow. A run of a version that is takes one of them to
 	// be compared with: when the pool gets slower, both are slow, and the pair
 	// says nothing.
-	controls []bool
+	controlRuns []bool
 }
 
 // SetPlans replaces the roll-outs in force, by the version rolled out.
@@ -106,58 +106,58 @@
 
 // Note takes the outcome of one run; first is the time to its first token, 0
 // if there was none.
-func (e *Evidence) Note(v persimmoncross.Version, organisation string, failed bool, first time.Duration) {
+func (e *Evidence) Note(v persimmoncross.Version, organisation string, failed bool, timeToFirstToken time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureMaps()
 	if p, rolling := e.plans[v]; rolling {
-		x := e.exposure(v, p)
-		x.done++
-		e.exposed[v] = x
+		x := e.currentExposure(v, p)
+		x.completedRuns++
+		e.exposures[v] = x
 	}
 	t := e.tally(v, organisation)
 	t.Runs++
 	if failed {
 		t.Bad++
-		e.failures[v]++
+		e.consecutiveFailures[v]++
 		return
 	}
-	e.failures[v] = 0
-	e.noteTime(t, v, first)
+	e.consecutiveFailures[v] = 0
+	e.recordLatency(t, v, timeToFirstToken)
 }
 
-func (e *Evidence) noteTime(t *Tally, v persimmoncross.Version, first time.Duration) {
-	m := e.times[v.Model]
+func (e *Evidence) recordLatency(t *Tally, v persimmoncross.Version, timeToFirstToken time.Duration) {
+	m := e.latencies[v.Model]
 	if m == nil {
-		m = &modelTimes{
-			sample: metrics.NewExpDecaySample(slowSample, slowDecay),
+		m = &modelLatency{
+			sample: metrics.NewExpDecaySample(latencySampleSize, latencySampleDecay),
 		}
-		e.times[v.Model] = m
+		e.latencies[v.Model] = m
 	}
-	slow := m.slow > 0 && first > m.slow
+	slow := m.slowThreshold > 0 && timeToFirstToken > m.slowThreshold
 	if _, rolling := e.plans[v]; rolling {
-		t.compare(m, slow)
+		t.recordPair(m, slow)
 		return
 	}
-	if m.slow > 0 {
-		m.controls = append(m.controls, slow)
-		m.controls = m.controls[max(0, len(m.controls)-maxControls):]
+	if m.slowThreshold > 0 {
+		m.controlRuns = append(m.controlRuns, slow)
+		m.controlRuns = m.controlRuns[max(0, len(m.controlRuns)-maxControlRuns):]
 	}
-	m.sample.Update(int64(first))
-	m.seen++
-	if m.seen >= slowAtLeast && m.seen%slowEvery == 0 || m.seen == slowAtLeast {
-		m.slow = time.Duration(m.sample.Percentile(slowShare))
+	m.sample.Update(int64(timeToFirstToken))
+	m.sampleCount++
+	if m.sampleCount >= minLatencySamples && m.sampleCount%runsPerSlowUpdate == 0 || m.sampleCount == minLatencySamples {
+		m.slowThreshold = time.Duration(m.sample.Percentile(slowQuantile))
 	}
 }
 
-// compare pairs a run with the latest control that has no pair yet.
-func (t *Tally) compare(m *modelTimes, slow bool) {
-	n := len(m.controls)
+// recordPair pairs a run with the latest control that has no pair yet.
+func (t *Tally) recordPair(m *modelLatency, slow bool) {
+	n := len(m.controlRuns)
 	if n == 0 {
 		return
 	}
-	control := m.controls[n-1]
-	m.controls = m.controls[:n-1]
+	control := m.controlRuns[n-1]
+	m.controlRuns = m.controlRuns[:n-1]
 	if control == slow {
 		return
 	}
@@ -171,7 +171,7 @@
 func (e *Evidence) Rated(v persimmoncross.Version, organisation string, poor bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prepare()
+	e.ensureMaps()
 	t := e.tally(v, organisation)
 	t.Rated++
 	if poor {
@@ -190,14 +190,14 @@
 	}
 	for to, p := range e.plans {
 		if p.Old == v {
-			return e.rated(v) < 2*e.rated(to)+sampleFirst
+			return e.ratingCount(v) < 2*e.ratingCount(to)+minBaselineRatings
 		}
 	}
 	return false
 }
 
-// rated counts the ratings of a version from all organisations.
-func (e *Evidence) rated(v persimmoncross.Version) uint64 {
+// ratingCount counts the ratings of a version from all organisations.
+func (e *Evidence) ratingCount(v persimmoncross.Version) uint64 {
 	var n uint64
 	for s, t := range e.tallies {
 		if s.Version == v {
@@ -217,28 +217,28 @@
 	if !rolling {
 		return true
 	}
-	e.prepare()
-	x := e.exposure(v, p)
-	if now := e.Clock.Now(); now.Sub(x.since) >= renewAfter {
-		x.used = 0
-		x.since = now
+	e.ensureMaps()
+	x := e.currentExposure(v, p)
+	if now := e.Clock.Now(); now.Sub(x.budgetStart) >= budgetRenewInterval {
+		x.budgetUsed = 0
+		x.budgetStart = now
 	}
-	if x.used >= p.Budget || e.failures[v] >= brakeAfter || e.bad(v, p) {
+	if x.budgetUsed >= p.Budget || e.consecutiveFailures[v] >= maxConsecutiveFailures || e.isBad(v, p) {
 		return false
 	}
-	x.used++
-	e.exposed[v] = x
+	x.budgetUsed++
+	e.exposures[v] = x
 	return true
 }
 
-// exposure returns what the version got in the stage of the plan.
-func (e *Evidence) exposure(v persimmoncross.Version, p Plan) exposure {
-	if x, ok := e.exposed[v]; ok && x.stage == p.Stage {
-		return x
+// currentExposure returns what the version got in the stage of the plan.
+func (e *Evidence) currentExposure(v persimmoncross.Version, p Plan) exposure {
+	if current, ok := e.exposures[v]; ok && current.stage == p.Stage {
+		return current
 	}
 	return exposure{
-		stage: p.Stage,
-		since: e.Clock.Now(),
+		stage:       p.Stage,
+		budgetStart: e.Clock.Now(),
 	}
 }
 
@@ -248,10 +248,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := map[persimmoncross.Version]StageRuns{}
-	for v, x := range e.exposed {
+	for v, x := range e.exposures {
 		all[v] = StageRuns{
 			Stage: x.stage,
-			Runs:  x.done,
+			Runs:  x.completedRuns,
 		}
 	}
 	return all
@@ -263,8 +263,8 @@
 	Runs  uint64
 }
 
-// bad reports whether this entry's own evidence is already enough.
-func (e *Evidence) bad(v persimmoncross.Version, p Plan) bool {
+// isBad reports whether this entry's own evidence is already enough.
+func (e *Evidence) isBad(v persimmoncross.Version, p Plan) bool {
 	pool := Pool{
 		Margin: p.Margin,
 		New:    map[string]Tally{},
@@ -287,14 +287,14 @@
 	return all
 }
 
-func (e *Evidence) prepare() {
+func (e *Evidence) ensureMaps() {
 	if e.tallies != nil {
 		return
 	}
 	e.tallies = map[Subject]*Tally{}
-	e.failures = map[persimmoncross.Version]int{}
-	e.exposed = map[persimmoncross.Version]exposure{}
-	e.times = map[string]*modelTimes{}
+	e.consecutiveFailures = map[persimmoncross.Version]int{}
+	e.exposures = map[persimmoncross.Version]exposure{}
+	e.latencies = map[string]*modelLatency{}
 }
 
 func (e *Evidence) tally(v persimmoncross.Version, organisation string) *Tally {
--- a/core/coordination/rollout/judge.go
+++ b/core/coordination/rollout/judge.go
@@ -14,9 +14,9 @@
 // DefaultMargin is the excess rate of bad runs that makes a version bad.
 const DefaultMargin = 0.02
 
-// slowLimit is the share of unlike pairs in which the new version may be the
+// maxSlowerShare is the share of unlike pairs in which the new version may be the
 // slow one: a half if it is as quick as the old one.
-const slowLimit = 0.6
+const maxSlowerShare = 0.6
 
 // Judge decides on a roll-out.
 type Judge struct {
@@ -31,11 +31,11 @@
 }
 
 // Take adds a tally, if it is about one of the two versions.
-func (p Pool) Take(s Subject, t Tally, to, from persimmoncross.Version) {
+func (p Pool) Take(s Subject, t Tally, candidate, baseline persimmoncross.Version) {
 	target := p.New
 	switch s.Version {
-	case to:
-	case from:
+	case candidate:
+	case baseline:
 		target = p.Old
 	default:
 		return
@@ -46,21 +46,21 @@
 }
 
 // Total returns the counts over all organisations.
-func Total(by map[string]Tally) Tally {
+func Total(byOrganisation map[string]Tally) Tally {
 	var sum Tally
-	for _, t := range by {
+	for _, t := range byOrganisation {
 		sum.Add(t)
 	}
 	return sum
 }
 
-// question is one that is asked of the counts: are bad of runs too many?
-type question struct {
-	what  string
-	runs  uint64
-	bad   uint64
-	limit float64
-	share float64 // of the allowed error
+// check is one that is asked of the counts: are bad of runs too many?
+type check struct {
+	description string
+	runs        uint64
+	bad         uint64
+	limit       float64
+	alphaShare  float64 // of the allowed error
 }
 
 // Bad returns why the version is bad, "" if the evidence does not say so.
@@ -74,58 +74,58 @@
 	if alpha == 0 {
 		alpha = DefaultAlpha
 	}
-	for _, q := range p.questions() {
-		if q.bad > 0 && Evalue(q.runs, q.bad, q.limit) >= 1/(alpha*q.share) {
-			return fmt.Sprintf("%d of %d %s, more than the %.3f allowed", q.bad, q.runs, q.what, q.limit)
+	for _, q := range p.checks() {
+		if q.bad > 0 && Evalue(q.runs, q.bad, q.limit) >= 1/(alpha*q.alphaShare) {
+			return fmt.Sprintf("%d of %d %s, more than the %.3f allowed", q.bad, q.runs, q.description, q.limit)
 		}
 	}
 	return ""
 }
 
-func (p Pool) questions() []question {
+func (p Pool) checks() []check {
 	margin := p.Margin
 	if margin == 0 {
 		margin = DefaultMargin
 	}
-	fresh, old := Total(p.New), Total(p.Old)
-	list := []question{
+	candidate, baseline := Total(p.New), Total(p.Old)
+	list := []check{
 		{
-			what:  "runs failed",
-			runs:  fresh.Runs,
-			bad:   fresh.Bad,
-			limit: upperRate(old.Runs, old.Bad) + margin,
-			share: 0.25,
+			description: "runs failed",
+			runs:        candidate.Runs,
+			bad:         candidate.Bad,
+			limit:       upperConfidenceBound(baseline.Runs, baseline.Bad) + margin,
+			alphaShare:  0.25,
 		},
 		{
-			what:  "unlike pairs of runs had this version as the slow one",
-			runs:  fresh.Pairs,
-			bad:   fresh.Slower,
-			limit: slowLimit,
-			share: 0.25,
+			description: "unlike pairs of runs had this version as the slow one",
+			runs:        candidate.Pairs,
+			bad:         candidate.Slower,
+			limit:       maxSlowerShare,
+			alphaShare:  0.25,
 		},
 		{
-			what:  "answers were rated poor",
-			runs:  fresh.Rated,
-			bad:   fresh.Poor,
-			limit: upperRate(old.Rated, old.Poor) + margin,
-			share: 0.25,
+			description: "answers were rated poor",
+			runs:        candidate.Rated,
+			bad:         candidate.Poor,
+			limit:       upperConfidenceBound(baseline.Rated, baseline.Poor) + margin,
+			alphaShare:  0.25,
 		},
 	}
 	share := 0.125 / float64(max(1, len(p.New)))
 	for _, name := range slices.Sorted(maps.Keys(p.New)) {
 		t, o := p.New[name], p.Old[name]
-		list = append(list, question{
-			what:  "runs of " + name + " failed",
-			runs:  t.Runs,
-			bad:   t.Bad,
-			limit: upperRate(o.Runs, o.Bad) + margin,
-			share: share,
-		}, question{
-			what:  "answers to " + name + " were rated poor",
-			runs:  t.Rated,
-			bad:   t.Poor,
-			limit: upperRate(o.Rated, o.Poor) + margin,
-			share: share,
+		list = append(list, check{
+			description: "runs of " + name + " failed",
+			runs:        t.Runs,
+			bad:         t.Bad,
+			limit:       upperConfidenceBound(o.Runs, o.Bad) + margin,
+			alphaShare:  share,
+		}, check{
+			description: "answers to " + name + " were rated poor",
+			runs:        t.Rated,
+			bad:         t.Poor,
+			limit:       upperConfidenceBound(o.Rated, o.Poor) + margin,
+			alphaShare:  share,
 		})
 	}
 	return list
--- a/core/coordination/rollout/rollout_test.go
+++ b/core/coordination/rollout/rollout_test.go
@@ -9,16 +9,16 @@
 )
 
 var (
-	fresh = persimmoncross.ParseVersion("m@2")
-	old   = persimmoncross.ParseVersion("m@1")
+	candidate = persimmoncross.ParseVersion("m@2")
+	baseline  = persimmoncross.ParseVersion("m@1")
 )
 
 // Looked at after every run, the evidence against a version at the limit must
 // pass 1/a in at most a share a of trials.
-func TestEvalueStaysValidUnderContinuousLooking(t *testing.T) {
+func TestEValueBoundsFalseAlarmsUnderRepeatedChecks(t *testing.T) {
 	const trials, runs, limit, alpha = 2000, 400, 0.05, 0.05
 	r := rand.New(rand.NewPCG(1, 2))
-	alarms := 0
+	falseAlarms := 0
 	for range trials {
 		bad := uint64(0)
 		for n := uint64(1); n <= runs; n++ {
@@ -26,17 +26,17 @@
 				bad++
 			}
 			if Evalue(n, bad, limit) >= 1/alpha {
-				alarms++
+				falseAlarms++
 				break
 			}
 		}
 	}
-	if got := float64(alarms) / trials; got > alpha {
+	if got := float64(falseAlarms) / trials; got > alpha {
 		t.Errorf("false alarms in %g of trials, want at most %g", got, alpha)
 	}
 }
 
-func TestEvalueGrowsWithBadRuns(t *testing.T) {
+func TestEValueGrowsWithFailedRuns(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		runs  uint64
@@ -180,10 +180,10 @@
 	}
 }
 
-func TestExposeKeepsToBudgetAndBrakes(t *testing.T) {
+func TestExposeStopsAtBudgetAndAfterFailures(t *testing.T) {
 	plan := map[persimmoncross.Version]Plan{
-		fresh: {
-			Old:    old,
+		candidate: {
+			Old:    baseline,
 			Budget: 10,
 		},
 	}
@@ -194,10 +194,10 @@
 		e.SetPlans(plan)
 		given := 0
 		for range 50 {
-			if e.Expose(fresh) {
+			if e.Expose(candidate) {
 				given++
 			}
-			if !e.Expose(old) {
+			if !e.Expose(baseline) {
 				t.Fatal("the old version is withheld")
 			}
 		}
@@ -206,13 +206,13 @@
 		}
 		// The next stage has a budget of its own.
 		e.SetPlans(map[persimmoncross.Version]Plan{
-			fresh: {
-				Old:    old,
+			candidate: {
+				Old:    baseline,
 				Stage:  1,
 				Budget: 10,
 			},
 		})
-		if !e.Expose(fresh) {
+		if !e.Expose(candidate) {
 			t.Error("nothing is exposed in the next stage")
 		}
 	})
@@ -221,33 +221,33 @@
 			Clock: persimmoncross.SystemClock{},
 		}
 		e.SetPlans(plan)
-		for range brakeAfter {
-			e.Note(fresh, "a", true, 0)
+		for range maxConsecutiveFailures {
+			e.Note(candidate, "a", true, 0)
 		}
-		if e.Expose(fresh) {
+		if e.Expose(candidate) {
 			t.Error("a version that fails every run is exposed")
 		}
 	})
 }
 
-func TestSlowIsLearntFromOtherVersions(t *testing.T) {
+func TestSlowThresholdComesFromBaselineRuns(t *testing.T) {
 	e := &Evidence{
 		Clock: persimmoncross.SystemClock{},
 	}
 	e.SetPlans(map[persimmoncross.Version]Plan{
-		fresh: {
-			Old: old,
+		candidate: {
+			Old: baseline,
 		},
 	})
 	for i := range 200 {
-		e.Note(old, "a", false, time.Duration(100+i%10)*time.Millisecond)
+		e.Note(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
 	}
 	for range 20 {
-		e.Note(old, "a", false, 100*time.Millisecond)
-		e.Note(fresh, "a", false, 300*time.Millisecond)
+		e.Note(baseline, "a", false, 100*time.Millisecond)
+		e.Note(candidate, "a", false, 300*time.Millisecond)
 	}
 	got := e.Tallies()[Subject{
-		Version:      fresh,
+		Version:      candidate,
 		Organisation: "a",
 	}]
 	if got.Pairs != 20 || got.Slower != 20 {
@@ -258,13 +258,13 @@
 // A pool that gets slower for both versions says nothing against the new one,
 // nor does slowness that no run of the old one can be compared with (a good
 // version was withdrawn so in CI, on a busy machine).
-func TestSlowPoolIsNotTheVersion(t *testing.T) {
+func TestUpstreamSlowdownIsNotBlamedOnVersion(t *testing.T) {
 	e := &Evidence{
 		Clock: persimmoncross.SystemClock{},
 	}
 	e.SetPlans(map[persimmoncross.Version]Plan{
-		fresh: {
-			Old: old,
+		candidate: {
+			Old: baseline,
 		},
 	})
 	judge := func() string {
@@ -273,30 +273,30 @@
 			Old: map[string]Tally{},
 		}
 		for s, n := range e.Tallies() {
-			p.Take(s, n, fresh, old)
+			p.Take(s, n, candidate, baseline)
 		}
 		return Judge{}.Bad(p)
 	}
 	for i := range 200 {
-		e.Note(old, "a", false, time.Duration(100+i%10)*time.Millisecond)
+		e.Note(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
 	}
 	for range 40 {
-		e.Note(old, "a", false, 300*time.Millisecond)
-		e.Note(fresh, "a", false, 300*time.Millisecond)
+		e.Note(baseline, "a", false, 300*time.Millisecond)
+		e.Note(candidate, "a", false, 300*time.Millisecond)
 		if reason := judge(); reason != "" {
 			t.Fatalf("both are slow: %s", reason)
 		}
 	}
 	for range 200 {
-		e.Note(fresh, "a", false, time.Second)
+		e.Note(candidate, "a", false, time.Second)
 	}
 	if reason := judge(); reason != "" {
 		t.Errorf("nothing to compare with: %s", reason)
 	}
 	// Beside an old version that stays quick, slowness counts.
 	for range 60 {
-		e.Note(old, "a", false, 100*time.Millisecond)
-		e.Note(fresh, "a", false, time.Second)
+		e.Note(baseline, "a", false, 100*time.Millisecond)
+		e.Note(candidate, "a", false, time.Second)
 	}
 	if judge() == "" {
 		t.Error("a slow version is not found beside a quick one")
--- a/core/coordination/routing/backoff.go
+++ b/core/coordination/routing/backoff.go
@@ -7,8 +7,8 @@
 	"persimmoncross/core/coordination/ratelimit"
 )
 
-// backoff is a [ratelimit.Backoff] that is safe for concurrent use.
-type backoff struct {
+// upstreamBackoff is a [ratelimit.Backoff] that is safe for concurrent use.
+type upstreamBackoff struct {
 	mu    sync.Mutex // guards inner
 	inner ratelimit.Backoff
 }
@@ -20,13 +20,13 @@
 	u.backoff.inner.Extend(until)
 }
 
-func (b *backoff) remaining(now time.Time) time.Duration {
+func (b *upstreamBackoff) remaining(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inner.Remaining(now)
 }
 
-func (b *backoff) reset() {
+func (b *upstreamBackoff) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inner = ratelimit.Backoff{}
@@ -36,11 +36,11 @@
 // choice leaves its backoff, 0 if none is in one.
 func (t *Table) AvailableIn(c Choice) time.Duration {
 	now := t.Clock.Now()
-	first := time.Duration(0)
-	for _, u := range t.all() {
-		if in := u.backoff.remaining(now); t.open(u) && u.serves(c) && in > 0 && (first == 0 || in < first) {
-			first = in
+	shortest := time.Duration(0)
+	for _, u := range t.upstreamsByName() {
+		if remaining := u.backoff.remaining(now); t.isAvailable(u) && u.serves(c) && remaining > 0 && (shortest == 0 || remaining < shortest) {
+			shortest = remaining
 		}
 	}
-	return first
+	return shortest
 }
--- a/core/coordination/routing/bench_test.go
+++ b/core/coordination/routing/bench_test.go
@@ -19,7 +19,7 @@
 			runtime.GC()
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			t := tableOf(n)
+			t := newTable(n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			c := Choice{
@@ -35,7 +35,7 @@
 	}
 }
 
-func tableOf(n int) *Table {
+func newTable(n int) *Table {
 	file := &settings.File{
 		Upstreams: map[string]*settings.Upstream{},
 	}
--- a/core/coordination/routing/breaker.go
+++ b/core/coordination/routing/breaker.go
@@ -16,17 +16,17 @@
 	breaker outlier.Breaker
 }
 
-// circuits holds an upstream's breakers, one for each version that it serves: a
+// versionBreakers holds an upstream's breakers, one for each version that it serves: a
 // version that fails must not take the upstream from the others. A plain
 // service's is under the zero version.
-type circuits struct {
+type versionBreakers struct {
 	mu        sync.Mutex // guards byVersion
 	byVersion map[persimmoncross.Version]*Breaker
 }
 
 // Breaker returns the upstream's breaker for the version.
 func (u *Upstream) Breaker(v persimmoncross.Version) *Breaker {
-	c := &u.circuits
+	c := &u.breakers
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.byVersion[v]
@@ -42,9 +42,9 @@
 	return b
 }
 
-// forget drops the breakers. Requests that are under way end at those that they
+// reset drops the breakers. Requests that are under way end at those that they
 // began at.
-func (c *circuits) forget() {
+func (c *versionBreakers) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byVersion = nil
@@ -52,7 +52,7 @@
 
 // Broken reports whether work of any version is kept from the upstream.
 func (u *Upstream) Broken() bool {
-	c := &u.circuits
+	c := &u.breakers
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, b := range c.byVersion {
--- a/core/coordination/routing/life_test.go
+++ b/core/coordination/routing/life_test.go
@@ -9,7 +9,7 @@
 
 // An upstream that started again under its name and address begins with nothing
 // known of it; what is kept of one that runs on stays.
-func TestUpstreamStartedAgain(t *testing.T) {
+func TestRestartedUpstreamLosesHistory(t *testing.T) {
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
 	report := func(started time.Time, sequence uint64, taken int64) persimmoncross.Report {
 		return persimmoncross.Report{
@@ -54,7 +54,7 @@
 			t.Errorf("%s: started again: %v, %d times", tt.what, got, u.Lives())
 		}
 		u.history.mu.Lock()
-		known := u.history.hold != 0 || u.history.prefix.match(blocksOf(prompt), at(0)) != 0
+		known := u.history.meanDurationSeconds != 0 || u.history.prefixes.cachedBytes(prefixHashes(prompt), at(0)) != 0
 		u.history.mu.Unlock()
 		if known == tt.again || u.Broken() == tt.again {
 			t.Errorf("%s: what was known is used: %v, broken: %v", tt.what, known, u.Broken())
--- a/core/coordination/routing/placer.go
+++ b/core/coordination/routing/placer.go
@@ -12,12 +12,12 @@
 
 // Costs used by [Expected].
 const (
-	firstIdle    = 30 * time.Millisecond // to the first token at an idle engine
-	prefillPerKB = 4 * time.Millisecond  // of uncached prompt
-	farPenalty   = 3 * time.Millisecond  // a second data centre's round trip
-	errorPenalty = 2 * time.Second       // times the share of failed attempts
-	defaultHold  = time.Second
-	bytesPerKB   = 1024
+	idleTimeToFirstToken    = 30 * time.Millisecond // to the first token at an idle engine
+	prefillTimePerKB        = 4 * time.Millisecond  // of uncached prompt
+	remoteDataCentrePenalty = 3 * time.Millisecond  // a second data centre's round trip
+	errorPenalty            = 2 * time.Second       // times the share of failed attempts
+	defaultMeanDuration     = time.Second
+	bytesPerKB              = 1024
 )
 
 // Expected places a request where the expected time to its first token is
@@ -33,46 +33,46 @@
 // Place implements [persimmoncross.Placer].
 func (e *Expected) Place(candidates []persimmoncross.Candidate, prompt int) int {
 	least := math.Inf(1)
-	var near []int
+	var cheapest []int
 	for i, c := range candidates {
 		switch cost := expectedCost(c, prompt); {
 		case cost < least:
 			least = cost
-			near = append(near[:0], i)
+			cheapest = append(cheapest[:0], i)
 		case cost == least:
-			near = append(near, i)
+			cheapest = append(cheapest, i)
 		}
 	}
-	if len(near) == 1 {
-		return near[0]
+	if len(cheapest) == 1 {
+		return cheapest[0]
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return near[e.Random.IntN(len(near))]
+	return cheapest[e.Random.IntN(len(cheapest))]
 }
 
 // expectedCost returns seconds to the first token.
-func expectedCost(c persimmoncross.Candidate, prompt int) float64 {
-	hold := c.Hold
-	if hold == 0 {
-		hold = defaultHold
+func expectedCost(c persimmoncross.Candidate, promptBytes int) float64 {
+	meanDuration := c.Hold
+	if meanDuration == 0 {
+		meanDuration = defaultMeanDuration
 	}
 	slots := float64(c.Slots)
-	crowd := 1 + c.Busy/slots
-	read := firstIdle.Seconds() + float64(max(0, prompt-c.Cached))/bytesPerKB*prefillPerKB.Seconds()
-	cost := read*crowd + c.Busy/slots*crowdCost*hold.Seconds()
+	batchFactor := 1 + c.Busy/slots
+	prefill := idleTimeToFirstToken.Seconds() + float64(max(0, promptBytes-c.Cached))/bytesPerKB*prefillTimePerKB.Seconds()
+	cost := prefill*batchFactor + c.Busy/slots*batchSlowdown*meanDuration.Seconds()
 	// A slot comes free about every hold/slots.
-	cost += max(0, c.Busy+1-slots) / slots * hold.Seconds()
+	cost += max(0, c.Busy+1-slots) / slots * meanDuration.Seconds()
 	cost += c.Errors * errorPenalty.Seconds()
 	if !c.Near {
-		cost += farPenalty.Seconds()
+		cost += remoteDataCentrePenalty.Seconds()
 	}
 	return cost
 }
 
-// crowdCost is what one more request costs those that run beside it, as a
+// batchSlowdown is what one more request costs those that run beside it, as a
 // share of their time: it bounds how far a cached prefix draws work together.
-const crowdCost = 0.03
+const batchSlowdown = 0.03
 
 // Random places anywhere: a baseline.
 type Random struct {
--- a/core/coordination/routing/routing_test.go
+++ b/core/coordination/routing/routing_test.go
@@ -19,7 +19,7 @@
 func (c *fakeClock) Now() time.Time { return c.now }
 
 // A version that fails takes the upstream from no other version.
-func TestBreakerOfAVersion(t *testing.T) {
+func TestBreakerIsPerVersion(t *testing.T) {
 	clock := &fakeClock{
 		now: time.Unix(1000, 0),
 	}
@@ -56,18 +56,18 @@
 
 // The home of a prompt is the same at every entry, and moves only from an
 // upstream that is gone.
-func TestHome(t *testing.T) {
+func TestPromptAffinity(t *testing.T) {
 	prompt := make([]byte, 4096)
 	moved := 0
 	for i := range 100 {
 		prompt[0] = byte(i)
-		blocks := blocksOf(prompt)
-		all, other := tableOf(10).List(), tableOf(10).List()
-		home := homeOf(all, blocks)
-		if got := homeOf(other, blocks); got.Name != home.Name {
+		blocks := prefixHashes(prompt)
+		all, other := newTable(10).List(), newTable(10).List()
+		home := affinityUpstream(all, blocks)
+		if got := affinityUpstream(other, blocks); got.Name != home.Name {
 			t.Fatalf("home %s at one entry, %s at another", home.Name, got.Name)
 		}
-		if got := homeOf(all[1:], blocks); got.Name != home.Name {
+		if got := affinityUpstream(all[1:], blocks); got.Name != home.Name {
 			moved++
 			if home != all[0] {
 				t.Error("a home moved although its upstream stayed")
@@ -77,22 +77,22 @@
 	if moved == 0 || moved > 30 {
 		t.Errorf("%d of 100 homes were at one of 10 upstreams", moved)
 	}
-	if homeOf(tableOf(3).List(), blocksOf(prompt[:100])) != nil {
+	if affinityUpstream(newTable(3).List(), prefixHashes(prompt[:100])) != nil {
 		t.Error("a short prompt has a home")
 	}
 }
 
 // An upstream that comes back under its old name at another address is a new
 // one: nothing of what was known of the former holds for it.
-func TestUpstreamAtNewAddressIsNew(t *testing.T) {
-	table := tableOf(2)
+func TestNewAddressResetsUpstream(t *testing.T) {
+	table := newTable(2)
 	before := table.List()[0]
 	before.SetLeaving(true)
 	file := func(n int) *settings.Snapshot {
 		f := &settings.File{
 			Upstreams: map[string]*settings.Upstream{},
 		}
-		for _, u := range tableOf(n).List() {
+		for _, u := range newTable(n).List() {
 			f.Upstreams[u.Name] = u.settings
 		}
 		return &settings.Snapshot{
@@ -114,8 +114,8 @@
 
 // Nothing goes to an evacuated data centre, neither what is suspect nor what was tried
 // everywhere else; and it counts as no capacity.
-func TestEvacuatedDataCentre(t *testing.T) {
-	table := tableOf(4)
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
+	table := newTable(4)
 	list := table.List()
 	file := &settings.File{
 		Upstreams: map[string]*settings.Upstream{},
@@ -157,8 +157,8 @@
 
 // A request under suspicion waits for its own upstream while that is in a backoff:
 // elsewhere it would end another one.
-func TestSuspectWaitsForItsUpstream(t *testing.T) {
-	table := tableOf(4)
+func TestSuspectRequestWaitsForItsUpstream(t *testing.T) {
+	table := newTable(4)
 	var names []string
 	for _, u := range table.List() {
 		names = append(names, u.Name)
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -22,8 +22,8 @@
 
 // How much one attempt moves the averages.
 const (
-	holdWeight  = 0.05
-	usualWeight = 0.05
+	durationSmoothing = 0.05
+	inFlightSmoothing = 0.05
 )
 
 // Table is what one entry knows of the upstreams.
@@ -34,7 +34,7 @@
 	Entries    func() int // that place work, this one included
 
 	mu        sync.Mutex // guards replacing the maps
-	peers     atomic.Pointer[map[string]*Upstream]
+	upstreams atomic.Pointer[map[string]*Upstream]
 	evacuated atomic.Pointer[map[string]bool] // data centres
 }
 
@@ -43,26 +43,26 @@
 	Name    string
 	Address netip.AddrPort
 
-	clock    persimmoncross.Clock
-	settings *settings.Upstream
-	hash     uint64 // of the name
-	near     bool
-	inflight atomic.Int64
-	report   atomic.Pointer[persimmoncross.Report]
-	lives    atomic.Uint64 // how often it has started again
-	ended    atomic.Uint64 // how often its process was found gone
-	left     atomic.Bool   // the platform, or the upstream itself, says that it leaves
-	backoff  backoff
-	history  history
-	circuits circuits
+	clock          persimmoncross.Clock
+	settings       *settings.Upstream
+	hash           uint64 // of the name
+	sameDataCentre bool
+	inFlight       atomic.Int64
+	report         atomic.Pointer[persimmoncross.Report]
+	restarts       atomic.Uint64 // how often it has started again
+	observedExits  atomic.Uint64 // how often its process was found gone
+	draining       atomic.Bool   // the platform, or the upstream itself, says that it leaves
+	backoff        upstreamBackoff
+	history        attemptHistory
+	breakers       versionBreakers
 }
 
-// history holds the averages of past attempts.
-type history struct {
-	mu     sync.Mutex // guards all below
-	hold   float64    // seconds
-	usual  float64    // own attempts under way, averaged over decisions
-	prefix prefixes
+// attemptHistory holds the averages of past attempts.
+type attemptHistory struct {
+	mu                  sync.Mutex // guards all below
+	meanDurationSeconds float64    // seconds
+	meanInFlight        float64    // own attempts under way, averaged over decisions
+	prefixes            prefixCache
 }
 
 // Update takes a revision's upstreams over. One that stays at its address
@@ -70,35 +70,35 @@
 func (t *Table) Update(s *settings.Snapshot) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old := t.all()
+	old := t.upstreamsByName()
 	next := map[string]*Upstream{}
 	for name, u := range s.File.Upstreams {
-		kept, ok := old[name]
-		if ok && kept.Address == u.Address && slices.Equal(kept.settings.Versions, u.Versions) && kept.settings.SlotsOf() == u.SlotsOf() && kept.settings.Fencing == u.Fencing && kept.settings.DataCentre == u.DataCentre {
-			next[name] = kept
+		existing, ok := old[name]
+		if ok && existing.Address == u.Address && slices.Equal(existing.settings.Versions, u.Versions) && existing.settings.SlotsOf() == u.SlotsOf() && existing.settings.Fencing == u.Fencing && existing.settings.DataCentre == u.DataCentre {
+			next[name] = existing
 			continue
 		}
 		next[name] = &Upstream{
-			Name:     name,
-			Address:  u.Address,
-			clock:    t.Clock,
-			settings: u,
-			hash:     xxhash.Sum64String(name),
-			near:     u.DataCentre == t.DataCentre,
+			Name:           name,
+			Address:        u.Address,
+			clock:          t.Clock,
+			settings:       u,
+			hash:           xxhash.Sum64String(name),
+			sameDataCentre: u.DataCentre == t.DataCentre,
 		}
 	}
 	t.evacuated.Store(&s.Evacuated)
-	t.peers.Store(&next)
+	t.upstreams.Store(&next)
 }
 
-// open reports whether the upstream may get new work.
-func (t *Table) open(u *Upstream) bool {
+// isAvailable reports whether the upstream may get new work.
+func (t *Table) isAvailable(u *Upstream) bool {
 	e := t.evacuated.Load()
 	return !u.Leaving() && (e == nil || !(*e)[u.DataCentre()])
 }
 
-func (t *Table) all() map[string]*Upstream {
-	if p := t.peers.Load(); p != nil {
+func (t *Table) upstreamsByName() map[string]*Upstream {
+	if p := t.upstreams.Load(); p != nil {
 		return *p
 	}
 	return nil
@@ -107,7 +107,7 @@
 // List returns the upstreams, by name.
 func (t *Table) List() []*Upstream {
 	var list []*Upstream
-	for _, u := range t.all() {
+	for _, u := range t.upstreamsByName() {
 		list = append(list, u)
 	}
 	slices.SortFunc(list, func(a, b *Upstream) int { return strings.Compare(a.Name, b.Name) })
@@ -116,7 +116,7 @@
 
 // Find returns the upstream with the name.
 func (t *Table) Find(name string) (*Upstream, bool) {
-	u, ok := t.all()[name]
+	u, ok := t.upstreamsByName()[name]
 	return u, ok
 }
 
@@ -137,45 +137,45 @@
 // An upstream that was tried is taken again only if there is no other.
 func (t *Table) Pick(c Choice) *Upstream {
 	now := t.Clock.Now()
-	var fresh, again []*Upstream
+	var untried, tried []*Upstream
 	eligible := t.eligible(c)
 	if c.Alone != (persimmoncross.Digest{}) {
-		return alone(c, eligible, now)
+		return pickIsolated(c, eligible, now)
 	}
-	for _, u := range spare(c, eligible) {
+	for _, u := range excludeIsolated(c, eligible) {
 		switch {
 		case u.backoff.remaining(now) > 0 || !u.Breaker(c.Version).Allows():
 		case c.Tried[u.Name]:
-			again = append(again, u)
+			tried = append(tried, u)
 		default:
-			fresh = append(fresh, u)
+			untried = append(untried, u)
 		}
 	}
-	if len(fresh) == 0 {
-		fresh = again
+	if len(untried) == 0 {
+		untried = tried
 	}
-	if len(fresh) == 0 {
+	if len(untried) == 0 {
 		return nil
 	}
-	others := float64(max(1, t.Entries()) - 1)
-	candidates := make([]persimmoncross.Candidate, len(fresh))
-	blocks := blocksOf(c.Prompt)
-	home := homeOf(fresh, blocks)
-	for i, u := range fresh {
-		candidates[i] = u.candidate(now, c.Version, blocks, others)
-		if u == home {
+	peerEntries := float64(max(1, t.Entries()) - 1)
+	candidates := make([]persimmoncross.Candidate, len(untried))
+	hashes := prefixHashes(c.Prompt)
+	affinity := affinityUpstream(untried, hashes)
+	for i, u := range untried {
+		candidates[i] = u.newCandidate(now, c.Version, hashes, peerEntries)
+		if u == affinity {
 			candidates[i].Cached = len(c.Prompt)
 		}
 	}
-	return fresh[t.Placer.Place(candidates, len(c.Prompt))]
+	return untried[t.Placer.Place(candidates, len(c.Prompt))]
 }
 
 // eligible returns the upstreams that hold the version or serve the service, do not
 // leave, and stand in no data centre that is evacuated, in the order of their names.
 func (t *Table) eligible(c Choice) []*Upstream {
 	var list []*Upstream
-	for _, u := range t.all() {
-		if !t.open(u) || !u.serves(c) {
+	for _, u := range t.upstreamsByName() {
+		if !t.isAvailable(u) || !u.serves(c) {
 			continue
 		}
 		list = append(list, u)
@@ -188,9 +188,9 @@
 // serve at once.
 func (t *Table) Capacity(versions []persimmoncross.Version) int {
 	slots := 0
-	for _, u := range t.all() {
-		serves := func(v persimmoncross.Version) bool { return u.holds(v) && u.Breaker(v).Allows() }
-		if t.open(u) && slices.ContainsFunc(versions, serves) {
+	for _, u := range t.upstreamsByName() {
+		canServe := func(v persimmoncross.Version) bool { return u.hasVersion(v) && u.Breaker(v).Allows() }
+		if t.isAvailable(u) && slices.ContainsFunc(versions, canServe) {
 			slots += u.slots()
 		}
 	}
@@ -209,12 +209,12 @@
 	if len(c.Service) > 0 {
 		return slices.Contains(c.Service, u.Name)
 	}
-	return u.holds(c.Version)
+	return u.hasVersion(c.Version)
 }
 
-// holds reports whether the engine has the version. One that reports which
+// hasVersion reports whether the engine has the version. One that reports which
 // versions it has loaded is believed.
-func (u *Upstream) holds(v persimmoncross.Version) bool {
+func (u *Upstream) hasVersion(v persimmoncross.Version) bool {
 	if !slices.Contains(u.settings.Versions, v.String()) {
 		return false
 	}
@@ -222,27 +222,27 @@
 	return r == nil || len(r.Versions) == 0 || slices.Contains(r.Versions, v)
 }
 
-func (u *Upstream) candidate(now time.Time, v persimmoncross.Version, blocks []uint64, others float64) persimmoncross.Candidate {
+func (u *Upstream) newCandidate(now time.Time, v persimmoncross.Version, hashes []uint64, peerEntries float64) persimmoncross.Candidate {
 	c := persimmoncross.Candidate{
 		Name:     u.Name,
 		Address:  u.Address,
-		Near:     u.near,
-		InFlight: int(u.inflight.Load()),
+		Near:     u.sameDataCentre,
+		InFlight: int(u.inFlight.Load()),
 		Slots:    u.slots(),
 		Errors:   u.Breaker(v).Errors(),
 	}
 	u.history.mu.Lock()
 	defer u.history.mu.Unlock()
-	u.history.usual += usualWeight * (float64(c.InFlight) - u.history.usual)
-	c.Busy = float64(c.InFlight) + others*u.history.usual
-	c.Hold = time.Duration(u.history.hold * float64(time.Second))
-	c.Cached = u.history.prefix.match(blocks, now)
+	u.history.meanInFlight += inFlightSmoothing * (float64(c.InFlight) - u.history.meanInFlight)
+	c.Busy = float64(c.InFlight) + peerEntries*u.history.meanInFlight
+	c.Hold = time.Duration(u.history.meanDurationSeconds * float64(time.Second))
+	c.Cached = u.history.prefixes.cachedBytes(hashes, now)
 	return c
 }
 
 // Leaving reports whether the upstream may get no new work.
 func (u *Upstream) Leaving() bool {
-	if u.left.Load() {
+	if u.draining.Load() {
 		return true
 	}
 	r := u.report.Load()
@@ -250,7 +250,7 @@
 }
 
 // SetLeaving notes the platform's word.
-func (u *Upstream) SetLeaving(leaving bool) { u.left.Store(leaving) }
+func (u *Upstream) SetLeaving(leaving bool) { u.draining.Store(leaving) }
 
 // Kind returns "engine" or "service".
 func (u *Upstream) Kind() string { return u.settings.Kind }
@@ -264,13 +264,13 @@
 // Versions returns the versions that the settings give the upstream.
 func (u *Upstream) Versions() []string { return u.settings.Versions }
 
-// reportTrust is the age up to which a report shows that its upstream is there.
-const reportTrust = 5 * time.Second
+// maxReportAge is the age up to which a report shows that its upstream is there.
+const maxReportAge = 5 * time.Second
 
 // Answers reports whether the upstream has reported lately.
 func (u *Upstream) Answers() bool {
 	r := u.report.Load()
-	return r != nil && u.clock.Now().Sub(r.Taken) < reportTrust
+	return r != nil && u.clock.Now().Sub(r.Taken) < maxReportAge
 }
 
 // Fencing reports whether the engine refuses old fencing numbers.
@@ -285,7 +285,7 @@
 }
 
 // InFlight returns this entry's attempts under way.
-func (u *Upstream) InFlight() int { return int(u.inflight.Load()) }
+func (u *Upstream) InFlight() int { return int(u.inFlight.Load()) }
 
 // Learn takes a report: its slots, versions and word of leaving. Its load is
 // not used: it is late, and entries that all follow the same late figures chase
@@ -294,25 +294,25 @@
 // An upstream may start again under its name and address: its own word tells. What
 // was known of its former life (prompts in its cache, times, doubts) is forgotten
 // then. It reports whether that is so.
-func (u *Upstream) Learn(r persimmoncross.Report) (again bool) {
+func (u *Upstream) Learn(r persimmoncross.Report) (restarted bool) {
 	old := u.report.Load()
 	if old != nil && r.Taken.Before(old.Taken) {
 		return false // its answer came later than that of one asked for after it
 	}
 	u.report.Store(&r)
-	if old == nil || !startedAgain(*old, r) {
+	if old == nil || !hasRestarted(*old, r) {
 		return false
 	}
-	u.lives.Add(1)
-	u.history.forget()
-	u.circuits.forget()
+	u.restarts.Add(1)
+	u.history.reset()
+	u.breakers.reset()
 	u.backoff.reset()
 	return true
 }
 
-// startedAgain reports whether the later report is of another life. Where the start
+// hasRestarted reports whether the later report is of another life. Where the start
 // is not told, a sequence that has fallen tells.
-func startedAgain(old, now persimmoncross.Report) bool {
+func hasRestarted(old, now persimmoncross.Report) bool {
 	if !old.Started.IsZero() && !now.Started.IsZero() {
 		return !old.Started.Equal(now.Started)
 	}
@@ -320,36 +320,36 @@
 }
 
 // Lives returns how often the upstream has started again since it is known.
-func (u *Upstream) Lives() uint64 { return u.lives.Load() }
+func (u *Upstream) Lives() uint64 { return u.restarts.Load() }
 
-func (h *history) forget() {
+func (h *attemptHistory) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hold = 0
-	h.prefix = prefixes{}
+	h.meanDurationSeconds = 0
+	h.prefixes = prefixCache{}
 }
 
 // Begin notes that an attempt starts; the function it returns ends it.
-func (u *Upstream) Begin(now time.Time, v persimmoncross.Version, prompt []byte) (end func()) {
-	u.inflight.Add(1)
+func (u *Upstream) Begin(now time.Time, v persimmoncross.Version, prompt []byte) (endAttempt func()) {
+	u.inFlight.Add(1)
 	u.Breaker(v).Begin()
-	blocks := blocksOf(prompt)
+	hashes := prefixHashes(prompt)
 	u.history.mu.Lock()
-	u.history.prefix.add(blocks, now)
+	u.history.prefixes.add(hashes, now)
 	u.history.mu.Unlock()
 	var once sync.Once
-	return func() { once.Do(u.done) }
+	return func() { once.Do(u.endAttempt) }
 }
 
-func (u *Upstream) done() { u.inflight.Add(-1) }
+func (u *Upstream) endAttempt() { u.inFlight.Add(-1) }
 
 // Took notes how long a whole attempt took.
 func (u *Upstream) Took(d time.Duration) {
 	u.history.mu.Lock()
 	defer u.history.mu.Unlock()
-	if u.history.hold == 0 {
-		u.history.hold = d.Seconds()
+	if u.history.meanDurationSeconds == 0 {
+		u.history.meanDurationSeconds = d.Seconds()
 		return
 	}
-	u.history.hold += holdWeight * (d.Seconds() - u.history.hold)
+	u.history.meanDurationSeconds += durationSmoothing * (d.Seconds() - u.history.meanDurationSeconds)
 }
--- a/hold.go
+++ b/hold.go
@@ -6,13 +6,13 @@
 	"net/netip"
 )
 
-// digestBytes is enough that nobody makes two requests with one digest, and half
+// requestDigestSize is enough that nobody makes two requests with one digest, and half
 // of what SHA-256 gives: digests go over links and into the log.
-const digestBytes = 16
+const requestDigestSize = 16
 
 // Digest names what an organisation asks for, whatever id its attempts have. The
 // zero value names nothing.
-type Digest [digestBytes]byte
+type Digest [requestDigestSize]byte
 
 // String returns the digest as logs have it.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
@@ -22,7 +22,7 @@
 
 // UnmarshalText implements [encoding.TextUnmarshaler].
 func (d *Digest) UnmarshalText(text []byte) error {
-	if len(text) != hex.EncodedLen(digestBytes) {
+	if len(text) != hex.EncodedLen(requestDigestSize) {
 		return hex.ErrLength
 	}
 	_, err := hex.Decode(d[:], text)
--- a/refusal.go
+++ b/refusal.go
@@ -47,8 +47,8 @@
 	CodeOutcomeUnknown    Code = "outcome-unknown"
 )
 
-// statuses gives the HTTP status of each code.
-var statuses = map[Code]int{
+// httpStatuses gives the HTTP status of each code.
+var httpStatuses = map[Code]int{
 	CodeKeyUnknown:        http.StatusUnauthorized,
 	CodeModelForbidden:    http.StatusForbidden,
 	CodeModelUnknown:      http.StatusNotFound,
@@ -76,7 +76,7 @@
 }
 
 // Codes returns every code with its HTTP status.
-func Codes() map[Code]int { return statuses }
+func Codes() map[Code]int { return httpStatuses }
 
 // Refusal is the final answer to a request that gets no whole answer.
 type Refusal struct {
@@ -114,7 +114,7 @@
 
 // Status returns the HTTP status of the code.
 func (r *Refusal) Status() int {
-	if status, ok := statuses[r.Code]; ok {
+	if status, ok := httpStatuses[r.Code]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
