--- a/core/coordination/outlier/breaker_test.go
+++ b/core/coordination/outlier/breaker_test.go
@@ -12,31 +12,31 @@
 		b.Begin()
 		b.Note(true, now)
 	}
-	for range breakAfter - 1 {
+	for range failureThreshold - 1 {
 		fail()
 	}
 	if !b.Allows(now) {
 		t.Fatal("open too early")
 	}
 	fail()
-	pause := breakFor
+	openTime := initialOpenTime
 	for range 8 {
 		if b.Allows(now) {
-			t.Fatalf("allows work within its pause of %v", pause)
+			t.Fatalf("allows work within its pause of %v", openTime)
 		}
-		now = now.Add(pause)
+		now = now.Add(openTime)
 		if !b.Allows(now) {
-			t.Fatalf("allows no probe after %v", pause)
+			t.Fatalf("allows no probe after %v", openTime)
 		}
 		b.Begin()
 		if b.Allows(now) {
 			t.Fatal("allows a second probe")
 		}
 		b.Note(true, now)
-		pause = min(2*pause, breakMost)
+		openTime = min(2*openTime, maxOpenTime)
 	}
 	// A probe that its caller left gives no verdict: another may be sent.
-	now = now.Add(pause)
+	now = now.Add(openTime)
 	b.Begin()
 	b.Forget()
 	if !b.Allows(now) {
--- a/core/coordination/outlier/silence.go
+++ b/core/coordination/outlier/silence.go
@@ -6,27 +6,27 @@
 // silent. One that still sends is only busy: its queue is not left, to be joined
 // again elsewhere at the end.
 const (
-	headFactor    = 4.0 // times the head's expected time
-	headObjective = 0.4 // of the route's objective at least
-	// headLeast is used where a route has a short objective or none: several round
+	headerWaitFactor        = 4.0 // times the head's expected time
+	headerObjectiveFraction = 0.4 // of the route's objective at least
+	// minHeaderTimeout is used where a route has a short objective or none: several round
 	// trips between regions and the work of a plain answer.
-	headLeast = 200 * time.Millisecond
-	// flowPart of a route's longest pause: what is left of it is for the stream to
+	minHeaderTimeout = 200 * time.Millisecond
+	// pauseLimitFraction of a route's longest pause: what is left of it is for the stream to
 	// go on elsewhere, which takes the reading of its prompt. It answers upstreams that
 	// crash without a reset, and ones that turn slow.
-	flowPart = 0.6
-	// flowFactor is how many times the longest pause of a stream lately: beside a
+	pauseLimitFraction = 0.6
+	// recentPauseFactor is how many times the longest pause of a stream lately: beside a
 	// long prompt an upstream sends every 0.45 s, and in a burst every 0.6 s.
-	flowFactor = 2.0
-	// flowing is the number of streams here from which an upstream's silence says as
+	recentPauseFactor = 2.0
+	// minActiveStreams is the number of streams here from which an upstream's silence says as
 	// much of a request that it has not begun as of them.
-	flowing = 2
-	// readFactor is how many times the reading that is awaited at an upstream: one
+	minActiveStreams = 2
+	// prefillFactor is how many times the reading that is awaited at an upstream: one
 	// that reads a long prompt sends nothing to anybody, for seconds, and must not be
 	// left by all its streams.
-	readFactor = 2
-	// pauseFade is the time in which the longest pause lately counts by half.
-	pauseFade = time.Second
+	prefillFactor = 2
+	// pauseHalfLife is the time in which the longest pause lately counts by half.
+	pauseHalfLife = time.Second
 )
 
 // Silence tells how long an upstream may send nothing.
@@ -44,40 +44,40 @@
 // Limit returns the time of silence after which the attempt is ended; false if
 // nothing limits it.
 func (s Silence) Limit() (time.Duration, bool) {
-	flow := max(time.Duration(flowPart*float64(s.Pause)), time.Duration(flowFactor*float64(s.Usual)))
+	streamTimeout := max(time.Duration(pauseLimitFraction*float64(s.Pause)), time.Duration(recentPauseFactor*float64(s.Usual)))
 	if s.Doubted {
-		flow /= 2
+		streamTimeout /= 2
 	}
-	flow += s.Reading
+	streamTimeout += s.Reading
 	if s.Begun {
-		return flow, s.Pause > 0
+		return streamTimeout, s.Pause > 0
 	}
-	limit := max(time.Duration(headFactor*float64(s.Expected)), time.Duration(headObjective*float64(s.Objective)))
-	if s.Pause > 0 && s.Streams >= flowing {
-		limit = min(limit, flow)
+	headerTimeout := max(time.Duration(headerWaitFactor*float64(s.Expected)), time.Duration(headerObjectiveFraction*float64(s.Objective)))
+	if s.Pause > 0 && s.Streams >= minActiveStreams {
+		headerTimeout = min(headerTimeout, streamTimeout)
 	}
-	return max(limit, headLeast, readFactor*s.Reading), true
+	return max(headerTimeout, minHeaderTimeout, prefillFactor*s.Reading), true
 }
 
 // Pauses keeps the longest pause between events of an upstream's streams lately.
 type Pauses struct {
-	longest time.Duration
-	at      time.Time
+	longest    time.Duration
+	recordedAt time.Time
 }
 
 // Take notes a pause that ended now.
 func (p *Pauses) Take(pause time.Duration, now time.Time) {
 	if pause >= p.Longest(now) {
 		p.longest = pause
-		p.at = now
+		p.recordedAt = now
 	}
 }
 
 // Longest returns the longest pause lately.
 func (p *Pauses) Longest(now time.Time) time.Duration {
-	age := max(now.Sub(p.at), 0)
-	if age > 20*pauseFade {
+	age := max(now.Sub(p.recordedAt), 0)
+	if age > 20*pauseHalfLife {
 		return 0
 	}
-	return time.Duration(float64(p.longest) / (1 + float64(age)/float64(pauseFade)))
+	return time.Duration(float64(p.longest) / (1 + float64(age)/float64(pauseHalfLife)))
 }
--- a/core/coordination/outlier/silence_test.go
+++ b/core/coordination/outlier/silence_test.go
@@ -5,123 +5,123 @@
 	"time"
 )
 
-func TestSilenceLimit(t *testing.T) {
-	const objective, pause = 3 * time.Second, time.Second
+func TestIdleTimeout(t *testing.T) {
+	const objective, pauseLimit = 3 * time.Second, time.Second
 	tests := []struct {
-		what    string
-		silence Silence
-		limit   time.Duration
+		name    string
+		state   Silence
+		timeout time.Duration
 		ok      bool
 	}{
 		{
-			what: "a head of which nothing is known",
-			silence: Silence{
+			name: "a head of which nothing is known",
+			state: Silence{
 				Objective: objective,
 			},
-			limit: 1200 * time.Millisecond,
-			ok:    true,
+			timeout: 1200 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a head that takes long by itself",
-			silence: Silence{
+			name: "a head that takes long by itself",
+			state: Silence{
 				Expected:  time.Second,
 				Objective: objective,
 			},
-			limit: 4 * time.Second,
-			ok:    true,
+			timeout: 4 * time.Second,
+			ok:      true,
 		},
 		{
-			what: "a head at an upstream whose streams should be heard",
-			silence: Silence{
+			name: "a head at an upstream whose streams should be heard",
+			state: Silence{
 				Expected:  time.Second,
 				Objective: objective,
-				Pause:     pause,
+				Pause:     pauseLimit,
 				Streams:   3,
 			},
-			limit: 600 * time.Millisecond,
-			ok:    true,
+			timeout: 600 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "one stream alone says nothing of a head",
-			silence: Silence{
+			name: "one stream alone says nothing of a head",
+			state: Silence{
 				Objective: objective,
-				Pause:     pause,
+				Pause:     pauseLimit,
 				Streams:   1,
 			},
-			limit: 1200 * time.Millisecond,
-			ok:    true,
+			timeout: 1200 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a stream",
-			silence: Silence{
-				Pause: pause,
+			name: "a stream",
+			state: Silence{
+				Pause: pauseLimit,
 				Begun: true,
 			},
-			limit: 600 * time.Millisecond,
-			ok:    true,
+			timeout: 600 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a stream beside a long prompt",
-			silence: Silence{
-				Pause: pause,
+			name: "a stream beside a long prompt",
+			state: Silence{
+				Pause: pauseLimit,
 				Begun: true,
 				Usual: 450 * time.Millisecond,
 			},
-			limit: 900 * time.Millisecond,
-			ok:    true,
+			timeout: 900 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a head behind a long prompt",
-			silence: Silence{
+			name: "a head behind a long prompt",
+			state: Silence{
 				Objective: objective,
 				Reading:   2 * time.Second,
 			},
-			limit: 4 * time.Second,
-			ok:    true,
+			timeout: 4 * time.Second,
+			ok:      true,
 		},
 		{
-			what: "a stream whose upstream reads a long prompt",
-			silence: Silence{
-				Pause:   pause,
+			name: "a stream whose upstream reads a long prompt",
+			state: Silence{
+				Pause:   pauseLimit,
 				Begun:   true,
 				Reading: 2 * time.Second,
 			},
-			limit: 2600 * time.Millisecond,
-			ok:    true,
+			timeout: 2600 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a stream whose upstream others doubt",
-			silence: Silence{
-				Pause:   pause,
+			name: "a stream whose upstream others doubt",
+			state: Silence{
+				Pause:   pauseLimit,
 				Begun:   true,
 				Doubted: true,
 			},
-			limit: 300 * time.Millisecond,
-			ok:    true,
+			timeout: 300 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what:  "a head of a route without an objective",
-			limit: 200 * time.Millisecond,
-			ok:    true,
+			name:    "a head of a route without an objective",
+			timeout: 200 * time.Millisecond,
+			ok:      true,
 		},
 		{
-			what: "a stream of a route without a longest pause",
-			silence: Silence{
+			name: "a stream of a route without a longest pause",
+			state: Silence{
 				Objective: objective,
 				Begun:     true,
 			},
 		},
 	}
 	for _, tt := range tests {
-		limit, ok := tt.silence.Limit()
-		if ok != tt.ok || ok && limit != tt.limit {
-			t.Errorf("%s: %v %v, want %v %v", tt.what, limit, ok, tt.limit, tt.ok)
+		limit, ok := tt.state.Limit()
+		if ok != tt.ok || ok && limit != tt.timeout {
+			t.Errorf("%s: %v %v, want %v %v", tt.name, limit, ok, tt.timeout, tt.ok)
 		}
 	}
 }
 
 // A long pause is remembered for seconds, and a longer one replaces it.
-func TestPausesFade(t *testing.T) {
+func TestPauseTracker(t *testing.T) {
 	now := time.Unix(100, 0)
 	p := &Pauses{}
 	if got := p.Longest(now); got != 0 {
--- a/core/coordination/outlier/suspicion.go
+++ b/core/coordination/outlier/suspicion.go
@@ -9,7 +9,7 @@
 // silent: a crashed one stays on the list for seconds.
 const (
 	SuspectFirst = time.Second
-	suspectMost  = 8 * time.Second
+	maxSuspicion = 8 * time.Second
 )
 
 // Of the doubt of others against an upstream.
@@ -20,9 +20,9 @@
 	// WordAge is how old the newest word of an upstream that works may be; one that
 	// has answered any entry since then is not avoided for others' doubts.
 	WordAge = time.Second
-	// probesPart of the requests that a doubted upstream would get, divided by the
+	// probeShare of the requests that a doubted upstream would get, divided by the
 	// number of entries, go to it: the first that is answered ends the doubt.
-	probesPart = 4.0
+	probeShare = 4.0
 	// DoubtKept is how long an entry tells of its doubt after its last failed
 	// attempt; an upstream that is gone has left the list by then.
 	DoubtKept = 10 * time.Second
@@ -31,37 +31,37 @@
 // Suspicion is what one entry holds against an upstream. The zero value is
 // none.
 type Suspicion struct {
-	until  time.Time     // until then others are preferred
-	pause  time.Duration // that the latest suspicion took
-	failed time.Time     // when an attempt failed last
+	suspectedUntil time.Time     // until then others are preferred
+	duration       time.Duration // that the latest suspicion took
+	lastFailure    time.Time     // when an attempt failed last
 }
 
 // Doubt prefers other upstreams for a while, each time longer.
 func (s *Suspicion) Doubt(now time.Time) {
-	s.failed = now
-	if now.Before(s.until) {
+	s.lastFailure = now
+	if now.Before(s.suspectedUntil) {
 		return
 	}
-	s.pause = min(max(2*s.pause, SuspectFirst), suspectMost)
-	s.until = now.Add(s.pause)
+	s.duration = min(max(2*s.duration, SuspectFirst), maxSuspicion)
+	s.suspectedUntil = now.Add(s.duration)
 }
 
 // Fail notes that an attempt failed.
-func (s *Suspicion) Fail(now time.Time) { s.failed = now }
+func (s *Suspicion) Fail(now time.Time) { s.lastFailure = now }
 
 // Trust ends the suspicion: the upstream has answered.
 func (s *Suspicion) Trust() {
-	s.until = time.Time{}
-	s.pause = 0
+	s.suspectedUntil = time.Time{}
+	s.duration = 0
 }
 
 // Holds reports whether other upstreams are to be preferred.
-func (s *Suspicion) Holds(now time.Time) bool { return now.Before(s.until) }
+func (s *Suspicion) Holds(now time.Time) bool { return now.Before(s.suspectedUntil) }
 
 // Told reports whether the others are to be told of the doubt; broken is
 // whether the upstream's breaker is open.
-func (s *Suspicion) Told(broken bool, now time.Time) bool {
-	return (broken || s.pause > 0) && now.Sub(s.failed) <= DoubtKept
+func (s *Suspicion) Told(breakerOpen bool, now time.Time) bool {
+	return (breakerOpen || s.duration > 0) && now.Sub(s.lastFailure) <= DoubtKept
 }
 
 // Shared is what all entries together hold against an upstream.
@@ -74,9 +74,9 @@
 // Avoided reports whether other upstreams are to be preferred for what other
 // entries know: several doubt it and it has answered none. chance is between 0
 // and 1; by it a few requests try whether it works again.
-func (s Shared) Avoided(chance float64) bool {
+func (s Shared) Avoided(random float64) bool {
 	if s.Doubters < Doubters || s.Word <= WordAge {
 		return false
 	}
-	return chance*float64(s.Entries) >= probesPart
+	return random*float64(s.Entries) >= probeShare
 }
--- a/core/coordination/quarantine/book.go
+++ b/core/coordination/quarantine/book.go
@@ -10,169 +10,169 @@
 
 // Of one VM's book.
 const (
-	mostCases = 512  // with an end: 100 KB
-	mostWhole = 2048 // digests that came to their end lately, of each half of wholeAge
-	wholeAge  = time.Minute
-	askedGap  = time.Second // in which a copy more is no news
+	maxRecords         = 512  // with an end: 100 KB
+	maxRecentCompleted = 2048 // digests that came to their end lately, of each half of wholeAge
+	completedRetention = time.Minute
+	requestedInterval  = time.Second // in which a copy more is no news
 )
 
 // Book is what one VM sees. The zero value is empty; VM is set before use.
 type Book struct {
 	VM string
 
-	mu     sync.Mutex // guards all below
-	cases  map[persimmoncross.Digest]*entry
-	cuts   map[string]*cuts                 // by life
-	gone   map[string]time.Time             // lives that have ended
-	runs   map[persimmoncross.Digest][]*Run // under way
-	tried  map[persimmoncross.Digest]int    // the latest trial that was begun here
-	whole  [2]map[persimmoncross.Digest]int // lately and before
-	turned time.Time                        // when whole moved on
-	news   uint64
+	mu              sync.Mutex // guards all below
+	records         map[persimmoncross.Digest]*versionedRecord
+	pending         map[string]*pendingDisconnects   // by life
+	crashedAt       map[string]time.Time             // lives that have ended
+	inFlight        map[persimmoncross.Digest][]*Run // under way
+	lastTrial       map[persimmoncross.Digest]int    // the latest trial that was begun here
+	recentCompleted [2]map[persimmoncross.Digest]int // lately and before
+	rotatedAt       time.Time                        // when whole moved on
+	version         uint64
 }
 
-// entry is a case with the count of news that it changed at.
-type entry struct {
+// versionedRecord is a case with the count of news that it changed at.
+type versionedRecord struct {
 	Case
-	news uint64
+	version uint64
 }
 
 // Run is a run of a request at an upstream.
 type Run struct {
-	book    *Book
-	digest  persimmoncross.Digest
-	service string
-	life    string
-	sent    time.Time
-	trial   bool
-	begun   time.Time // zero: not known
+	recorder   *Book
+	digest     persimmoncross.Digest
+	service    string
+	instanceID string
+	sentAt     time.Time
+	trial      bool
+	startedAt  time.Time // zero: not known
 }
 
 // Begin notes that a request is sent to a life of an upstream.
-func (b *Book) Begin(d persimmoncross.Digest, service, life string, now time.Time) *Run {
+func (b *Book) Begin(d persimmoncross.Digest, service, instanceID string, now time.Time) *Run {
 	r := &Run{
-		book:    b,
-		digest:  d,
-		service: service,
-		life:    life,
-		sent:    now,
+		recorder:   b,
+		digest:     d,
+		service:    service,
+		instanceID: instanceID,
+		sentAt:     now,
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.runs == nil {
-		b.runs = map[persimmoncross.Digest][]*Run{}
+	if b.inFlight == nil {
+		b.inFlight = map[persimmoncross.Digest][]*Run{}
 	}
-	b.runs[d] = append(b.runs[d], r)
+	b.inFlight[d] = append(b.inFlight[d], r)
 	return r
 }
 
 // Begun notes that the upstream has begun the run.
 func (r *Run) Begun(now time.Time) {
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	r.begun = now
-	r.book.lives(r.life, r.sent)
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
+	r.startedAt = now
+	r.recorder.markAlive(r.instanceID, r.sentAt)
 }
 
 // Whole notes that the run came to its end.
 func (r *Run) Whole(now time.Time) {
-	b := r.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.leave(r) {
+	rec := r.recorder
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if !rec.removeRun(r) {
 		return
 	}
-	b.lives(r.life, r.sent)
+	rec.markAlive(r.instanceID, r.sentAt)
 	if r.trial {
-		b.caseOf(r.digest, r.service, now).Cleared = now
+		rec.recordFor(r.digest, r.service, now).Cleared = now
 	}
-	if e := b.cases[r.digest]; e != nil {
-		e.Whole++
-		b.changed(e)
+	if record := rec.records[r.digest]; record != nil {
+		record.Whole++
+		rec.markChanged(record)
 		return
 	}
-	b.turn(now)
-	if len(b.whole[0]) < mostWhole || b.whole[0][r.digest] > 0 {
-		b.whole[0][r.digest]++
+	rec.rotateCompleted(now)
+	if len(rec.recentCompleted[0]) < maxRecentCompleted || rec.recentCompleted[0][r.digest] > 0 {
+		rec.recentCompleted[0][r.digest]++
 	}
 }
 
 // Over notes that the run ended, and the upstream lives as far as is known.
 func (r *Run) Over(now time.Time) {
-	b := r.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.leave(r) || r.begun.IsZero() {
+	rec := r.recorder
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if !rec.removeRun(r) || r.startedAt.IsZero() {
 		return
 	}
-	if e := b.cases[r.digest]; e != nil {
-		e.Ran += max(now.Sub(r.begun), 0)
-		b.changed(e)
+	if record := rec.records[r.digest]; record != nil {
+		record.Ran += max(now.Sub(r.startedAt), 0)
+		rec.markChanged(record)
 	}
 }
 
-// leave ends the run, once. The caller holds mu.
-func (b *Book) leave(r *Run) bool {
-	list := b.runs[r.digest]
-	i := slices.Index(list, r)
+// removeRun ends the run, once. The caller holds mu.
+func (b *Book) removeRun(r *Run) bool {
+	runs := b.inFlight[r.digest]
+	i := slices.Index(runs, r)
 	if i < 0 {
 		return false
 	}
-	if len(list) == 1 {
-		delete(b.runs, r.digest)
+	if len(runs) == 1 {
+		delete(b.inFlight, r.digest)
 	} else {
-		b.runs[r.digest] = slices.Delete(list, i, i+1)
+		b.inFlight[r.digest] = slices.Delete(runs, i, i+1)
 	}
 	return true
 }
 
-// caseOf returns the case of a digest; a new one begins with the whole answers
+// recordFor returns the case of a digest; a new one begins with the whole answers
 // that came lately. The caller holds mu.
-func (b *Book) caseOf(d persimmoncross.Digest, service string, now time.Time) *entry {
-	if e := b.cases[d]; e != nil {
-		return e
+func (b *Book) recordFor(d persimmoncross.Digest, service string, now time.Time) *versionedRecord {
+	if record := b.records[d]; record != nil {
+		return record
 	}
-	if b.cases == nil {
-		b.cases = map[persimmoncross.Digest]*entry{}
+	if b.records == nil {
+		b.records = map[persimmoncross.Digest]*versionedRecord{}
 	}
-	if len(b.cases) >= mostCases {
+	if len(b.records) >= maxRecords {
 		b.evict()
 	}
-	b.turn(now)
-	e := &entry{
+	b.rotateCompleted(now)
+	record := &versionedRecord{
 		Case: Case{
 			Digest:  d,
 			Service: service,
-			Whole:   b.whole[0][d] + b.whole[1][d],
+			Whole:   b.recentCompleted[0][d] + b.recentCompleted[1][d],
 			Asked:   now,
 			Asker:   b.VM,
 		},
 	}
-	b.cases[d] = e
-	return e
+	b.records[d] = record
+	return record
 }
 
 // evict drops the case with the fewest ends, of these the oldest. The caller holds
 // mu.
 func (b *Book) evict() {
-	var worst *entry
-	for _, e := range b.cases {
-		if worst == nil || len(e.Ends) < len(worst.Ends) || len(e.Ends) == len(worst.Ends) && e.Asked.Before(worst.Asked) {
-			worst = e
+	var victim *versionedRecord
+	for _, record := range b.records {
+		if victim == nil || len(record.Ends) < len(victim.Ends) || len(record.Ends) == len(victim.Ends) && record.Asked.Before(victim.Asked) {
+			victim = record
 		}
 	}
-	delete(b.cases, worst.Digest)
+	delete(b.records, victim.Digest)
 }
 
-// turn forgets whole answers of long ago. The caller holds mu.
-func (b *Book) turn(now time.Time) {
-	if b.whole[0] == nil || now.Sub(b.turned) > wholeAge/2 {
-		b.whole[1] = b.whole[0]
-		if now.Sub(b.turned) > wholeAge {
-			b.whole[1] = nil
+// rotateCompleted forgets whole answers of long ago. The caller holds mu.
+func (b *Book) rotateCompleted(now time.Time) {
+	if b.recentCompleted[0] == nil || now.Sub(b.rotatedAt) > completedRetention/2 {
+		b.recentCompleted[1] = b.recentCompleted[0]
+		if now.Sub(b.rotatedAt) > completedRetention {
+			b.recentCompleted[1] = nil
 		}
-		b.whole[0] = map[persimmoncross.Digest]int{}
-		b.turned = now
+		b.recentCompleted[0] = map[persimmoncross.Digest]int{}
+		b.rotatedAt = now
 	}
 }
 
@@ -181,16 +181,16 @@
 func (b *Book) Try(d persimmoncross.Digest, number int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tried[d] >= number {
+	if b.lastTrial[d] >= number {
 		return false
 	}
-	if b.tried == nil {
-		b.tried = map[persimmoncross.Digest]int{}
+	if b.lastTrial == nil {
+		b.lastTrial = map[persimmoncross.Digest]int{}
 	}
-	if len(b.tried) >= mostHolds {
-		clear(b.tried) // of holds that are long over
+	if len(b.lastTrial) >= maxQuarantines {
+		clear(b.lastTrial) // of holds that are long over
 	}
-	b.tried[d] = number
+	b.lastTrial[d] = number
 	return true
 }
 
@@ -198,13 +198,13 @@
 func (b *Book) Untried(d persimmoncross.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tried[d]--
+	b.lastTrial[d]--
 }
 
 // Trial notes that the run is a trial.
 func (r *Run) Trial() {
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
 	r.trial = true
 }
 
@@ -212,16 +212,16 @@
 func (b *Book) Asked(d persimmoncross.Digest, service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.caseOf(d, service, now)
-	if e.news == 0 || now.Sub(e.Asked) >= askedGap {
+	e := b.recordFor(d, service, now)
+	if e.version == 0 || now.Sub(e.Asked) >= requestedInterval {
 		e.Asked, e.Asker = now, b.VM
-		b.changed(e)
+		b.markChanged(e)
 	}
 }
 
-func (b *Book) changed(e *entry) {
-	b.news++
-	e.news = b.news
+func (b *Book) markChanged(record *versionedRecord) {
+	b.version++
+	record.version = b.version
 }
 
 // Cases returns what changed since a count of news that an earlier call returned,
@@ -230,25 +230,25 @@
 func (b *Book) Cases(since uint64, now time.Time) ([]Case, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []Case
-	for d, e := range b.cases {
+	var records []Case
+	for d, e := range b.records {
 		if e.Stale(now) {
-			delete(b.cases, d)
+			delete(b.records, d)
 			continue
 		}
-		under := time.Duration(0)
-		for _, r := range b.runs[d] {
-			if !r.begun.IsZero() {
-				under += max(now.Sub(r.begun), 0)
+		inFlightTime := time.Duration(0)
+		for _, r := range b.inFlight[d] {
+			if !r.startedAt.IsZero() {
+				inFlightTime += max(now.Sub(r.startedAt), 0)
 			}
 		}
-		if e.news <= since && under == 0 {
+		if e.version <= since && inFlightTime == 0 {
 			continue
 		}
 		c := e.Case
 		c.Ends = slices.Clone(e.Ends)
-		c.Ran += under
-		list = append(list, c)
+		c.Ran += inFlightTime
+		records = append(records, c)
 	}
-	return list, b.news
+	return records, b.version
 }
--- a/core/coordination/quarantine/copy.go
+++ b/core/coordination/quarantine/copy.go
@@ -8,8 +8,8 @@
 	"persimmoncross"
 )
 
-// lookWait bounds the look at an upstream that has cut answers.
-const lookWait = 500 * time.Millisecond
+// probeTimeout bounds the look at an upstream that has cut answers.
+const probeTimeout = 500 * time.Millisecond
 
 // RefusedFor is when a caller may come back whose request is refused for what it
 // does to upstreams: long after most callers have given up. Nothing that ends soon is
@@ -27,8 +27,8 @@
 
 // Stage returns what is done with the copy by the hold on its request. ran tells that
 // an upstream may have begun it: a trial is over then.
-func (c *Copy) Stage(h persimmoncross.Hold, ran bool) persimmoncross.HoldStage {
-	if h.Stage != persimmoncross.HoldRefuse || ran {
+func (c *Copy) Stage(h persimmoncross.Hold, mayHaveRun bool) persimmoncross.HoldStage {
+	if h.Stage != persimmoncross.HoldRefuse || mayHaveRun {
 		return h.Stage
 	}
 	if !c.trial && h.Trial != "" && h.Trial == c.Book.VM {
@@ -44,15 +44,15 @@
 func (c *Copy) Trial() bool { return c.trial }
 
 // Done tells that nothing more becomes of the copy.
-func (c *Copy) Done(ran bool) {
-	if c.trial && !ran {
+func (c *Copy) Done(mayHaveRun bool) {
+	if c.trial && !mayHaveRun {
 		c.Book.Untried(c.Digest)
 	}
 }
 
 // Begin notes that the copy is sent to a life of an upstream.
-func (c *Copy) Begin(life string, now time.Time) *Run {
-	r := c.Book.Begin(c.Digest, c.Service, life, now)
+func (c *Copy) Begin(instanceID string, now time.Time) *Run {
+	r := c.Book.Begin(c.Digest, c.Service, instanceID, now)
 	if c.trial {
 		r.Trial()
 	}
@@ -62,25 +62,25 @@
 // Look finds out whether the upstream that cut the run has ended, and tells the book.
 // It returns the requests that ran there if so. It is made at once: the upstream is
 // back soon, and then nothing tells any more.
-func (r *Run) Look(ctx context.Context, prober persimmoncross.Prober, address netip.AddrPort, clock persimmoncross.Clock) (blamed []persimmoncross.Digest, gone bool) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookWait)
+func (r *Run) Look(ctx context.Context, prober persimmoncross.Prober, address netip.AddrPort, clock persimmoncross.Clock) (blamed []persimmoncross.Digest, exited bool) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	if prober == nil || !prober.Gone(ctx, address) {
-		r.book.Listens(r.life)
+		r.recorder.Listens(r.instanceID)
 		return nil, false
 	}
-	return r.book.Ended(r.life, clock.Now()), true
+	return r.recorder.Ended(r.instanceID, clock.Now()), true
 }
 
-// mostNamed is how many digests a line names: of all that ran at an upstream one is
+// maxLoggedDigests is how many digests a line names: of all that ran at an upstream one is
 // the cause, and the judgement's line names each end.
-const mostNamed = 8
+const maxLoggedDigests = 8
 
 // Named returns the digests that a line on an end names.
 func Named(blamed []persimmoncross.Digest) []string {
-	var list []string
-	for _, d := range blamed[:min(len(blamed), mostNamed)] {
-		list = append(list, d.String())
+	var digests []string
+	for _, d := range blamed[:min(len(blamed), maxLoggedDigests)] {
+		digests = append(digests, d.String())
 	}
-	return list
+	return digests
 }
--- a/core/coordination/quarantine/cuts.go
+++ b/core/coordination/quarantine/cuts.go
@@ -9,108 +9,108 @@
 
 // Of answers that broke off.
 const (
-	// cutAge is how long a cut waits for a look at its upstream's address.
-	cutAge = time.Second
-	// lifeAge is how long a cut waits for the list to tell of a later life in the
+	// probeWindow is how long a cut waits for a look at its upstream's address.
+	probeWindow = time.Second
+	// replacementWindow is how long a cut waits for the list to tell of a later life in the
 	// upstream's place: the process starts again, the list lags, and is read and passed
 	// on. An upstream that ends behind a proxy is told of by nothing else, as the proxy
 	// goes on taking connections.
-	lifeAge = 6 * time.Second
-	// mostCuts bounds the cuts that wait at one life.
-	mostCuts = 128
-	// goneAge is how long an upstream that has ended is remembered: connections to
+	replacementWindow = 6 * time.Second
+	// maxDisconnects bounds the cuts that wait at one life.
+	maxDisconnects = 128
+	// crashedInstanceRetention is how long an upstream that has ended is remembered: connections to
 	// it break at different moments.
-	goneAge = 10 * time.Second
+	crashedInstanceRetention = 10 * time.Second
 )
 
-// cut is an answer that broke off with its connection, or never began.
-type cut struct {
-	run      *Run
-	at       time.Time
-	listened bool // the upstream's address took a connection after it
+// disconnect is an answer that broke off with its connection, or never began.
+type disconnect struct {
+	run           *Run
+	at            time.Time
+	listenedAfter bool // the upstream's address took a connection after it
 }
 
-// cuts are those at one life that nothing has explained yet, in the order of their
+// pendingDisconnects are those at one life that nothing has explained yet, in the order of their
 // times: nothing was heard of the life since the first of them.
-type cuts struct {
-	list   []cut
-	looked bool      // a look at the address is under way
-	until  time.Time // by which that look is over
+type pendingDisconnects struct {
+	disconnects   []disconnect
+	probing       bool      // a look at the address is under way
+	probeDeadline time.Time // by which that look is over
 }
 
 // Cut notes that the answer broke off or the connection ended before it. It
 // returns true if it is to be found out whether the upstream has ended (see
 // [Book.Ended] and [Book.Listens]): nobody does so yet.
 func (r *Run) Cut(now time.Time) bool {
-	b := r.book
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.leave(r) {
+	rec := r.recorder
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if !rec.removeRun(r) {
 		return false
 	}
-	c := cut{
+	d := disconnect{
 		run: r,
 		at:  now,
 	}
-	if at, ok := b.gone[r.life]; ok && now.Sub(at) <= goneAge {
-		b.blame(c, at)
+	if at, ok := rec.crashedAt[r.instanceID]; ok && now.Sub(at) <= crashedInstanceRetention {
+		rec.recordCrash(d, at)
 		return false
 	}
-	if b.cuts == nil {
-		b.cuts = map[string]*cuts{}
+	if rec.pending == nil {
+		rec.pending = map[string]*pendingDisconnects{}
 	}
-	b.forgetCuts(now)
-	of := b.cuts[r.life]
-	if of == nil {
-		of = &cuts{}
-		b.cuts[r.life] = of
+	rec.pruneDisconnects(now)
+	pending := rec.pending[r.instanceID]
+	if pending == nil {
+		pending = &pendingDisconnects{}
+		rec.pending[r.instanceID] = pending
 	}
-	if len(of.list) < mostCuts {
-		of.list = append(of.list, c)
+	if len(pending.disconnects) < maxDisconnects {
+		pending.disconnects = append(pending.disconnects, d)
 	}
-	if of.looked && now.Before(of.until) {
+	if pending.probing && now.Before(pending.probeDeadline) {
 		return false
 	}
-	of.looked = true
-	of.until = now.Add(cutAge)
+	pending.probing = true
+	pending.probeDeadline = now.Add(probeWindow)
 	return true
 }
 
-// forgetCuts drops what waits for too long. The caller holds mu.
-func (b *Book) forgetCuts(now time.Time) {
-	for life, of := range b.cuts {
-		of.list = slices.DeleteFunc(of.list, func(c cut) bool { return now.Sub(c.at) > lifeAge })
-		if len(of.list) == 0 {
-			delete(b.cuts, life)
+// pruneDisconnects drops what waits for too long. The caller holds mu.
+func (b *Book) pruneDisconnects(now time.Time) {
+	for instanceID, pending := range b.pending {
+		pending.disconnects = slices.DeleteFunc(pending.disconnects, func(d disconnect) bool { return now.Sub(d.at) > replacementWindow })
+		if len(pending.disconnects) == 0 {
+			delete(b.pending, instanceID)
 		}
 	}
-	for life, at := range b.gone {
-		if now.Sub(at) > goneAge {
-			delete(b.gone, life)
+	for instanceID, at := range b.crashedAt {
+		if now.Sub(at) > crashedInstanceRetention {
+			delete(b.crashedAt, instanceID)
 		}
 	}
 }
 
 // Ended notes that nothing listens at the upstream's address any more: its process
 // has ended. It returns the digests of the requests that ran there.
-func (b *Book) Ended(life string, now time.Time) (blamed []persimmoncross.Digest) {
+func (b *Book) Ended(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ended(life, now, func(c cut, _ time.Time) bool { return now.Sub(c.at) <= cutAge && !c.listened })
+	return b.attributeCrash(instanceID, now, func(c disconnect, _ time.Time) bool { return now.Sub(c.at) <= probeWindow && !c.listenedAfter })
 }
 
 // Listens notes that a connection to the upstream's address works, or is not
 // answered: it lives, or something before it takes connections in its place.
-func (b *Book) Listens(life string) {
+func (b *Book) Listens(instanceID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	of := b.cuts[life]
-	if of == nil {
+	pending := b.pending[instanceID]
+	if pending == nil {
 		return
 	}
-	of.looked = false
-	for i := range of.list {
-		of.list[i].listened = true
+	pending.probing = false
+	for i := range pending.disconnects {
+		pending.disconnects[i].listenedAfter = true
 	}
 }
 
@@ -118,69 +118,69 @@
 // broke off there and nothing was heard of it since, it ended with the first of them.
 // What was sent later than that met only what stands before the upstream. It returns
 // the digests of the requests that ran there.
-func (b *Book) Succeeded(life string, now time.Time) (blamed []persimmoncross.Digest) {
+func (b *Book) Succeeded(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ended(life, now, func(c cut, first time.Time) bool {
-		return now.Sub(c.at) <= lifeAge && !c.run.sent.After(first)
+	return b.attributeCrash(instanceID, now, func(c disconnect, first time.Time) bool {
+		return now.Sub(c.at) <= replacementWindow && !c.run.sentAt.After(first)
 	})
 }
 
-// ended blames the cuts at the life that count, given when the first of them came.
+// attributeCrash blames the cuts at the life that count, given when the first of them came.
 // The caller holds mu.
-func (b *Book) ended(life string, now time.Time, counts func(c cut, first time.Time) bool) (blamed []persimmoncross.Digest) {
-	b.forgetCuts(now)
-	of := b.cuts[life]
-	if of == nil {
+func (b *Book) attributeCrash(instanceID string, now time.Time, wasRunning func(d disconnect, firstAt time.Time) bool) (blamed []persimmoncross.Digest) {
+	b.pruneDisconnects(now)
+	pending := b.pending[instanceID]
+	if pending == nil {
 		return nil
 	}
-	delete(b.cuts, life)
-	first := of.list[0].at
-	for _, c := range of.list {
-		if !counts(c, first) {
+	delete(b.pending, instanceID)
+	firstAt := pending.disconnects[0].at
+	for _, d := range pending.disconnects {
+		if !wasRunning(d, firstAt) {
 			continue
 		}
-		if b.gone == nil {
-			b.gone = map[string]time.Time{}
+		if b.crashedAt == nil {
+			b.crashedAt = map[string]time.Time{}
 		}
-		if _, ok := b.gone[life]; !ok {
-			b.gone[life] = c.at
+		if _, ok := b.crashedAt[instanceID]; !ok {
+			b.crashedAt[instanceID] = d.at
 		}
-		b.blame(c, b.gone[life])
-		blamed = append(blamed, c.run.digest)
+		b.recordCrash(d, b.crashedAt[instanceID])
+		blamed = append(blamed, d.run.digest)
 	}
 	return blamed
 }
 
-// lives notes that the life has begun a run that was sent then: what broke off there
+// markAlive notes that the life has begun a run that was sent then: what broke off there
 // before did not end it. The caller holds mu.
-func (b *Book) lives(life string, sent time.Time) {
-	of := b.cuts[life]
-	if of == nil {
+func (b *Book) markAlive(instanceID string, sentAt time.Time) {
+	pending := b.pending[instanceID]
+	if pending == nil {
 		return
 	}
-	of.list = slices.DeleteFunc(of.list, func(c cut) bool { return c.at.Before(sent) })
-	if len(of.list) == 0 {
-		delete(b.cuts, life)
+	pending.disconnects = slices.DeleteFunc(pending.disconnects, func(d disconnect) bool { return d.at.Before(sentAt) })
+	if len(pending.disconnects) == 0 {
+		delete(b.pending, instanceID)
 	}
 }
 
-// blame notes an end under a run, unless it was sent later than that. The caller holds
+// recordCrash notes an end under a run, unless it was sent later than that. The caller holds
 // mu.
-func (b *Book) blame(c cut, at time.Time) {
-	if c.run.sent.After(at) {
+func (b *Book) recordCrash(d disconnect, at time.Time) {
+	if d.run.sentAt.After(at) {
 		return
 	}
-	began := c.run.begun
-	if began.IsZero() {
-		began = c.run.sent
+	startedAt := d.run.startedAt
+	if startedAt.IsZero() {
+		startedAt = d.run.sentAt
 	}
-	e := b.caseOf(c.run.digest, c.run.service, c.at)
-	e.Asked, e.Asker = c.at, b.VM
-	e.end(End{
-		Life: c.run.life,
+	record := b.recordFor(d.run.digest, d.run.service, d.at)
+	record.Asked, record.Asker = d.at, b.VM
+	record.addCrash(End{
+		Life: d.run.instanceID,
 		At:   at,
-		Ran:  max(at.Sub(began), 0),
+		Ran:  max(at.Sub(startedAt), 0),
 	})
-	b.changed(e)
+	b.markChanged(record)
 }
--- a/core/coordination/quarantine/cuts_test.go
+++ b/core/coordination/quarantine/cuts_test.go
@@ -9,35 +9,35 @@
 
 // What tells that an upstream has ended, and what does not: a refused connection, or a
 // later life in its place, after answers broke off and nothing was heard of it since.
-func TestEvidenceOfAnEnd(t *testing.T) {
-	const life = "u"
+func TestCrashDetection(t *testing.T) {
+	const instanceID = "u"
 	type step struct {
 		after time.Duration
 		do    func(b *Book, now time.Time)
 	}
-	run := func(b *Book, d persimmoncross.Digest, now time.Time) *Run { return b.Begin(d, "s", life, now) }
-	cutOf := func(ran time.Duration) func(b *Book, now time.Time) {
-		return func(b *Book, now time.Time) { run(b, guilty, now.Add(-ran)).Cut(now) }
+	begin := func(b *Book, d persimmoncross.Digest, now time.Time) *Run { return b.Begin(d, "s", instanceID, now) }
+	disconnectAfter := func(runTime time.Duration) func(b *Book, now time.Time) {
+		return func(b *Book, now time.Time) { begin(b, crasher, now.Add(-runTime)).Cut(now) }
 	}
-	listens := func(b *Book, _ time.Time) { b.Listens(life) }
-	refused := func(b *Book, now time.Time) { b.Ended(life, now) }
-	succeeded := func(b *Book, now time.Time) { b.Succeeded(life, now) }
-	begins := func(b *Book, now time.Time) { run(b, other, now).Begun(now) }
-	whole := func(b *Book, now time.Time) { run(b, other, now).Whole(now) }
+	listening := func(b *Book, _ time.Time) { b.Listens(instanceID) }
+	exited := func(b *Book, now time.Time) { b.Ended(instanceID, now) }
+	replaced := func(b *Book, now time.Time) { b.Succeeded(instanceID, now) }
+	started := func(b *Book, now time.Time) { begin(b, harmless, now).Begun(now) }
+	completed := func(b *Book, now time.Time) { begin(b, harmless, now).Whole(now) }
 	for _, tt := range []struct {
-		what  string
-		steps []step
-		ends  int
+		name    string
+		steps   []step
+		crashes int
 	}{
-		{"a refused connection", []step{{0, cutOf(time.Second)}, {time.Millisecond, refused}}, 1},
-		{"a later life, while something takes connections", []step{{0, cutOf(time.Second)}, {time.Millisecond, listens}, {2 * time.Second, succeeded}}, 1},
-		{"both", []step{{0, cutOf(time.Second)}, {time.Millisecond, refused}, {2 * time.Second, succeeded}}, 1},
-		{"neither", []step{{0, cutOf(time.Second)}, {time.Millisecond, listens}}, 0},
-		{"a later life long after", []step{{0, cutOf(time.Second)}, {lifeAge + time.Second, succeeded}}, 0},
-		{"it has begun another run meanwhile", []step{{0, cutOf(time.Second)}, {time.Second, begins}, {time.Second, succeeded}}, 0},
-		{"it has answered meanwhile", []step{{0, cutOf(time.Second)}, {time.Second, whole}, {time.Second, succeeded}}, 0},
-		{"a cut, an answer, and an end", []step{{0, cutOf(time.Second)}, {time.Second, whole}, {time.Second, cutOf(time.Millisecond)}, {time.Second, succeeded}}, 1},
-		{"an old cut, and a refused connection", []step{{0, cutOf(time.Second)}, {time.Millisecond, listens}, {2 * cutAge, refused}}, 0},
+		{"a refused connection", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, exited}}, 1},
+		{"a later life, while something takes connections", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, listening}, {2 * time.Second, replaced}}, 1},
+		{"both", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, exited}, {2 * time.Second, replaced}}, 1},
+		{"neither", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, listening}}, 0},
+		{"a later life long after", []step{{0, disconnectAfter(time.Second)}, {replacementWindow + time.Second, replaced}}, 0},
+		{"it has begun another run meanwhile", []step{{0, disconnectAfter(time.Second)}, {time.Second, started}, {time.Second, replaced}}, 0},
+		{"it has answered meanwhile", []step{{0, disconnectAfter(time.Second)}, {time.Second, completed}, {time.Second, replaced}}, 0},
+		{"a cut, an answer, and an end", []step{{0, disconnectAfter(time.Second)}, {time.Second, completed}, {time.Second, disconnectAfter(time.Millisecond)}, {time.Second, replaced}}, 1},
+		{"an old cut, and a refused connection", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, listening}, {2 * probeWindow, exited}}, 0},
 	} {
 		b := &Book{
 			VM: "vm",
@@ -47,50 +47,50 @@
 			now = now.Add(s.after)
 			s.do(b, now)
 		}
-		cases, _ := b.Cases(0, now)
-		ends := 0
-		for _, c := range cases {
-			ends += len(c.Ends)
+		records, _ := b.Cases(0, now)
+		crashes := 0
+		for _, r := range records {
+			crashes += len(r.Ends)
 		}
-		if ends != tt.ends {
-			t.Errorf("%s: %d ends, want %d", tt.what, ends, tt.ends)
+		if crashes != tt.crashes {
+			t.Errorf("%s: %d ends, want %d", tt.name, crashes, tt.crashes)
 		}
 	}
 }
 
 // What was sent to an upstream after it had ended met only what stands before it: it
 // is blamed neither by the VM that sent it, nor by a judge who hears of both.
-func TestSentAfterTheEnd(t *testing.T) {
-	began := time.Unix(1000, 0)
-	one, two := &Book{VM: "one"}, &Book{VM: "two"}
-	now := began
-	for i, life := range []string{"u1", "u2", "u3"} {
-		now = began.Add(time.Duration(i) * 3 * time.Second)
-		run := one.Begin(guilty, "s", life, now)
+func TestRequestSentAfterCrashNotBlamed(t *testing.T) {
+	start := time.Unix(1000, 0)
+	observer, lateSender := &Book{VM: "one"}, &Book{VM: "two"}
+	now := start
+	for i, instanceID := range []string{"u1", "u2", "u3"} {
+		now = start.Add(time.Duration(i) * 3 * time.Second)
+		run := observer.Begin(crasher, "s", instanceID, now)
 		run.Begun(now)
 		now = now.Add(50 * time.Millisecond)
 		run.Cut(now)
-		for _, b := range []*Book{one, two} {
+		for _, rec := range []*Book{observer, lateSender} {
 			now = now.Add(400 * time.Millisecond)
-			late := b.Begin(other, "s", life, now)
+			lateRun := rec.Begin(harmless, "s", instanceID, now)
 			now = now.Add(time.Millisecond)
-			late.Cut(now)
+			lateRun.Cut(now)
 		}
 		now = now.Add(time.Second)
-		one.Succeeded(life, now)
-		two.Succeeded(life, now)
+		observer.Succeeded(instanceID, now)
+		lateSender.Succeeded(instanceID, now)
 	}
-	first, _ := one.Cases(0, now)
-	second, _ := two.Cases(0, now)
-	if len(first) != 1 {
-		t.Errorf("the one who saw the ends blames %d requests", len(first))
+	observed, _ := observer.Cases(0, now)
+	lateRecords, _ := lateSender.Cases(0, now)
+	if len(observed) != 1 {
+		t.Errorf("the one who saw the ends blames %d requests", len(observed))
 	}
-	keeper := Keeper{}
-	cases := Merge([][]Case{second, first}, 100)
+	quarantines := Keeper{}
+	records := Merge([][]Case{lateRecords, observed}, 100)
 	for _, want := range []persimmoncross.HoldStage{persimmoncross.HoldWatch, persimmoncross.HoldRefuse} {
-		keeper.Judge(cases, now)
-		now = now.Add(settle)
-		if g, o := keeper.Hold(guilty).Stage, keeper.Hold(other).Stage; g != want || o != persimmoncross.HoldFree {
+		quarantines.Judge(records, now)
+		now = now.Add(settleTime)
+		if g, o := quarantines.Hold(crasher).Stage, quarantines.Hold(harmless).Stage; g != want || o != persimmoncross.HoldFree {
 			t.Errorf("the one that ended them: %v, want %v, the other: %v", g, want, o)
 		}
 	}
--- a/core/coordination/quarantine/digest.go
+++ b/core/coordination/quarantine/digest.go
@@ -11,12 +11,12 @@
 // collision that could be constructed would let one organisation have another's
 // requests refused; so the digest is a cryptographic one, and the organisation is
 // part of it.
-func DigestOf(organisation, method, host, target string, content [sha256.Size]byte) persimmoncross.Digest {
-	b := make([]byte, 0, 256)
+func DigestOf(organisation, method, host, target string, bodyHash [sha256.Size]byte) persimmoncross.Digest {
+	input := make([]byte, 0, 256)
 	for _, field := range []string{organisation, method, host, target} {
-		b = binary.AppendUvarint(b, uint64(len(field)))
-		b = append(b, field...)
+		input = binary.AppendUvarint(input, uint64(len(field)))
+		input = append(input, field...)
 	}
-	sum := sha256.Sum256(append(b, content[:]...))
+	sum := sha256.Sum256(append(input, bodyHash[:]...))
 	return persimmoncross.Digest(sum[:len(persimmoncross.Digest{})])
 }
--- a/core/coordination/quarantine/digest_test.go
+++ b/core/coordination/quarantine/digest_test.go
@@ -17,8 +17,8 @@
 		t.Error("the same request has two digests")
 	}
 	for _, tt := range []struct {
-		what  string
-		other persimmoncross.Digest
+		name   string
+		digest persimmoncross.Digest
 	}{
 		{"organisation", DigestOf("p", "POST", "h", "/p", body)},
 		{"method", DigestOf("o", "GET", "h", "/p", body)},
@@ -28,15 +28,15 @@
 		{"body", DigestOf("o", "POST", "h", "/p", sha256.Sum256(nil))},
 		{"a field that begins in the one before", DigestOf("oP", "OST", "h", "/p", body)},
 	} {
-		if tt.other == base || tt.other == (persimmoncross.Digest{}) {
-			t.Errorf("%s: %v", tt.what, tt.other)
+		if tt.digest == base || tt.digest == (persimmoncross.Digest{}) {
+			t.Errorf("%s: %v", tt.name, tt.digest)
 		}
 	}
 }
 
 // What the digest of a request costs: of bodies from none to the largest that is
 // allowed.
-func BenchmarkDigest(b *testing.B) {
+func BenchmarkDigestOf(b *testing.B) {
 	for _, size := range []int{0, 2 << 10, 64 << 10, 4 << 20} {
 		body := make([]byte, size)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/core/coordination/quarantine/judge.go
+++ b/core/coordination/quarantine/judge.go
@@ -11,59 +11,59 @@
 
 // Of the judgement.
 const (
-	// refuseAt ends prove a request: the operators' bound on retries counts what is
+	// refuseCrashes ends prove a request: the operators' bound on retries counts what is
 	// sent after the third. watchAt is one before it.
-	refuseAt = 3
-	watchAt  = 2
-	manyAt   = 6 // ends at which others ran too, of a request that never came to its end
-	apartAt  = 2 // ends at which no other suspect ran, where there are some at which one did
-	// together is the time in which ends are one event: a rack that is lost ends all
+	refuseCrashes          = 3
+	watchCrashes           = 2
+	contestedRefuseCrashes = 6 // ends at which others ran too, of a request that never came to its end
+	minUncontestedCrashes  = 2 // ends at which no other suspect ran, where there are some at which one did
+	// sameEventWindow is the time in which ends are one event: a rack that is lost ends all
 	// its upstreams within some milliseconds, and what is sent often runs on each.
-	together = 150 * time.Millisecond
-	// skew is by how much the ages of what two VMs tell may differ: they are rounded,
+	sameEventWindow = 150 * time.Millisecond
+	// maxAgeSkew is by how much the ages of what two VMs tell may differ: they are rounded,
 	// and wait on their way.
-	skew = 5 * time.Millisecond
-	// transit is by how much later than another VM one may learn of the same end:
+	maxAgeSkew = 5 * time.Millisecond
+	// maxDetectionDelay is by how much later than another VM one may learn of the same end:
 	// what was sent later than that did not run there.
-	transit = 30 * time.Millisecond
-	// settle is for how long a request is watched before it is refused: VMs tell of the
+	maxDetectionDelay = 30 * time.Millisecond
+	// settleTime is for how long a request is watched before it is refused: VMs tell of the
 	// same ends at different moments, and what the first told looks as if the request
 	// had been alone there. It is longer than the pause between what one VM tells.
-	settle = 300 * time.Millisecond
-	// settleWhole is the same for one that has come to its end somewhere: what speaks
+	settleTime = 300 * time.Millisecond
+	// completedSettleTime is the same for one that has come to its end somewhere: what speaks
 	// for it makes it likely that others ended those upstreams, of whom the last VM tells
 	// after its own pause and that of the controller it follows.
-	settleWhole = 600 * time.Millisecond
-	// dominates is how many times as much must speak against a request as against
+	completedSettleTime = 600 * time.Millisecond
+	// dominanceFactor is how many times as much must speak against a request as against
 	// each other one that ran at the same upstream, for the end to count as its own.
-	dominates = 1.5
-	// hasteMost bounds what the time until an end makes of it: it decides between two
+	dominanceFactor = 1.5
+	// maxSpeedFactor bounds what the time until an end makes of it: it decides between two
 	// that were there as often.
-	hasteMost = 1.4
-	// survives is how many times as long as it took to end an upstream a request
+	maxSpeedFactor = 1.4
+	// survivalFactor is how many times as long as it took to end an upstream a request
 	// must run at others, for that to count as a whole answer: a cause that strikes
 	// by chance would be survived for so long in 5 of 100 runs.
-	survives   = 3
-	leastRun   = 10 * time.Millisecond // an end comes no sooner after its cause, as far as can be told
-	endAge     = 10 * time.Minute      // for which an end counts
-	quietTime  = endAge                // without a copy, after which a refusal is over
-	watchQuiet = 4 * time.Second       // without a copy, after which it is not watched: others need the place
-	askedLast  = 5 * time.Second       // a copy came lately: a trial finds another one
-	// trialWait is how long a VM that is to run a trial may wait for a copy, and run
+	survivalFactor      = 3
+	minRunTime          = 10 * time.Millisecond // an end comes no sooner after its cause, as far as can be told
+	crashRetention      = 10 * time.Minute      // for which an end counts
+	refuseIdleTimeout   = crashRetention        // without a copy, after which a refusal is over
+	watchIdleTimeout    = 4 * time.Second       // without a copy, after which it is not watched: others need the place
+	recentRequestWindow = 5 * time.Second       // a copy came lately: a trial finds another one
+	// trialTimeout is how long a VM that is to run a trial may wait for a copy, and run
 	// it: meanwhile an upstream is kept for it.
-	trialWait = 10 * time.Second
-	mostHolds = 1024 // 40 KB at each VM
-	mostWatch = 64   // each takes an upstream for itself where there are enough
+	trialTimeout   = 10 * time.Second
+	maxQuarantines = 1024 // 40 KB at each VM
+	maxWatched     = 64   // each takes an upstream for itself where there are enough
 )
 
-// trialAfter are the pauses before the trials of a refused request: one copy runs
+// trialDelays are the pauses before the trials of a refused request: one copy runs
 // by itself, and if it comes to its end, the request was refused wrongly, or the
 // upstreams have been mended. Where upstreams end faster than they start, nothing
 // tells a request that is sent often from those that end them. The operators' bound
 // allows three runs later than some seconds after the third end: up to two come before
 // a contested request is found out, and with one trial in the first ten minutes the
 // bound is kept for as long.
-var trialAfter = []time.Duration{30 * time.Second, 10 * time.Minute, 30 * time.Minute}
+var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute, 30 * time.Minute}
 
 // End is the end of an upstream's process under a request.
 type End struct {
@@ -97,63 +97,63 @@
 	Ends []End // that count against it
 }
 
-// tally is what speaks for and against one request.
-type tally struct {
+// score is what speaks for and against one request.
+type score struct {
 	Case
-	against float64
-	weight  float64            // against, by which it is compared with others
-	rivals  map[string]float64 // by life: the most that speaks against another one there
+	suspicion         float64
+	adjustedSuspicion float64            // against, by which it is compared with others
+	rivalSuspicions   map[string]float64 // by life: the most that speaks against another one there
 }
 
 // Judge returns how the holds change by what all VMs saw: a case for each digest
 // (see [Merge]).
-func Judge(cases []Case, held map[persimmoncross.Digest]Held, now time.Time) []Change {
-	tallies := weigh(cases, held, now)
+func Judge(records []Case, quarantines map[persimmoncross.Digest]Held, now time.Time) []Change {
+	scores := scoreRecords(records, quarantines, now)
 	var changes []Change
 	watched := 0
-	for _, h := range held {
+	for _, h := range quarantines {
 		if h.Stage == persimmoncross.HoldWatch {
 			watched++
 		}
 	}
-	for _, t := range tallies {
-		h, ok := held[t.Digest]
-		own := t.own()
-		proved := len(own) >= refuseAt && t.proved(own)
-		settled := ok && now.Sub(h.Since) >= t.settle()
-		watchable := !ok && watched < mostWatch // else it is refused as soon as it is proved
+	for _, s := range scores {
+		h, ok := quarantines[s.Digest]
+		attributed := s.attributedCrashes()
+		proven := len(attributed) >= refuseCrashes && s.isProven(attributed)
+		settled := ok && now.Sub(h.Since) >= s.settleTime()
+		watchable := !ok && watched < maxWatched // else it is refused as soon as it is proved
 		switch {
 		case h.Stage == persimmoncross.HoldRefuse:
-			if c, ok := t.trial(h, now); ok {
+			if c, ok := s.updateTrial(h, now); ok {
 				changes = append(changes, c)
 			}
-		case proved && (settled || !ok && !watchable && len(held)+len(changes) < mostHolds):
-			changes = append(changes, t.change(persimmoncross.HoldRefuse, "upstreams end wherever it runs", own))
-		case watchable && (proved || t.against >= watchAt && now.Sub(t.Asked) < watchQuiet):
+		case proven && (settled || !ok && !watchable && len(quarantines)+len(changes) < maxQuarantines):
+			changes = append(changes, s.newChange(persimmoncross.HoldRefuse, "upstreams end wherever it runs", attributed))
+		case watchable && (proven || s.suspicion >= watchCrashes && now.Sub(s.Asked) < watchIdleTimeout):
 			watched++
-			changes = append(changes, t.change(persimmoncross.HoldWatch, "upstreams ended where it ran", t.Ends))
+			changes = append(changes, s.newChange(persimmoncross.HoldWatch, "upstreams ended where it ran", s.Ends))
 		}
 	}
-	return append(changes, over(tallies, held, now)...)
+	return append(changes, expired(scores, quarantines, now)...)
 }
 
-// trial returns how a refused request is tried, or its refusal ends.
-func (t *tally) trial(h Held, now time.Time) (Change, bool) {
+// updateTrial returns how a refused request is tried, or its refusal ends.
+func (s *score) updateTrial(h Held, now time.Time) (Change, bool) {
 	c := Change{
 		Hold: h.Hold,
-		Ends: t.Ends,
+		Ends: s.Ends,
 	}
-	pause := trialAfter[min(h.Try, len(trialAfter)-1)]
-	asked := now.Sub(t.Asked) < askedLast
-	failed := slices.ContainsFunc(t.Ends, func(e End) bool { return e.At.After(h.Since) })
+	delay := trialDelays[min(h.Try, len(trialDelays)-1)]
+	requestedLately := now.Sub(s.Asked) < recentRequestWindow
+	crashedInTrial := slices.ContainsFunc(s.Ends, func(crash End) bool { return crash.At.After(h.Since) })
 	switch {
-	case t.Cleared.After(h.Since):
+	case s.Cleared.After(h.Since):
 		c.Stage, c.Trial, c.Why = persimmoncross.HoldFree, "", "it came to its end by itself"
-	case h.Trial != "" && failed:
+	case h.Trial != "" && crashedInTrial:
 		c.Trial, c.Why = "", "an upstream ended under its trial"
-	case h.Trial == "" && asked && now.Sub(h.Since) >= pause:
-		c.Trial, c.Try, c.Why = t.Asker, h.Try+1, "it is tried once"
-	case h.Trial != "" && now.Sub(h.Since) >= trialWait:
+	case h.Trial == "" && requestedLately && now.Sub(h.Since) >= delay:
+		c.Trial, c.Try, c.Why = s.Asker, h.Try+1, "it is tried once"
+	case h.Trial != "" && now.Sub(h.Since) >= trialTimeout:
 		c.Trial, c.Try, c.Why = "", h.Try-1, "its trial told nothing"
 	default:
 		return c, false
@@ -161,34 +161,34 @@
 	return c, true
 }
 
-// over returns the holds that end.
-func over(tallies []*tally, held map[persimmoncross.Digest]Held, now time.Time) []Change {
-	by := make(map[persimmoncross.Digest]*tally, len(tallies))
-	for _, t := range tallies {
-		by[t.Digest] = t
+// expired returns the holds that end.
+func expired(scores []*score, quarantines map[persimmoncross.Digest]Held, now time.Time) []Change {
+	byDigest := make(map[persimmoncross.Digest]*score, len(scores))
+	for _, s := range scores {
+		byDigest[s.Digest] = s
 	}
 	var changes []Change
-	for d, h := range held {
-		t := by[d]
-		if t == nil {
-			t = &tally{}
+	for d, h := range quarantines {
+		s := byDigest[d]
+		if s == nil {
+			s = &score{}
 		}
-		last := h.Since
-		if t.Asked.After(last) {
-			last = t.Asked
+		lastActive := h.Since
+		if s.Asked.After(lastActive) {
+			lastActive = s.Asked
 		}
-		why := ""
-		switch quiet := now.Sub(last); {
-		case h.Stage == persimmoncross.HoldRefuse && quiet >= quietTime, h.Stage == persimmoncross.HoldWatch && quiet >= watchQuiet:
-			why = "no copy came"
-		case h.Stage == persimmoncross.HoldWatch && t.against < watchAt && len(t.own()) < refuseAt:
-			why = "it came to its end"
+		reason := ""
+		switch idle := now.Sub(lastActive); {
+		case h.Stage == persimmoncross.HoldRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.HoldWatch && idle >= watchIdleTimeout:
+			reason = "no copy came"
+		case h.Stage == persimmoncross.HoldWatch && s.suspicion < watchCrashes && len(s.attributedCrashes()) < refuseCrashes:
+			reason = "it came to its end"
 		}
-		if why != "" {
+		if reason != "" {
 			h.Stage = persimmoncross.HoldFree
 			changes = append(changes, Change{
 				Hold: h.Hold,
-				Why:  why,
+				Why:  reason,
 			})
 		}
 	}
@@ -196,171 +196,171 @@
 	return changes
 }
 
-func (t *tally) change(s persimmoncross.HoldStage, why string, ends []End) Change {
+func (s *score) newChange(stage persimmoncross.HoldStage, reason string, crashes []End) Change {
 	return Change{
 		Hold: persimmoncross.Hold{
-			Digest:  t.Digest,
-			Service: t.Service,
-			Stage:   s,
+			Digest:  s.Digest,
+			Service: s.Service,
+			Stage:   stage,
 		},
-		Why:  why,
-		Ends: ends,
+		Why:  reason,
+		Ends: crashes,
 	}
 }
 
-// weigh counts for each request what speaks against it, the most suspect first. An
+// scoreRecords counts for each request what speaks against it, the most suspect first. An
 // end where a request ran that is refused already is explained, unless that one was
 // sent there after it.
-func weigh(cases []Case, held map[persimmoncross.Digest]Held, now time.Time) []*tally {
-	refused := func(c Case) bool { return held[c.Digest].Stage == persimmoncross.HoldRefuse }
-	ended := endings(cases)
-	late := func(e End) bool { return e.sent().Sub(ended[e.Life]) > transit }
+func scoreRecords(records []Case, quarantines map[persimmoncross.Digest]Held, now time.Time) []*score {
+	isRefused := func(r Case) bool { return quarantines[r.Digest].Stage == persimmoncross.HoldRefuse }
+	crashedAt := firstCrashTimes(records)
+	startedLate := func(c End) bool { return c.startedAt().Sub(crashedAt[c.Life]) > maxDetectionDelay }
 	explained := map[string]bool{}
-	for _, c := range cases {
-		for _, e := range c.Ends {
-			if refused(c) && !late(e) {
-				explained[e.Life] = true
+	for _, r := range records {
+		for _, c := range r.Ends {
+			if isRefused(r) && !startedLate(c) {
+				explained[c.Life] = true
 			}
 		}
 	}
-	tallies := make([]*tally, 0, len(cases))
-	var sum time.Duration
-	ends := 0
+	scores := make([]*score, 0, len(records))
+	var totalRunTime time.Duration
+	crashCount := 0
 	type two struct{ first, second float64 } // the most against any there
-	at := map[string]two{}
-	for _, c := range cases {
-		c.Ends = slices.DeleteFunc(slices.Clone(c.Ends), func(e End) bool {
-			return now.Sub(e.At) > endAge || !e.At.After(c.Cleared) || explained[e.Life] && !refused(c) || late(e)
+	topSuspicions := map[string]two{}
+	for _, r := range records {
+		r.Ends = slices.DeleteFunc(slices.Clone(r.Ends), func(c End) bool {
+			return now.Sub(c.At) > crashRetention || !c.At.After(r.Cleared) || explained[c.Life] && !isRefused(r) || startedLate(c)
 		})
-		t := &tally{
-			Case: c,
+		s := &score{
+			Case: r,
 		}
-		tallies = append(tallies, t)
-		for _, e := range c.Ends {
-			sum += e.Ran
-			ends++
+		scores = append(scores, s)
+		for _, c := range r.Ends {
+			totalRunTime += c.Ran
+			crashCount++
 		}
 	}
-	for _, t := range tallies {
-		t.against = t.suspicion()
-		t.weight = t.against * t.haste(sum/time.Duration(max(ends, 1)))
-		for _, e := range t.Ends {
-			m := at[e.Life]
+	for _, s := range scores {
+		s.suspicion = s.computeSuspicion()
+		s.adjustedSuspicion = s.suspicion * s.speedFactor(totalRunTime/time.Duration(max(crashCount, 1)))
+		for _, c := range s.Ends {
+			top := topSuspicions[c.Life]
 			switch {
-			case t.weight > m.first:
-				m.first, m.second = t.weight, m.first
-			case t.weight > m.second:
-				m.second = t.weight
+			case s.adjustedSuspicion > top.first:
+				top.first, top.second = s.adjustedSuspicion, top.first
+			case s.adjustedSuspicion > top.second:
+				top.second = s.adjustedSuspicion
 			}
-			at[e.Life] = m
+			topSuspicions[c.Life] = top
 		}
 	}
-	for _, t := range tallies {
-		t.rivals = make(map[string]float64, len(t.Ends))
-		for _, e := range t.Ends {
-			m := at[e.Life]
-			t.rivals[e.Life] = m.first
-			if m.first == t.weight {
-				t.rivals[e.Life] = m.second // itself, or another with as much
+	for _, s := range scores {
+		s.rivalSuspicions = make(map[string]float64, len(s.Ends))
+		for _, c := range s.Ends {
+			top := topSuspicions[c.Life]
+			s.rivalSuspicions[c.Life] = top.first
+			if top.first == s.adjustedSuspicion {
+				s.rivalSuspicions[c.Life] = top.second // itself, or another with as much
 			}
 		}
 	}
-	slices.SortFunc(tallies, func(a, b *tally) int {
-		return cmp.Or(cmp.Compare(b.against, a.against), slices.Compare(a.Digest[:], b.Digest[:]))
+	slices.SortFunc(scores, func(a, b *score) int {
+		return cmp.Or(cmp.Compare(b.suspicion, a.suspicion), slices.Compare(a.Digest[:], b.Digest[:]))
 	})
-	return tallies
+	return scores
 }
 
-// endings returns when each life ended, as whoever learned of it first saw it.
-func endings(cases []Case) map[string]time.Time {
-	at := map[string]time.Time{}
-	for _, c := range cases {
-		for _, e := range c.Ends {
-			if first, ok := at[e.Life]; !ok || e.At.Before(first) {
-				at[e.Life] = e.At
+// firstCrashTimes returns when each life ended, as whoever learned of it first saw it.
+func firstCrashTimes(records []Case) map[string]time.Time {
+	crashedAt := map[string]time.Time{}
+	for _, r := range records {
+		for _, c := range r.Ends {
+			if first, ok := crashedAt[c.Life]; !ok || c.At.Before(first) {
+				crashedAt[c.Life] = c.At
 			}
 		}
 	}
-	return at
+	return crashedAt
 }
 
-// sent returns when the run began, or was sent.
-func (e End) sent() time.Time { return e.At.Add(-e.Ran) }
+// startedAt returns when the run began, or was startedAt.
+func (c End) startedAt() time.Time { return c.At.Add(-c.Ran) }
 
-// suspicion is the number of ends less what speaks for the request: whole answers,
+// computeSuspicion is the number of ends less what speaks for the request: whole answers,
 // and time for which upstreams survived it.
-func (t *tally) suspicion() float64 {
-	n := len(events(t.Ends))
+func (s *score) computeSuspicion() float64 {
+	n := len(distinctCrashes(s.Ends))
 	if n == 0 {
 		return 0
 	}
-	return float64(n) - float64(t.Whole) - float64(t.Ran)/float64(survives*t.mean())
+	return float64(n) - float64(s.Whole) - float64(s.Ran)/float64(survivalFactor*s.meanRunTime())
 }
 
-// settle returns for how long the request is watched before it is refused.
-func (t *tally) settle() time.Duration {
-	if t.Whole > 0 {
-		return settleWhole
+// settleTime returns for how long the request is watched before it is refused.
+func (s *score) settleTime() time.Duration {
+	if s.Whole > 0 {
+		return completedSettleTime
 	}
-	return settle
+	return settleTime
 }
 
-// mean returns for how long the request had run when upstreams ended.
-func (t *tally) mean() time.Duration {
-	sum := time.Duration(0)
-	for _, e := range t.Ends {
-		sum += e.Ran
+// meanRunTime returns for how long the request had run when upstreams ended.
+func (s *score) meanRunTime() time.Duration {
+	total := time.Duration(0)
+	for _, c := range s.Ends {
+		total += c.Ran
 	}
-	return max(leastRun, sum/time.Duration(max(len(t.Ends), 1)))
+	return max(minRunTime, total/time.Duration(max(len(s.Ends), 1)))
 }
 
-// haste weighs how soon upstreams end under the request, against how soon they do
+// speedFactor weighs how soon upstreams end under the request, against how soon they do
 // under all: what merely ran beside the cause had run for any time.
-func (t *tally) haste(usual time.Duration) float64 {
-	return min(max(math.Sqrt(float64(max(usual, leastRun))/float64(t.mean())), 1/hasteMost), hasteMost)
+func (s *score) speedFactor(overallMean time.Duration) float64 {
+	return min(max(math.Sqrt(float64(max(overallMean, minRunTime))/float64(s.meanRunTime())), 1/maxSpeedFactor), maxSpeedFactor)
 }
 
-// proved reports whether the ends that are a request's own are enough: where another
+// isProven reports whether the ends that are a request's own are enough: where another
 // suspect ran at some of them, it takes others at which none did. Upstreams with long
-// queues always have one: there a request that never came to its end is proved by many.
-func (t *tally) proved(own []End) bool {
-	if t.Whole == 0 && len(own) >= manyAt {
+// queues always have one: there a request that never came to its end is isProven by many.
+func (s *score) isProven(attributed []End) bool {
+	if s.Whole == 0 && len(attributed) >= contestedRefuseCrashes {
 		return true
 	}
-	contested := func(e End) bool { return t.rivals[e.Life] >= watchAt }
-	if !slices.ContainsFunc(t.Ends, contested) {
+	isContested := func(c End) bool { return s.rivalSuspicions[c.Life] >= watchCrashes }
+	if !slices.ContainsFunc(s.Ends, isContested) {
 		return true
 	}
-	return len(slices.DeleteFunc(slices.Clone(own), contested)) >= apartAt
+	return len(slices.DeleteFunc(slices.Clone(attributed), isContested)) >= minUncontestedCrashes
 }
 
-// own returns one end of each event that nothing else explains as well.
-func (t *tally) own() []End {
-	if t.against < refuseAt {
+// attributedCrashes returns one end of each event that nothing else explains as well.
+func (s *score) attributedCrashes() []End {
+	if s.suspicion < refuseCrashes {
 		return nil
 	}
-	var own []End
-	for _, e := range t.Ends {
-		if t.weight >= dominates*t.rivals[e.Life] {
-			own = append(own, e)
+	var attributed []End
+	for _, c := range s.Ends {
+		if s.adjustedSuspicion >= dominanceFactor*s.rivalSuspicions[c.Life] {
+			attributed = append(attributed, c)
 		}
 	}
-	return events(own)
+	return distinctCrashes(attributed)
 }
 
-// events returns the first end of each event. What began only after the event before
+// distinctCrashes returns the first end of each event. What began only after the event before
 // is another one, however soon it comes.
-func events(ends []End) []End {
-	ends = slices.SortedFunc(slices.Values(ends), func(a, b End) int { return a.At.Compare(b.At) })
-	var first []End
-	for _, e := range ends {
-		if n := len(first); n > 0 {
-			before := first[n-1].At
-			if e.At.Sub(before) <= together && e.At.Add(-e.Ran).Before(before.Add(-skew)) {
+func distinctCrashes(crashes []End) []End {
+	crashes = slices.SortedFunc(slices.Values(crashes), func(a, b End) int { return a.At.Compare(b.At) })
+	var distinct []End
+	for _, c := range crashes {
+		if n := len(distinct); n > 0 {
+			previous := distinct[n-1].At
+			if c.At.Sub(previous) <= sameEventWindow && c.At.Add(-c.Ran).Before(previous.Add(-maxAgeSkew)) {
 				continue
 			}
 		}
-		first = append(first, e)
+		distinct = append(distinct, c)
 	}
-	return first
+	return distinct
 }
--- a/core/coordination/quarantine/judge_test.go
+++ b/core/coordination/quarantine/judge_test.go
@@ -8,153 +8,153 @@
 	"persimmoncross"
 )
 
-// world is a book, and the holds that its judge keeps.
-type world struct {
-	book   Book
-	keeper Keeper
-	now    time.Time
-	ends   int
+// fixture is a book, and the holds that its judge keeps.
+type fixture struct {
+	recorder    Book
+	quarantines Keeper
+	now         time.Time
+	crashes     int
 }
 
-func newWorld() *world {
-	return &world{
-		book: Book{
+func newFixture() *fixture {
+	return &fixture{
+		recorder: Book{
 			VM: "vm",
 		},
 		now: time.Unix(1000, 0),
 	}
 }
 
-// end lets the requests run for a while at an upstream that ends then.
-func (w *world) end(ran time.Duration, requests ...persimmoncross.Digest) {
-	w.ends++
-	life := fmt.Sprint("u", w.ends)
+// crashUpstream lets the requests run for a while at an upstream that ends then.
+func (f *fixture) crashUpstream(ran time.Duration, requests ...persimmoncross.Digest) {
+	f.crashes++
+	instanceID := fmt.Sprint("u", f.crashes)
 	var runs []*Run
 	for _, d := range requests {
-		r := w.book.Begin(d, "s", life, w.now)
-		r.Begun(w.now)
+		r := f.recorder.Begin(d, "s", instanceID, f.now)
+		r.Begun(f.now)
 		runs = append(runs, r)
 	}
-	w.now = w.now.Add(ran)
+	f.now = f.now.Add(ran)
 	for _, r := range runs {
-		r.Cut(w.now)
+		r.Cut(f.now)
 	}
-	w.book.Ended(life, w.now)
+	f.recorder.Ended(instanceID, f.now)
 }
 
-// judge returns what is done with a request after some time.
-func (w *world) judge(after time.Duration, d persimmoncross.Digest) persimmoncross.Hold {
-	w.now = w.now.Add(after)
-	cases, _ := w.book.Cases(0, w.now)
-	w.keeper.Judge(Merge([][]Case{cases}, 4096), w.now)
-	return w.keeper.Hold(d)
+// evaluate returns what is done with a request after some time.
+func (f *fixture) evaluate(after time.Duration, d persimmoncross.Digest) persimmoncross.Hold {
+	f.now = f.now.Add(after)
+	records, _ := f.recorder.Cases(0, f.now)
+	f.quarantines.Judge(Merge([][]Case{records}, 4096), f.now)
+	return f.quarantines.Hold(d)
 }
 
 var (
-	guilty = persimmoncross.Digest{1}
-	other  = persimmoncross.Digest{2}
+	crasher  = persimmoncross.Digest{1}
+	harmless = persimmoncross.Digest{2}
 )
 
-func TestThreeEndsOfItsOwn(t *testing.T) {
-	w := newWorld()
+func TestRefusedAfterThreeCrashes(t *testing.T) {
+	f := newFixture()
 	for i, want := range []persimmoncross.HoldStage{persimmoncross.HoldFree, persimmoncross.HoldWatch, persimmoncross.HoldRefuse} {
-		w.end(20*time.Millisecond, guilty, persimmoncross.Digest{9, byte(i)})
-		if got := w.judge(time.Second, guilty).Stage; got != want {
+		f.crashUpstream(20*time.Millisecond, crasher, persimmoncross.Digest{9, byte(i)})
+		if got := f.evaluate(time.Second, crasher).Stage; got != want {
 			t.Errorf("after %d ends: %v, want %v", i+1, got, want)
 		}
 	}
 	for i := range 3 {
-		if got := w.keeper.Hold(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.HoldFree {
+		if got := f.quarantines.Hold(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.HoldFree {
 			t.Errorf("one that ran beside it: %v", got)
 		}
 	}
 }
 
 // What runs beside it at every end looks the same; once each runs by itself, it does not.
-func TestTwoThatWereAlwaysTogether(t *testing.T) {
-	w := newWorld()
+func TestIsolationSeparatesSuspects(t *testing.T) {
+	f := newFixture()
 	for range 4 {
-		w.end(20*time.Millisecond, guilty, other)
+		f.crashUpstream(20*time.Millisecond, crasher, harmless)
 	}
-	for _, d := range []persimmoncross.Digest{guilty, other} {
-		if got := w.judge(time.Second, d).Stage; got != persimmoncross.HoldWatch {
+	for _, d := range []persimmoncross.Digest{crasher, harmless} {
+		if got := f.evaluate(time.Second, d).Stage; got != persimmoncross.HoldWatch {
 			t.Errorf("%v: %v", d, got)
 		}
 	}
-	w.end(20*time.Millisecond, guilty)
-	w.book.Begin(other, "s", "x", w.now).Whole(w.now)
-	w.end(20*time.Millisecond, guilty)
-	w.book.Begin(other, "s", "x", w.now).Whole(w.now)
-	w.book.Begin(other, "s", "x", w.now).Whole(w.now)
-	if got := w.judge(time.Second, guilty).Stage; got != persimmoncross.HoldRefuse {
+	f.crashUpstream(20*time.Millisecond, crasher)
+	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+	f.crashUpstream(20*time.Millisecond, crasher)
+	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+	if got := f.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldRefuse {
 		t.Errorf("the cause: %v", got)
 	}
-	if got := w.judge(0, other).Stage; got != persimmoncross.HoldFree {
+	if got := f.evaluate(0, harmless).Stage; got != persimmoncross.HoldFree {
 		t.Errorf("the other: %v", got)
 	}
 }
 
 // Each of these has three ends and more, and is no cause.
-func TestNotTheCause(t *testing.T) {
+func TestHarmlessRequestNotRefused(t *testing.T) {
 	tests := []struct {
-		what string
-		play func(w *world)
+		name string
+		run  func(f *fixture)
 	}{
 		{
-			what: "it came to its end before and between",
-			play: func(w *world) {
+			name: "it came to its end before and between",
+			run: func(f *fixture) {
 				for range 5 {
-					w.book.Begin(other, "s", "x", w.now).Whole(w.now)
-					w.end(20*time.Millisecond, other)
+					f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+					f.crashUpstream(20*time.Millisecond, harmless)
 				}
 			},
 		},
 		{
-			what: "a rack is lost under it",
-			play: func(w *world) {
+			name: "a rack is lost under it",
+			run: func(f *fixture) {
 				var runs []*Run
 				for i := range 6 {
-					r := w.book.Begin(other, "s", fmt.Sprint("rack", i), w.now)
-					r.Begun(w.now)
+					r := f.recorder.Begin(harmless, "s", fmt.Sprint("rack", i), f.now)
+					r.Begun(f.now)
 					runs = append(runs, r)
 				}
-				w.now = w.now.Add(time.Second)
+				f.now = f.now.Add(time.Second)
 				for i, r := range runs {
-					w.now = w.now.Add(10 * time.Millisecond)
-					r.Cut(w.now)
-					w.book.Ended(fmt.Sprint("rack", i), w.now)
+					f.now = f.now.Add(10 * time.Millisecond)
+					r.Cut(f.now)
+					f.recorder.Ended(fmt.Sprint("rack", i), f.now)
 				}
 			},
 		},
 		{
-			what: "it runs for long at many others meanwhile",
-			play: func(w *world) {
+			name: "it runs for long at many others meanwhile",
+			run: func(f *fixture) {
 				for i := range 12 {
-					w.book.Begin(other, "s", fmt.Sprint("long", i), w.now).Begun(w.now)
+					f.recorder.Begin(harmless, "s", fmt.Sprint("long", i), f.now).Begun(f.now)
 				}
 				for range 4 {
-					w.end(time.Second, other)
+					f.crashUpstream(time.Second, harmless)
 				}
 			},
 		},
 		{
-			what: "one that is refused ran at all of them",
-			play: func(w *world) {
+			name: "one that is refused ran at all of them",
+			run: func(f *fixture) {
 				for range 3 {
-					w.end(20*time.Millisecond, guilty)
-					w.judge(time.Second, guilty)
+					f.crashUpstream(20*time.Millisecond, crasher)
+					f.evaluate(time.Second, crasher)
 				}
 				for range 4 {
-					w.end(20*time.Millisecond, guilty, other)
+					f.crashUpstream(20*time.Millisecond, crasher, harmless)
 				}
 			},
 		},
 	}
 	for _, tt := range tests {
-		w := newWorld()
-		tt.play(w)
-		if got := w.judge(time.Second, other); got.Stage == persimmoncross.HoldRefuse {
-			t.Errorf("%s: %+v", tt.what, got)
+		f := newFixture()
+		tt.run(f)
+		if got := f.evaluate(time.Second, harmless); got.Stage == persimmoncross.HoldRefuse {
+			t.Errorf("%s: %+v", tt.name, got)
 		}
 	}
 }
@@ -162,68 +162,68 @@
 // A refusal ends when no copy comes, and when a trial comes to its end; a trial for
 // which no copy comes gives its upstream back.
 func TestRefusalEnds(t *testing.T) {
-	refused := func() *world {
-		w := newWorld()
+	refused := func() *fixture {
+		f := newFixture()
 		for range 3 {
-			w.end(20*time.Millisecond, guilty)
+			f.crashUpstream(20*time.Millisecond, crasher)
 		}
-		if got := w.judge(time.Second-settle, guilty); got.Stage != persimmoncross.HoldWatch {
+		if got := f.evaluate(time.Second-settleTime, crasher); got.Stage != persimmoncross.HoldWatch {
 			t.Fatalf("others may know more of these ends: %+v", got)
 		}
-		if got := w.judge(settle, guilty); got.Stage != persimmoncross.HoldRefuse {
+		if got := f.evaluate(settleTime, crasher); got.Stage != persimmoncross.HoldRefuse {
 			t.Fatalf("%+v", got)
 		}
-		return w
+		return f
 	}
-	quiet := refused()
-	if got := quiet.judge(quietTime-2*time.Second, guilty).Stage; got != persimmoncross.HoldRefuse {
+	idle := refused()
+	if got := idle.evaluate(refuseIdleTimeout-2*time.Second, crasher).Stage; got != persimmoncross.HoldRefuse {
 		t.Errorf("before the time: %v", got)
 	}
-	if got := quiet.judge(3*time.Second, guilty).Stage; got != persimmoncross.HoldFree {
+	if got := idle.evaluate(3*time.Second, crasher).Stage; got != persimmoncross.HoldFree {
 		t.Errorf("after it: %v", got)
 	}
 
-	tried := refused()
-	tried.now = tried.now.Add(trialAfter[0])
-	tried.book.Asked(guilty, "s", tried.now)
-	h := tried.judge(0, guilty)
+	passed := refused()
+	passed.now = passed.now.Add(trialDelays[0])
+	passed.recorder.Asked(crasher, "s", passed.now)
+	h := passed.evaluate(0, crasher)
 	if h.Trial != "vm" || h.Try != 1 || !h.Apart() {
 		t.Fatalf("%+v", h)
 	}
-	idle := tried.judge(trialWait, guilty)
-	if idle.Apart() || idle.Stage != persimmoncross.HoldRefuse {
-		t.Errorf("no copy came: %+v", idle)
+	untested := passed.evaluate(trialTimeout, crasher)
+	if untested.Apart() || untested.Stage != persimmoncross.HoldRefuse {
+		t.Errorf("no copy came: %+v", untested)
 	}
-	tried.now = tried.now.Add(trialAfter[0])
-	tried.book.Asked(guilty, "s", tried.now)
-	if h = tried.judge(0, guilty); h.Trial != "vm" || h.Try != 1 {
+	passed.now = passed.now.Add(trialDelays[0])
+	passed.recorder.Asked(crasher, "s", passed.now)
+	if h = passed.evaluate(0, crasher); h.Trial != "vm" || h.Try != 1 {
 		t.Fatalf("%+v", h)
 	}
-	c := &Copy{
-		Digest:  guilty,
+	request := &Copy{
+		Digest:  crasher,
 		Service: "s",
-		Book:    &tried.book,
+		Book:    &passed.recorder,
 	}
-	if got := c.Stage(h, false); got != persimmoncross.HoldWatch {
+	if got := request.Stage(h, false); got != persimmoncross.HoldWatch {
 		t.Fatalf("the trial's copy: %v", got)
 	}
-	c.Begin("u", tried.now).Whole(tried.now.Add(time.Millisecond))
-	if got := tried.judge(time.Second, guilty).Stage; got != persimmoncross.HoldFree {
+	request.Begin("u", passed.now).Whole(passed.now.Add(time.Millisecond))
+	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldFree {
 		t.Errorf("it came to its end: %v", got)
 	}
-	if got := tried.judge(time.Second, guilty).Stage; got != persimmoncross.HoldFree {
+	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldFree {
 		t.Errorf("ends of before count again: %v", got)
 	}
 
 	failed := refused()
-	for try, pause := range trialAfter[:3] {
-		failed.now = failed.now.Add(pause)
-		failed.book.Asked(guilty, "s", failed.now)
-		if h := failed.judge(0, guilty); h.Trial != "vm" || h.Try != try+1 {
+	for try, delay := range trialDelays[:3] {
+		failed.now = failed.now.Add(delay)
+		failed.recorder.Asked(crasher, "s", failed.now)
+		if h := failed.evaluate(0, crasher); h.Trial != "vm" || h.Try != try+1 {
 			t.Fatalf("trial %d: %+v", try+1, h)
 		}
-		failed.end(20*time.Millisecond, guilty)
-		if h := failed.judge(time.Second, guilty); h.Trial != "" || h.Stage != persimmoncross.HoldRefuse {
+		failed.crashUpstream(20*time.Millisecond, crasher)
+		if h := failed.evaluate(time.Second, crasher); h.Trial != "" || h.Stage != persimmoncross.HoldRefuse {
 			t.Fatalf("after trial %d: %+v", try+1, h)
 		}
 	}
@@ -231,49 +231,49 @@
 
 // Thousands of requests at once, each under ends of its own: what is kept and told
 // stays within its bounds, and the latest are known.
-func TestThousandsAtOnce(t *testing.T) {
-	w := newWorld()
+func TestBoundsWithManyCrashers(t *testing.T) {
+	f := newFixture()
 	for i := range 5000 {
 		d := persimmoncross.Digest{7, byte(i), byte(i >> 8)}
 		for range 3 {
-			w.end(time.Millisecond, d)
+			f.crashUpstream(time.Millisecond, d)
 		}
-		w.book.Begin(persimmoncross.Digest{8, byte(i), byte(i >> 8)}, "s", "x", w.now).Whole(w.now)
+		f.recorder.Begin(persimmoncross.Digest{8, byte(i), byte(i >> 8)}, "s", "x", f.now).Whole(f.now)
 	}
-	cases, _ := w.book.Cases(0, w.now)
-	if len(cases) > mostCases || len(w.book.cases) > mostCases || len(w.book.gone) > 20_000 || len(w.book.whole[0]) > mostWhole || len(w.book.runs) > 0 {
-		t.Errorf("%d cases, %d gone, %d whole, %d runs", len(cases), len(w.book.gone), len(w.book.whole[0]), len(w.book.runs))
+	records, _ := f.recorder.Cases(0, f.now)
+	if len(records) > maxRecords || len(f.recorder.records) > maxRecords || len(f.recorder.crashedAt) > 20_000 || len(f.recorder.recentCompleted[0]) > maxRecentCompleted || len(f.recorder.inFlight) > 0 {
+		t.Errorf("%d cases, %d gone, %d whole, %d runs", len(records), len(f.recorder.crashedAt), len(f.recorder.recentCompleted[0]), len(f.recorder.inFlight))
 	}
-	w.judge(time.Second, guilty)
-	if n := len(w.keeper.Holds()); n == 0 || n > mostHolds {
+	f.evaluate(time.Second, crasher)
+	if n := len(f.quarantines.Holds()); n == 0 || n > maxQuarantines {
 		t.Errorf("%d holds", n)
 	}
-	last := persimmoncross.Digest{7, byte(4999 & 0xff), byte(4999 >> 8)}
-	if got := w.keeper.Hold(last).Stage; got != persimmoncross.HoldRefuse {
+	latest := persimmoncross.Digest{7, byte(4999 & 0xff), byte(4999 >> 8)}
+	if got := f.quarantines.Hold(latest).Stage; got != persimmoncross.HoldRefuse {
 		t.Errorf("the latest: %v", got)
 	}
 }
 
 // What a judgement costs by the number of cases that are told.
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
-		w := newWorld()
-		var cases []Case
+		f := newFixture()
+		var records []Case
 		for i := range n {
-			cases = append(cases, Case{
+			records = append(records, Case{
 				Digest:  persimmoncross.Digest{byte(i), byte(i >> 8)},
 				Service: "s",
 				Ends: []End{{
 					Life: fmt.Sprint("u", i/64),
-					At:   w.now,
+					At:   f.now,
 					Ran:  time.Duration(i) * time.Millisecond,
 				}},
-				Asked: w.now,
+				Asked: f.now,
 			})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				Judge(Merge([][]Case{cases}, 4096), nil, w.now)
+				Judge(Merge([][]Case{records}, 4096), nil, f.now)
 			}
 		})
 	}
--- a/core/coordination/quarantine/log.go
+++ b/core/coordination/quarantine/log.go
@@ -6,20 +6,20 @@
 	"github.com/rs/zerolog"
 )
 
-// holdLines are the changes of one judgement that are logged one by one.
-const holdLines = 8
+// maxLoggedChanges are the changes of one judgement that are logged one by one.
+const maxLoggedChanges = 8
 
 // Log tells what a judgement changed; err is why it is not in force. Of thousands at
 // once the most are only counted.
 func Log(log zerolog.Logger, changes []Change, now time.Time, err error) {
-	for _, x := range changes[:min(len(changes), holdLines)] {
-		ends := zerolog.Arr()
-		for _, e := range x.Ends {
-			ends.Dict(zerolog.Dict().Str("upstream", e.Life).Dur("ago", now.Sub(e.At)).Dur("ran", e.Ran))
+	for _, c := range changes[:min(len(changes), maxLoggedChanges)] {
+		crashes := zerolog.Arr()
+		for _, crash := range c.Ends {
+			crashes.Dict(zerolog.Dict().Str("upstream", crash.Life).Dur("ago", now.Sub(crash.At)).Dur("ran", crash.Ran))
 		}
-		log.Info().Err(err).Stringer("digest", x.Digest).Str("service", x.Service).Stringer("stage", x.Stage).Str("why", x.Why).Str("trial", x.Trial).Array("ends", ends).Msg("requests are held")
+		log.Info().Err(err).Stringer("digest", c.Digest).Str("service", c.Service).Stringer("stage", c.Stage).Str("why", c.Why).Str("trial", c.Trial).Array("ends", crashes).Msg("requests are held")
 	}
-	if more := len(changes) - holdLines; more > 0 {
+	if more := len(changes) - maxLoggedChanges; more > 0 {
 		log.Info().Int("more", more).Msg("requests are held")
 	}
 }
--- a/core/coordination/quarantine/play_env_test.go
+++ b/core/coordination/quarantine/play_env_test.go
@@ -11,377 +11,377 @@
 	"persimmoncross"
 )
 
-// play is a service in steps of a few milliseconds: upstreams that end and come
+// simulation is a service in steps of a few milliseconds: upstreams that end and come
 // back, entries with a book each, a judge that hears of them late, and callers.
-type play struct {
-	random    *rand.Rand
-	now       time.Time
-	upstreams []*place
-	entries   []*Book
-	held      map[persimmoncross.Digest]Held
-	later     []delivery
-	heard     map[string][]Case // by entry
-	listed    []listing
-	judged    time.Time
-	noWatch   bool          // requests under suspicion run anywhere
-	noJudge   time.Time     // nobody judges until then
-	queue     time.Duration // for which requests may wait at their upstream
-	hear      time.Duration // from what the first entry tells until the judge knows of it
+type simulation struct {
+	random                *rand.Rand
+	now                   time.Time
+	upstreams             []*simulatedUpstream
+	entries               []*Book
+	quarantines           map[persimmoncross.Digest]Held
+	pendingReports        []recordReport
+	received              map[string][]Case // by entry
+	pendingNotices        []replacementNotice
+	evaluatedAt           time.Time
+	noIsolation           bool          // requests under suspicion run anywhere
+	evaluationPausedUntil time.Time     // nobody judges until then
+	maxQueueTime          time.Duration // for which requests may wait at their upstream
+	reportDelay           time.Duration // from what the first entry tells until the judge knows of it
 	// stagger is by how much later than the one before an entry is heard, and learns of
 	// an upstream's next life.
 	stagger time.Duration
 	// jitter is by how much longer than usual what an entry tells may be on its way: it
 	// tells ages, which are that much too small on arrival.
 	jitter time.Duration
-	// fronted tells that something before the upstreams goes on taking connections:
+	// behindProxy tells that something before the upstreams goes on taking connections:
 	// an end is known by the next life only.
-	fronted bool
+	behindProxy bool
 
-	refused map[string]int         // copies, by what is asked
-	last    map[string]time.Time   // when one was refused last
-	runs    map[string][]time.Time // begun
-	ends    map[string][]time.Time // of upstreams
-	whole   map[string]int
-	cut     map[string]int // callers without an answer
-	turned  map[string]int // callers who are to come back soon
+	refused     map[string]int         // copies, by what is asked
+	lastRefused map[string]time.Time   // when one was refused last
+	crasherRuns map[string][]time.Time // begun
+	crashes     map[string][]time.Time // of upstreams
+	completed   map[string]int
+	failed      map[string]int // callers without an answer
+	unavailable map[string]int // callers who are to come back soon
 }
 
 const (
-	playStep  = 5 * time.Millisecond
-	hearAfter = 600 * time.Millisecond
-	backAfter = 1200 * time.Millisecond
-	mostRuns  = 3
+	simulationStep     = 5 * time.Millisecond
+	defaultReportDelay = 600 * time.Millisecond
+	restartDelay       = 1200 * time.Millisecond
+	maxAttempts        = 3
 )
 
-// place is where one upstream after the other lives.
-type place struct {
-	life string
-	n    int
-	back time.Time // it is down until then
-	runs []*playRun
-	// metBy are the entries that had an answer cut by this life's end: they send it no more.
-	metBy map[*Book]bool
+// simulatedUpstream is where one upstream after the other lives.
+type simulatedUpstream struct {
+	instanceID string
+	restarts   int
+	downUntil  time.Time // it is down until then
+	runs       []*simulatedRun
+	// disconnectedEntries are the entries that had an answer cut by this life's end: they send it no more.
+	disconnectedEntries map[*Book]bool
 }
 
-type playRun struct {
+type simulatedRun struct {
 	*Run
-	asked *playAsk
-	until time.Time
-	begun time.Time // when the run begins to work; its head tells
-	head  bool
-	ends  time.Time // of the upstream; zero: none
+	request     *simulatedRequest
+	completesAt time.Time
+	startsAt    time.Time // when the run begins to work; its head tells
+	started     bool
+	crashesAt   time.Time // of the upstream; zero: none
 }
 
-// playAsk is one caller's request.
-type playAsk struct {
-	name  string
-	entry *Book
-	tries int
-	kind  kind
+// simulatedRequest is one caller's request.
+type simulatedRequest struct {
+	name     string
+	entry    *Book
+	attempts int
+	workload workload
 }
 
-// kind is what callers ask for.
-type kind struct {
-	name   string
-	every  time.Duration
-	each   bool          // every one is another request
-	lasts  time.Duration // on average
-	kills  time.Duration // after which a run ends its upstream; 0: it does not
-	plain  bool          // nothing tells that a run has begun
-	from   time.Duration
-	copies int // that are sent in all; 0: no bound
+// workload is what callers ask for.
+type workload struct {
+	name          string
+	interval      time.Duration
+	distinct      bool          // every one is another request
+	runTime       time.Duration // on average
+	crashAfter    time.Duration // after which a run ends its upstream; 0: it does not
+	noStartSignal bool          // nothing tells that a run has begun
+	startAfter    time.Duration
+	maxRequests   int // that are sent in all; 0: no bound
 }
 
-// delivery is what an entry tells, and when it is heard.
-type delivery struct {
-	at    time.Time
-	entry string
-	cases []Case
+// recordReport is what an entry tells, and when it is heard.
+type recordReport struct {
+	dueAt   time.Time
+	entry   string
+	records []Case
 }
 
-// listing is when an entry learns of a life's successor.
-type listing struct {
-	at    time.Time
-	entry *Book
-	life  string
+// replacementNotice is when an entry learns of a life's successor.
+type replacementNotice struct {
+	dueAt      time.Time
+	entry      *Book
+	instanceID string
 }
 
-func digestFor(name string) persimmoncross.Digest {
+func digestOfName(name string) persimmoncross.Digest {
 	return DigestOf("o", "POST", "h", "/p", sha256.Sum256([]byte(name)))
 }
 
-func newPlay(seed uint64) *play {
-	p := &play{
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		now:     time.Unix(1000, 0),
-		queue:   40 * time.Millisecond,
-		hear:    hearAfter,
-		held:    map[persimmoncross.Digest]Held{},
-		heard:   map[string][]Case{},
-		refused: map[string]int{},
-		last:    map[string]time.Time{},
-		runs:    map[string][]time.Time{},
-		ends:    map[string][]time.Time{},
-		whole:   map[string]int{},
-		cut:     map[string]int{},
-		turned:  map[string]int{},
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		now:          time.Unix(1000, 0),
+		maxQueueTime: 40 * time.Millisecond,
+		reportDelay:  defaultReportDelay,
+		quarantines:  map[persimmoncross.Digest]Held{},
+		received:     map[string][]Case{},
+		refused:      map[string]int{},
+		lastRefused:  map[string]time.Time{},
+		crasherRuns:  map[string][]time.Time{},
+		crashes:      map[string][]time.Time{},
+		completed:    map[string]int{},
+		failed:       map[string]int{},
+		unavailable:  map[string]int{},
 	}
 	for i := range 12 {
-		p.upstreams = append(p.upstreams, &place{
-			life: fmt.Sprint("u", i, ".0"),
+		s.upstreams = append(s.upstreams, &simulatedUpstream{
+			instanceID: fmt.Sprint("u", i, ".0"),
 		})
 	}
-	p.setEntries(4)
-	return p
+	s.setEntries(4)
+	return s
 }
 
 // setEntries gives the play so many entries.
-func (p *play) setEntries(count int) {
-	p.entries = nil
+func (s *simulation) setEntries(count int) {
+	s.entries = nil
 	for i := range count {
-		p.entries = append(p.entries, &Book{
+		s.entries = append(s.entries, &Book{
 			VM: fmt.Sprint("e", i),
 		})
 	}
 }
 
 // run plays for a while; trouble is called at each step and may end upstreams.
-func (p *play) run(length time.Duration, kinds []kind, trouble func(p *play, at time.Duration)) {
-	began := p.now
-	next := make([]time.Duration, len(kinds))
-	sent := make([]int, len(kinds))
-	for at := time.Duration(0); at < length; at += playStep {
-		p.now = began.Add(at)
-		p.step()
-		if trouble != nil {
-			trouble(p, at)
+func (s *simulation) run(duration time.Duration, workloads []workload, injectFault func(s *simulation, elapsed time.Duration)) {
+	start := s.now
+	next := make([]time.Duration, len(workloads))
+	sent := make([]int, len(workloads))
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += simulationStep {
+		s.now = start.Add(elapsed)
+		s.step()
+		if injectFault != nil {
+			injectFault(s, elapsed)
 		}
-		for i, k := range kinds {
-			for next[i] = max(next[i], k.from); next[i] <= at && (k.copies == 0 || sent[i] < k.copies); {
-				next[i] += k.every/2 + time.Duration(p.random.Int64N(int64(k.every)))
+		for i, w := range workloads {
+			for next[i] = max(next[i], w.startAfter); next[i] <= elapsed && (w.maxRequests == 0 || sent[i] < w.maxRequests); {
+				next[i] += w.interval/2 + time.Duration(s.random.Int64N(int64(w.interval)))
 				sent[i]++
-				name := k.name
-				if k.each {
-					name = fmt.Sprint(k.name, " ", sent[i])
+				name := w.name
+				if w.distinct {
+					name = fmt.Sprint(w.name, " ", sent[i])
 				}
-				p.send(&playAsk{
-					name:  name,
-					entry: p.entries[p.random.IntN(len(p.entries))],
-					kind:  k,
+				s.send(&simulatedRequest{
+					name:     name,
+					entry:    s.entries[s.random.IntN(len(s.entries))],
+					workload: w,
 				})
 			}
 		}
-		p.judge()
+		s.evaluate()
 	}
 }
 
 // step lets runs begin, end and end their upstreams.
-func (p *play) step() {
-	p.listed = slices.DeleteFunc(p.listed, func(l listing) bool {
-		due := !p.now.Before(l.at)
+func (s *simulation) step() {
+	s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(notice replacementNotice) bool {
+		due := !s.now.Before(notice.dueAt)
 		if due {
-			l.entry.Succeeded(l.life, p.now)
+			notice.entry.Succeeded(notice.instanceID, s.now)
 		}
 		return due
 	})
-	for _, u := range p.upstreams {
-		if !u.back.IsZero() && !p.now.Before(u.back) {
-			for i, b := range p.entries {
-				p.listed = append(p.listed, listing{
-					at:    p.now.Add(time.Duration(i) * p.stagger),
-					entry: b,
-					life:  u.life,
+	for _, u := range s.upstreams {
+		if !u.downUntil.IsZero() && !s.now.Before(u.downUntil) {
+			for i, rec := range s.entries {
+				s.pendingNotices = append(s.pendingNotices, replacementNotice{
+					dueAt:      s.now.Add(time.Duration(i) * s.stagger),
+					entry:      rec,
+					instanceID: u.instanceID,
 				})
 			}
-			u.back = time.Time{}
-			u.n++
-			u.life = fmt.Sprint(u.life[:len(u.life)-1], u.n)
+			u.downUntil = time.Time{}
+			u.restarts++
+			u.instanceID = fmt.Sprint(u.instanceID[:len(u.instanceID)-1], u.restarts)
 		}
 		for _, r := range slices.Clone(u.runs) {
-			if !r.head && !p.now.Before(r.begun) && !r.asked.kind.plain {
-				r.head = true
-				r.Begun(p.now)
+			if !r.started && !s.now.Before(r.startsAt) && !r.request.workload.noStartSignal {
+				r.started = true
+				r.Begun(s.now)
 			}
-			if !r.ends.IsZero() && !p.now.Before(r.ends) {
-				p.ends[r.asked.name] = append(p.ends[r.asked.name], p.now)
-				p.end(u)
+			if !r.crashesAt.IsZero() && !s.now.Before(r.crashesAt) {
+				s.crashes[r.request.name] = append(s.crashes[r.request.name], s.now)
+				s.crash(u)
 				break
 			}
-			if !p.now.Before(r.until) {
-				u.runs = slices.DeleteFunc(u.runs, func(x *playRun) bool { return x == r })
-				r.Whole(p.now)
-				p.whole[r.asked.kind.name]++
+			if !s.now.Before(r.completesAt) {
+				u.runs = slices.DeleteFunc(u.runs, func(x *simulatedRun) bool { return x == r })
+				r.Whole(s.now)
+				s.completed[r.request.workload.name]++
 			}
 		}
 	}
 }
 
-// end ends an upstream with all that runs there.
-func (p *play) end(u *place) {
-	if !u.back.IsZero() {
+// crash ends an upstream with all that runs there.
+func (s *simulation) crash(u *simulatedUpstream) {
+	if !u.downUntil.IsZero() {
 		return
 	}
-	u.back = p.now.Add(backAfter)
+	u.downUntil = s.now.Add(restartDelay)
 	runs := u.runs
 	u.runs = nil
-	u.metBy = map[*Book]bool{}
+	u.disconnectedEntries = map[*Book]bool{}
 	for _, r := range runs {
-		r.Cut(p.now)
-		u.metBy[r.asked.entry] = true
+		r.Cut(s.now)
+		u.disconnectedEntries[r.request.entry] = true
 	}
-	for _, b := range p.entries {
-		if p.fronted {
-			b.Listens(u.life)
+	for _, rec := range s.entries {
+		if s.behindProxy {
+			rec.Listens(u.instanceID)
 		} else {
-			b.Ended(u.life, p.now)
+			rec.Ended(u.instanceID, s.now)
 		}
 	}
 	for _, r := range runs {
-		p.send(r.asked)
+		s.send(r.request)
 	}
 }
 
 // send makes the next attempt of a request.
-func (p *play) send(a *playAsk) {
-	d := digestFor(a.name)
-	h := p.held[d]
-	stage := h.Stage
-	trial := stage == persimmoncross.HoldRefuse && a.tries == 0 && h.Trial == a.entry.VM && a.entry.Try(d, h.Try)
-	if trial {
+func (s *simulation) send(request *simulatedRequest) {
+	d := digestOfName(request.name)
+	quarantine := s.quarantines[d]
+	stage := quarantine.Stage
+	isTrial := stage == persimmoncross.HoldRefuse && request.attempts == 0 && quarantine.Trial == request.entry.VM && request.entry.Try(d, quarantine.Try)
+	if isTrial {
 		stage = persimmoncross.HoldWatch
 	}
 	if stage == persimmoncross.HoldRefuse {
-		p.refused[a.name]++
-		p.last[a.name] = p.now
-		a.entry.Asked(d, "s", p.now)
+		s.refused[request.name]++
+		s.lastRefused[request.name] = s.now
+		request.entry.Asked(d, "s", s.now)
 		return
 	}
-	reserved := map[*place]bool{}
-	for d, h := range p.held {
-		if (h.Stage == persimmoncross.HoldWatch || h.Trial != "") && !p.noWatch {
-			reserved[p.home(d, p.upstreams)] = true
+	reserved := map[*simulatedUpstream]bool{}
+	for d, h := range s.quarantines {
+		if (h.Stage == persimmoncross.HoldWatch || h.Trial != "") && !s.noIsolation {
+			reserved[s.isolatedUpstream(d, s.upstreams)] = true
 		}
 	}
-	var up, free []*place
-	for _, u := range p.upstreams {
-		if u.back.IsZero() || p.fronted && !u.metBy[a.entry] {
-			up = append(up, u)
+	var candidates, unreserved []*simulatedUpstream
+	for _, u := range s.upstreams {
+		if u.downUntil.IsZero() || s.behindProxy && !u.disconnectedEntries[request.entry] {
+			candidates = append(candidates, u)
 			if !reserved[u] {
-				free = append(free, u)
+				unreserved = append(unreserved, u)
 			}
 		}
 	}
-	if len(up) == 0 || a.tries >= mostRuns {
-		p.cut[a.kind.name]++
+	if len(candidates) == 0 || request.attempts >= maxAttempts {
+		s.failed[request.workload.name]++
 		return
 	}
-	u := up[p.random.IntN(len(up))]
+	u := candidates[s.random.IntN(len(candidates))]
 	switch {
-	case stage == persimmoncross.HoldWatch && !p.noWatch:
-		a.entry.Asked(d, "s", p.now)
-		if u = p.home(d, p.upstreams); !u.back.IsZero() {
-			p.turned[a.kind.name]++
-			if trial {
-				a.entry.Untried(d)
+	case stage == persimmoncross.HoldWatch && !s.noIsolation:
+		request.entry.Asked(d, "s", s.now)
+		if u = s.isolatedUpstream(d, s.upstreams); !u.downUntil.IsZero() {
+			s.unavailable[request.workload.name]++
+			if isTrial {
+				request.entry.Untried(d)
 			}
 			return
 		}
-	case 4*len(free) >= 3*len(up):
-		u = free[p.random.IntN(len(free))]
+	case 4*len(unreserved) >= 3*len(candidates):
+		u = unreserved[s.random.IntN(len(unreserved))]
 	}
-	a.tries++
-	r := &playRun{
-		Run:   a.entry.Begin(d, "s", u.life, p.now),
-		asked: a,
-		begun: p.now.Add(time.Duration(p.random.Int64N(int64(p.queue)))),
+	request.attempts++
+	r := &simulatedRun{
+		Run:      request.entry.Begin(d, "s", u.instanceID, s.now),
+		request:  request,
+		startsAt: s.now.Add(time.Duration(s.random.Int64N(int64(s.maxQueueTime)))),
 	}
-	if trial {
+	if isTrial {
 		r.Trial()
 	}
-	if !u.back.IsZero() {
-		r.Cut(p.now) // by what stands before it
-		u.metBy[a.entry] = true
-		p.send(a)
+	if !u.downUntil.IsZero() {
+		r.Cut(s.now) // by what stands before it
+		u.disconnectedEntries[request.entry] = true
+		s.send(request)
 		return
 	}
-	r.until = r.begun.Add(a.kind.lasts/2 + time.Duration(p.random.Int64N(int64(a.kind.lasts))))
-	if k := a.kind.kills; k > 0 {
-		r.ends = r.begun.Add(k/2 + time.Duration(p.random.Int64N(int64(k))))
-		r.until = p.now.Add(time.Hour)
-		p.runs[a.name] = append(p.runs[a.name], p.now)
+	r.completesAt = r.startsAt.Add(request.workload.runTime/2 + time.Duration(s.random.Int64N(int64(request.workload.runTime))))
+	if mean := request.workload.crashAfter; mean > 0 {
+		r.crashesAt = r.startsAt.Add(mean/2 + time.Duration(s.random.Int64N(int64(mean))))
+		r.completesAt = s.now.Add(time.Hour)
+		s.crasherRuns[request.name] = append(s.crasherRuns[request.name], s.now)
 	}
 	u.runs = append(u.runs, r)
 }
 
-func (p *play) home(d persimmoncross.Digest, list []*place) *place {
+func (s *simulation) isolatedUpstream(d persimmoncross.Digest, upstreams []*simulatedUpstream) *simulatedUpstream {
 	var names []string
-	for _, u := range list {
-		names = append(names, u.life)
+	for _, u := range upstreams {
+		names = append(names, u.instanceID)
 	}
-	return list[Home(d, names)]
+	return upstreams[Home(d, names)]
 }
 
-// judge takes what has come, and brings holds into force.
-func (p *play) judge() {
-	if p.now.Sub(p.judged) < 100*time.Millisecond {
+// evaluate takes what has come, and brings holds into force.
+func (s *simulation) evaluate() {
+	if s.now.Sub(s.evaluatedAt) < 100*time.Millisecond {
 		return
 	}
-	p.judged = p.now
-	for i, b := range p.entries {
-		cases, _ := b.Cases(0, p.now)
-		late := time.Duration(p.random.Int64N(int64(p.jitter) + 1))
-		for _, c := range cases {
-			for i := range c.Ends {
-				c.Ends[i].At = c.Ends[i].At.Add(late)
+	s.evaluatedAt = s.now
+	for i, rec := range s.entries {
+		records, _ := rec.Cases(0, s.now)
+		jitter := time.Duration(s.random.Int64N(int64(s.jitter) + 1))
+		for _, r := range records {
+			for i := range r.Ends {
+				r.Ends[i].At = r.Ends[i].At.Add(jitter)
 			}
 		}
-		p.later = append(p.later, delivery{
-			at:    p.now.Add(p.hear + time.Duration(i)*p.stagger + late),
-			entry: b.VM,
-			cases: cases,
+		s.pendingReports = append(s.pendingReports, recordReport{
+			dueAt:   s.now.Add(s.reportDelay + time.Duration(i)*s.stagger + jitter),
+			entry:   rec.VM,
+			records: records,
 		})
 	}
-	if p.now.Before(p.noJudge) {
+	if s.now.Before(s.evaluationPausedUntil) {
 		return
 	}
-	p.later = slices.DeleteFunc(p.later, func(d delivery) bool {
-		due := !p.now.Before(d.at)
+	s.pendingReports = slices.DeleteFunc(s.pendingReports, func(report recordReport) bool {
+		due := !s.now.Before(report.dueAt)
 		if due {
-			p.heard[d.entry] = d.cases
+			s.received[report.entry] = report.records
 		}
 		return due
 	})
-	for _, c := range Judge(Merge(slices.Collect(maps.Values(p.heard)), 4096), p.held, p.now) {
-		if p.held[c.Digest].Hold != c.Hold {
-			p.held[c.Digest] = Held{
+	for _, c := range Judge(Merge(slices.Collect(maps.Values(s.received)), 4096), s.quarantines, s.now) {
+		if s.quarantines[c.Digest].Hold != c.Hold {
+			s.quarantines[c.Digest] = Held{
 				Hold:  c.Hold,
-				Since: p.now,
+				Since: s.now,
 			}
 		}
 		if c.Stage == persimmoncross.HoldFree {
-			delete(p.held, c.Digest)
+			delete(s.quarantines, c.Digest)
 		}
 	}
 }
 
-// lateRuns returns how often a request ran later than 3 s after the third end.
-func (p *play) lateRuns(name string) (n int) {
-	if len(p.ends[name]) < 3 {
+// runsAfterDeadline returns how often a request ran later than 3 s after the third end.
+func (s *simulation) runsAfterDeadline(name string) (n int) {
+	if len(s.crashes[name]) < 3 {
 		return 0
 	}
-	for _, at := range p.runs[name] {
-		if at.Sub(p.ends[name][2]) > 3*time.Second {
+	for _, at := range s.crasherRuns[name] {
+		if at.Sub(s.crashes[name][2]) > 3*time.Second {
 			n++
 		}
 	}
 	return n
 }
 
-// wronged counts the copies that were refused of requests that end nothing.
-func (p *play) wronged() (n int) {
-	for name, c := range p.refused {
-		if len(p.runs[name]) == 0 {
-			n += c
+// wrongRefusals counts the copies that were refused of requests that end nothing.
+func (s *simulation) wrongRefusals() (n int) {
+	for name, count := range s.refused {
+		if len(s.crasherRuns[name]) == 0 {
+			n += count
 		}
 	}
 	return n
--- a/core/coordination/quarantine/play_heard_test.go
+++ b/core/coordination/quarantine/play_heard_test.go
@@ -11,9 +11,9 @@
 // learns of an end when its list tells of the next life. What the first told is not all:
 // requests that were cut beside others looked as if they had been alone, one that ended
 // nothing was refused for half a minute, and what others ended too counted as one's own.
-func TestPlaysHeardInTurn(t *testing.T) {
+func TestSimulationWithStaggeredReports(t *testing.T) {
 	tests := []struct {
-		what            string
+		name            string
 		entries         int
 		stagger, jitter time.Duration
 		seeds           uint64
@@ -22,15 +22,15 @@
 		{"within the pauses of lists and accounts", 4, 80 * ms, 30 * ms, 200},
 	}
 	for _, tt := range tests {
-		for _, fronted := range []bool{false, true} {
-			for _, plain := range []bool{false, true} {
-				t.Run(fmt.Sprint(tt.what, ", fronted ", fronted, ", plain ", plain), func(t *testing.T) {
-					playHeard(t, tt.seeds, func(p *play) {
-						p.setEntries(tt.entries)
-						p.stagger = tt.stagger
-						p.jitter = tt.jitter
-						p.fronted = fronted
-					}, plain)
+		for _, behindProxy := range []bool{false, true} {
+			for _, noStartSignal := range []bool{false, true} {
+				t.Run(fmt.Sprint(tt.name, ", fronted ", behindProxy, ", plain ", noStartSignal), func(t *testing.T) {
+					simulateStaggeredReports(t, tt.seeds, func(s *simulation) {
+						s.setEntries(tt.entries)
+						s.stagger = tt.stagger
+						s.jitter = tt.jitter
+						s.behindProxy = behindProxy
+					}, noStartSignal)
 				})
 			}
 		}
@@ -40,9 +40,9 @@
 // The same at sizes of fleets: each entry that does not know yet that an upstream is down
 // sends to it once, and is cut by what stands before it within some milliseconds of the
 // end. A harmless request that is sent often has many such cuts at 68 entries.
-func TestPlaysHeardFromManyEntries(t *testing.T) {
+func TestSimulationWithManyEntries(t *testing.T) {
 	tests := []struct {
-		what            string
+		name            string
 		entries         int
 		stagger, jitter time.Duration
 		seeds           uint64
@@ -51,57 +51,57 @@
 		{"as many as are designed for", 380, 250 * ms / 380, 30 * ms, 4},
 	}
 	for _, tt := range tests {
-		for _, fronted := range []bool{false, true} {
-			for _, plain := range []bool{false, true} {
-				t.Run(fmt.Sprint(tt.what, ", fronted ", fronted, ", plain ", plain), func(t *testing.T) {
-					playHeard(t, tt.seeds, func(p *play) {
-						p.setEntries(tt.entries)
-						p.stagger = tt.stagger
-						p.jitter = tt.jitter
-						p.fronted = fronted
-					}, plain)
+		for _, behindProxy := range []bool{false, true} {
+			for _, noStartSignal := range []bool{false, true} {
+				t.Run(fmt.Sprint(tt.name, ", fronted ", behindProxy, ", plain ", noStartSignal), func(t *testing.T) {
+					simulateStaggeredReports(t, tt.seeds, func(s *simulation) {
+						s.setEntries(tt.entries)
+						s.stagger = tt.stagger
+						s.jitter = tt.jitter
+						s.behindProxy = behindProxy
+					}, noStartSignal)
 				})
 			}
 		}
 	}
 }
 
-// playHeard plays two requests that end upstreams, each 60 ms, beside a harmless one.
-func playHeard(t *testing.T, seeds uint64, set func(p *play), plain bool) {
+// simulateStaggeredReports plays two requests that end upstreams, each 60 ms, beside a harmless one.
+func simulateStaggeredReports(t *testing.T, seeds uint64, configure func(s *simulation), noStartSignal bool) {
 	t.Helper()
-	kinds := []kind{
-		{name: "other", every: 10 * ms, each: true, lasts: 20 * ms},
-		{name: "hot", every: 60 * ms, lasts: 20 * ms},
-		{name: "a", every: 60 * ms, kills: 20 * ms, lasts: 100 * ms},
-		{name: "b", every: 60 * ms, kills: 20 * ms, lasts: 100 * ms},
+	workloads := []workload{
+		{name: "other", interval: 10 * ms, distinct: true, runTime: 20 * ms},
+		{name: "hot", interval: 60 * ms, runTime: 20 * ms},
+		{name: "a", interval: 60 * ms, crashAfter: 20 * ms, runTime: 100 * ms},
+		{name: "b", interval: 60 * ms, crashAfter: 20 * ms, runTime: 100 * ms},
 	}
-	for i := range kinds {
-		kinds[i].plain = plain
+	for i := range workloads {
+		workloads[i].noStartSignal = noStartSignal
 	}
-	late, most, wronged, refused := 0, 0, 0, 0
+	overruns, maxLateRuns, wrongRefusals, affectedRuns := 0, 0, 0, 0
 	for seed := range seeds {
-		p := newPlay(seed)
-		p.queue = 5 * ms
-		p.hear = 100 * ms
-		set(p)
-		p.run(8*time.Second, kinds, nil)
-		for name := range p.runs {
-			n := p.lateRuns(name)
-			most = max(most, n)
-			if n > 3 {
-				late++
+		s := newSimulation(seed)
+		s.maxQueueTime = 5 * ms
+		s.reportDelay = 100 * ms
+		configure(s)
+		s.run(8*time.Second, workloads, nil)
+		for name := range s.crasherRuns {
+			lateRuns := s.runsAfterDeadline(name)
+			maxLateRuns = max(maxLateRuns, lateRuns)
+			if lateRuns > 3 {
+				overruns++
 			}
 		}
-		if n := p.wronged(); n > 0 {
-			refused++
-			wronged += n
+		if n := s.wrongRefusals(); n > 0 {
+			affectedRuns++
+			wrongRefusals += n
 		}
 	}
-	t.Logf("late %d (most %d), wronged %d in %d plays", late, most, wronged, refused)
-	if late > 0 {
-		t.Errorf("%d requests that end upstreams ran on, up to %d times", late, most)
+	t.Logf("late %d (most %d), wronged %d in %d plays", overruns, maxLateRuns, wrongRefusals, affectedRuns)
+	if overruns > 0 {
+		t.Errorf("%d requests that end upstreams ran on, up to %d times", overruns, maxLateRuns)
 	}
-	if wronged > 0 {
-		t.Errorf("%d copies of requests that end nothing were refused in %d plays", wronged, refused)
+	if wrongRefusals > 0 {
+		t.Errorf("%d copies of requests that end nothing were refused in %d plays", wrongRefusals, affectedRuns)
 	}
 }
--- a/core/coordination/quarantine/play_queues_test.go
+++ b/core/coordination/quarantine/play_queues_test.go
@@ -11,83 +11,83 @@
 // watched, and not refused until two ended under it alone: it ran up to six times later
 // than 3 s after the third end, in 4 of 80 plays of two one after the other whose judge
 // is gone for a while. What is lost again and again by itself is not blamed for it.
-func TestPlaysWithQueues(t *testing.T) {
-	killer := func(name string, every, from time.Duration, copies int) kind {
-		return kind{
-			name:   name,
-			every:  every,
-			lasts:  100 * ms,
-			kills:  40 * ms,
-			from:   from,
-			copies: copies,
+func TestSimulationWithQueues(t *testing.T) {
+	crashing := func(name string, interval, startAfter time.Duration, maxRequests int) workload {
+		return workload{
+			name:        name,
+			interval:    interval,
+			runTime:     100 * ms,
+			crashAfter:  40 * ms,
+			startAfter:  startAfter,
+			maxRequests: maxRequests,
 		}
 	}
-	killers := []kind{killer("a", 900*ms, 3*time.Second, 11), killer("b", 700*ms, 9*time.Second, 22)}
-	leaderless := func(p *play, at time.Duration) {
-		if at == 12*time.Second {
-			p.noJudge = p.now.Add(1500 * ms)
+	crashers := []workload{crashing("a", 900*ms, 3*time.Second, 11), crashing("b", 700*ms, 9*time.Second, 22)}
+	pauseEvaluation := func(s *simulation, elapsed time.Duration) {
+		if elapsed == 12*time.Second {
+			s.evaluationPausedUntil = s.now.Add(1500 * ms)
 		}
 	}
-	lost := func(count int, every time.Duration) func(p *play, at time.Duration) {
-		return func(p *play, at time.Duration) {
-			if at > 0 && at%every == 0 {
-				first := p.random.IntN(len(p.upstreams))
+	crashUpstreams := func(count int, interval time.Duration) func(s *simulation, elapsed time.Duration) {
+		return func(s *simulation, elapsed time.Duration) {
+			if elapsed > 0 && elapsed%interval == 0 {
+				first := s.random.IntN(len(s.upstreams))
 				for i := range count {
-					p.end(p.upstreams[(first+i)%len(p.upstreams)])
+					s.crash(s.upstreams[(first+i)%len(s.upstreams)])
 				}
 			}
 		}
 	}
 	tests := []struct {
-		what    string
-		kinds   []kind
-		trouble func(p *play, at time.Duration)
+		name        string
+		workloads   []workload
+		injectFault func(s *simulation, elapsed time.Duration)
 	}{
-		{"two, and the judge is gone for a while", killers, leaderless},
-		{"none, and two upstreams end by themselves", nil, lost(2, 500*ms)},
-		{"none, and racks are lost", nil, lost(6, 2500*ms)},
-		{"none, and all is lost again and again", nil, lost(12, 2500*ms)},
+		{"two, and the judge is gone for a while", crashers, pauseEvaluation},
+		{"none, and two upstreams end by themselves", nil, crashUpstreams(2, 500*ms)},
+		{"none, and racks are lost", nil, crashUpstreams(6, 2500*ms)},
+		{"none, and all is lost again and again", nil, crashUpstreams(12, 2500*ms)},
 	}
 	for _, tt := range tests {
-		for _, plain := range []bool{false, true} {
-			for _, queue := range []time.Duration{500 * ms, 2 * time.Second} {
-				t.Run(fmt.Sprint(tt.what, ", plain ", plain, ", queues of ", queue), func(t *testing.T) {
-					kinds := append([]kind{
-						{name: "other", every: 10 * ms, each: true, lasts: 400 * ms},
-						{name: "hot", every: 60 * ms, lasts: time.Second},
-					}, tt.kinds...)
-					for i := range kinds {
-						kinds[i].plain = plain
+		for _, noStartSignal := range []bool{false, true} {
+			for _, maxQueueTime := range []time.Duration{500 * ms, 2 * time.Second} {
+				t.Run(fmt.Sprint(tt.name, ", plain ", noStartSignal, ", queues of ", maxQueueTime), func(t *testing.T) {
+					workloads := append([]workload{
+						{name: "other", interval: 10 * ms, distinct: true, runTime: 400 * ms},
+						{name: "hot", interval: 60 * ms, runTime: time.Second},
+					}, tt.workloads...)
+					for i := range workloads {
+						workloads[i].noStartSignal = noStartSignal
 					}
-					playQueues(t, queue, kinds, tt.trouble)
+					simulateQueues(t, maxQueueTime, workloads, tt.injectFault)
 				})
 			}
 		}
 	}
 }
 
-func playQueues(t *testing.T, queue time.Duration, kinds []kind, trouble func(p *play, at time.Duration)) {
+func simulateQueues(t *testing.T, maxQueueTime time.Duration, workloads []workload, injectFault func(s *simulation, elapsed time.Duration)) {
 	t.Helper()
-	late, most, wronged, whole := 0, 0, 0, 0
+	overruns, maxLateRuns, wrongRefusals, completed := 0, 0, 0, 0
 	for _, seed := range []uint64{11, 14, 26, 33} {
-		p := newPlay(seed)
-		p.queue = queue
-		p.run(24*time.Second, kinds, trouble)
-		for name := range p.runs {
-			n := p.lateRuns(name)
-			most = max(most, n)
-			if n > 3 {
-				late++
+		s := newSimulation(seed)
+		s.maxQueueTime = maxQueueTime
+		s.run(24*time.Second, workloads, injectFault)
+		for name := range s.crasherRuns {
+			lateRuns := s.runsAfterDeadline(name)
+			maxLateRuns = max(maxLateRuns, lateRuns)
+			if lateRuns > 3 {
+				overruns++
 			}
 		}
-		wronged += p.wronged()
-		whole += p.whole["hot"]
+		wrongRefusals += s.wrongRefusals()
+		completed += s.completed["hot"]
 	}
-	t.Logf("late %d (most %d), wronged %d, hot ones whole %d", late, most, wronged, whole)
-	if late > 0 {
-		t.Errorf("%d requests that end upstreams ran on, up to %d times", late, most)
+	t.Logf("late %d (most %d), wronged %d, hot ones whole %d", overruns, maxLateRuns, wrongRefusals, completed)
+	if overruns > 0 {
+		t.Errorf("%d requests that end upstreams ran on, up to %d times", overruns, maxLateRuns)
 	}
-	if wronged > 0 {
-		t.Errorf("%d copies of requests that end nothing were refused", wronged)
+	if wrongRefusals > 0 {
+		t.Errorf("%d copies of requests that end nothing were refused", wrongRefusals)
 	}
 }
--- a/core/coordination/quarantine/play_test.go
+++ b/core/coordination/quarantine/play_test.go
@@ -11,95 +11,95 @@
 // Plays of many kinds and seeds: a request that ends upstreams runs three times at
 // most later than 3 s after the third end, and others are refused as good as never:
 // none where nothing ends upstreams but they themselves.
-func TestPlays(t *testing.T) {
-	others := kind{
-		name:  "other",
-		every: 5 * ms,
-		each:  true,
-		lasts: 400 * ms,
+func TestSimulation(t *testing.T) {
+	others := workload{
+		name:     "other",
+		interval: 5 * ms,
+		distinct: true,
+		runTime:  400 * ms,
 	}
-	hot := func(lasts time.Duration) kind {
-		return kind{
-			name:  "hot",
-			every: 60 * ms,
-			lasts: lasts,
+	hot := func(runTime time.Duration) workload {
+		return workload{
+			name:     "hot",
+			interval: 60 * ms,
+			runTime:  runTime,
 		}
 	}
-	killer := func(name string, every, kills time.Duration) kind {
-		return kind{
-			name:  name,
-			every: every,
-			lasts: 100 * ms,
-			kills: kills,
-			from:  500 * ms,
+	crashing := func(name string, interval, crashAfter time.Duration) workload {
+		return workload{
+			name:       name,
+			interval:   interval,
+			runTime:    100 * ms,
+			crashAfter: crashAfter,
+			startAfter: 500 * ms,
 		}
 	}
-	plain := func(k kind) kind {
-		k.plain = true
-		return k
+	withoutStartSignal := func(w workload) workload {
+		w.noStartSignal = true
+		return w
 	}
-	crash := func(count int, every time.Duration) func(*play, time.Duration) {
-		return func(p *play, at time.Duration) {
-			if at > 0 && at%every == 0 {
-				first := p.random.IntN(len(p.upstreams))
+	crashUpstreams := func(count int, interval time.Duration) func(*simulation, time.Duration) {
+		return func(s *simulation, elapsed time.Duration) {
+			if elapsed > 0 && elapsed%interval == 0 {
+				first := s.random.IntN(len(s.upstreams))
 				for i := range count {
-					p.end(p.upstreams[(first+i)%len(p.upstreams)])
+					s.crash(s.upstreams[(first+i)%len(s.upstreams)])
 				}
 			}
 		}
 	}
-	var many []kind
+	var crashers []workload
 	for i := range 6 {
-		k := killer(fmt.Sprint("killer ", i), 700*ms, 40*ms)
-		k.from = time.Duration(i) * 2500 * ms
-		k.copies = 8
-		many = append(many, k)
+		w := crashing(fmt.Sprint("killer ", i), 700*ms, 40*ms)
+		w.startAfter = time.Duration(i) * 2500 * ms
+		w.maxRequests = 8
+		crashers = append(crashers, w)
 	}
 	tests := []struct {
-		what    string
-		kinds   []kind
-		trouble func(*play, time.Duration)
-		wronged int // requests refused wrongly in all seeds, at most
+		name             string
+		workloads        []workload
+		injectFault      func(*simulation, time.Duration)
+		maxWrongRefusals int // requests refused wrongly in all seeds, at most
 	}{
-		{"a slow one", []kind{others, killer("a", 3*time.Second, 60*ms)}, nil, 0},
-		{"a slow one that works for a second", []kind{others, killer("a", 3*time.Second, time.Second)}, nil, 0},
-		{"a fast one", []kind{others, killer("a", 120*ms, 60*ms)}, nil, 0},
-		{"a fast plain one", []kind{plain(others), plain(killer("a", 120*ms, 30*ms))}, nil, 0},
-		{"two fast ones and a hot one", []kind{others, hot(time.Second), killer("a", 120*ms, 60*ms), killer("b", 120*ms, 60*ms)}, nil, 0},
-		{"two fast ones and a hot one, plain", []kind{plain(others), plain(hot(50 * ms)), plain(killer("a", 120*ms, 30*ms)), plain(killer("b", 120*ms, 30*ms))}, nil, 0},
-		{"one and a hot one that takes long", []kind{others, hot(6 * time.Second), killer("a", 300*ms, 60*ms)}, nil, 0},
-		{"one and a hot one, while upstreams end by themselves", []kind{others, hot(time.Second), killer("a", 200*ms, 60*ms)}, crash(2, 1500*ms), 0},
-		{"many one after the other", append([]kind{others, hot(time.Second)}, many...), nil, 0},
-		{"a hot one, and upstreams end by themselves", []kind{others, hot(time.Second)}, crash(2, 1500*ms), 0},
-		{"a hot one that takes long, and upstreams end by themselves", []kind{others, hot(8 * time.Second)}, crash(2, 1500*ms), 0},
-		{"a hot plain one, and upstreams end by themselves", []kind{plain(others), plain(hot(50 * ms))}, crash(2, 500*ms), 0},
-		{"a hot one, and racks are lost", []kind{others, hot(4 * time.Second)}, crash(6, 2500*ms), 0},
-		{"a hot one, and all is lost again and again", []kind{others, hot(time.Second)}, crash(12, 2500*ms), 0},
+		{"a slow one", []workload{others, crashing("a", 3*time.Second, 60*ms)}, nil, 0},
+		{"a slow one that works for a second", []workload{others, crashing("a", 3*time.Second, time.Second)}, nil, 0},
+		{"a fast one", []workload{others, crashing("a", 120*ms, 60*ms)}, nil, 0},
+		{"a fast plain one", []workload{withoutStartSignal(others), withoutStartSignal(crashing("a", 120*ms, 30*ms))}, nil, 0},
+		{"two fast ones and a hot one", []workload{others, hot(time.Second), crashing("a", 120*ms, 60*ms), crashing("b", 120*ms, 60*ms)}, nil, 0},
+		{"two fast ones and a hot one, plain", []workload{withoutStartSignal(others), withoutStartSignal(hot(50 * ms)), withoutStartSignal(crashing("a", 120*ms, 30*ms)), withoutStartSignal(crashing("b", 120*ms, 30*ms))}, nil, 0},
+		{"one and a hot one that takes long", []workload{others, hot(6 * time.Second), crashing("a", 300*ms, 60*ms)}, nil, 0},
+		{"one and a hot one, while upstreams end by themselves", []workload{others, hot(time.Second), crashing("a", 200*ms, 60*ms)}, crashUpstreams(2, 1500*ms), 0},
+		{"many one after the other", append([]workload{others, hot(time.Second)}, crashers...), nil, 0},
+		{"a hot one, and upstreams end by themselves", []workload{others, hot(time.Second)}, crashUpstreams(2, 1500*ms), 0},
+		{"a hot one that takes long, and upstreams end by themselves", []workload{others, hot(8 * time.Second)}, crashUpstreams(2, 1500*ms), 0},
+		{"a hot plain one, and upstreams end by themselves", []workload{withoutStartSignal(others), withoutStartSignal(hot(50 * ms))}, crashUpstreams(2, 500*ms), 0},
+		{"a hot one, and racks are lost", []workload{others, hot(4 * time.Second)}, crashUpstreams(6, 2500*ms), 0},
+		{"a hot one, and all is lost again and again", []workload{others, hot(time.Second)}, crashUpstreams(12, 2500*ms), 0},
 	}
 	for _, tt := range tests {
-		t.Run(tt.what, func(t *testing.T) {
-			late, most, wronged, whole, cut, turned := 0, 0, 0, 0, 0, 0
+		t.Run(tt.name, func(t *testing.T) {
+			overruns, maxLateRuns, wrongRefusals, completed, failed, unavailable := 0, 0, 0, 0, 0, 0
 			for seed := range uint64(3) {
-				p := newPlay(seed)
-				p.run(15*time.Second, tt.kinds, tt.trouble)
-				for name := range p.runs {
-					n := p.lateRuns(name)
-					most = max(most, n)
-					if n > 3 {
-						late++
+				s := newSimulation(seed)
+				s.run(15*time.Second, tt.workloads, tt.injectFault)
+				for name := range s.crasherRuns {
+					lateRuns := s.runsAfterDeadline(name)
+					maxLateRuns = max(maxLateRuns, lateRuns)
+					if lateRuns > 3 {
+						overruns++
 					}
 				}
-				wronged += p.wronged()
-				whole += p.whole["other"] + p.whole["hot"]
-				cut += p.cut["other"] + p.cut["hot"]
-				turned += p.turned["other"] + p.turned["hot"]
+				wrongRefusals += s.wrongRefusals()
+				completed += s.completed["other"] + s.completed["hot"]
+				failed += s.failed["other"] + s.failed["hot"]
+				unavailable += s.unavailable["other"] + s.unavailable["hot"]
 			}
-			t.Logf("late %d (most %d), wronged %d, whole %d, cut %d, turned away %d", late, most, wronged, whole, cut, turned)
-			if late > 0 {
-				t.Errorf("%d requests that end upstreams ran on, up to %d times", late, most)
+			t.Logf("late %d (most %d), wronged %d, whole %d, cut %d, turned away %d", overruns, maxLateRuns, wrongRefusals, completed, failed, unavailable)
+			if overruns > 0 {
+				t.Errorf("%d requests that end upstreams ran on, up to %d times", overruns, maxLateRuns)
 			}
-			if wronged > tt.wronged {
-				t.Errorf("%d copies of requests that end nothing were refused", wronged)
+			if wrongRefusals > tt.maxWrongRefusals {
+				t.Errorf("%d copies of requests that end nothing were refused", wrongRefusals)
 			}
 		})
 	}
@@ -108,38 +108,38 @@
 // Where forty requests end upstreams faster than these start, one that is sent often
 // is cut as often as they, and can't be told from them. Whatever it was taken for, it
 // is served again soon after the storm is over: it passes its trial.
-func TestStormPassesOver(t *testing.T) {
-	kinds := []kind{
+func TestHarmlessRequestServedAfterCrashStorm(t *testing.T) {
+	workloads := []workload{
 		{
-			name:  "other",
-			every: 5 * ms,
-			each:  true,
-			lasts: 400 * ms,
+			name:     "other",
+			interval: 5 * ms,
+			distinct: true,
+			runTime:  400 * ms,
 		},
 		{
-			name:  "hot",
-			every: 60 * ms,
-			lasts: time.Second,
+			name:     "hot",
+			interval: 60 * ms,
+			runTime:  time.Second,
 		},
 	}
 	for i := range 40 {
-		kinds = append(kinds, kind{
-			name:   fmt.Sprint("killer ", i),
-			every:  700 * ms,
-			lasts:  100 * ms,
-			kills:  40 * ms,
-			from:   time.Duration(i) * 200 * ms,
-			copies: 8,
+		workloads = append(workloads, workload{
+			name:        fmt.Sprint("killer ", i),
+			interval:    700 * ms,
+			runTime:     100 * ms,
+			crashAfter:  40 * ms,
+			startAfter:  time.Duration(i) * 200 * ms,
+			maxRequests: 8,
 		})
 	}
-	wronged := 0
+	wrongRefusals := 0
 	for seed := range uint64(2) {
-		p := newPlay(seed)
-		p.run(55*time.Second, kinds, nil)
-		wronged += p.refused["hot"]
-		if last := p.last["hot"]; !last.IsZero() && p.now.Sub(last) < 10*time.Second {
-			t.Errorf("seed %d: it was still refused %v before the end", seed, p.now.Sub(last))
+		s := newSimulation(seed)
+		s.run(55*time.Second, workloads, nil)
+		wrongRefusals += s.refused["hot"]
+		if lastRefused := s.lastRefused["hot"]; !lastRefused.IsZero() && s.now.Sub(lastRefused) < 10*time.Second {
+			t.Errorf("seed %d: it was still refused %v before the end", seed, s.now.Sub(lastRefused))
 		}
 	}
-	t.Logf("%d copies of it were refused", wronged)
+	t.Logf("%d copies of it were refused", wrongRefusals)
 }
--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -25,49 +25,49 @@
 	// entries would be open after an idle period, and be used at once when the other
 	// upstreams fail.
 	slotLength = time.Second
-	// leastShare is the part of a limit that is used with any number of entries.
-	leastShare = 0.5
-	shareStep  = 0.25
-	// deviations of the number of slots in a window have to fit into what is tolerated.
-	deviations = 5
-	// tolerance is the relative change of a limit, or of the number of entries, below
+	// minShare is the part of a limit that is used with any number of entries.
+	minShare  = 0.5
+	shareStep = 0.25
+	// maxDeviations of the number of slots in a window have to fit into what is tolerated.
+	maxDeviations = 5
+	// relativeTolerance is the relative change of a limit, or of the number of entries, below
 	// which the slots stay as they are.
-	tolerance = 0.1
+	relativeTolerance = 0.1
 )
 
-// share returns the part of the limit that the entries use together. The slots of a few
+// usableShare returns the part of the limit that the entries use together. The slots of a few
 // entries are bounded by their number; those of many coincide at random.
-func share(rate float64, entries int) float64 {
+func usableShare(rate float64, entries int) float64 {
 	tolerated := overshoot*rate*window.Seconds() + burst
-	for p := 1.0; p > leastShare; p -= shareStep {
-		mean := p * rate * (window + slotLength).Seconds()
-		if mean+min(float64(entries), deviations*math.Sqrt(mean)) <= tolerated {
-			return p
+	for part := 1.0; part > minShare; part -= shareStep {
+		meanSlots := part * rate * (window + slotLength).Seconds()
+		if meanSlots+min(float64(entries), maxDeviations*math.Sqrt(meanSlots)) <= tolerated {
+			return part
 		}
 	}
-	return leastShare
+	return minShare
 }
 
 // similar reports whether two numbers are within the tolerance.
-func similar(a, b float64) bool { return math.Abs(a-b) <= tolerance*min(a, b) }
+func similar(a, b float64) bool { return math.Abs(a-b) <= relativeTolerance*min(a, b) }
 
 // Limiter is one entry's share of one upstream's limit. The zero value does not limit.
 // It is not safe for concurrent use.
 type Limiter struct {
-	rate      float64 // requests per second of all entries; 0: no limit
-	entries   int
-	lastSent  time.Time
-	lastNamed time.Time // when an answer named the limit last
-	notBefore time.Time // no slot begins earlier
-	first     time.Time // the first slot begins
-	period    time.Duration
-	next      int // the first slot that is not used
+	rate         float64 // requests per second of all entries; 0: no limit
+	entries      int
+	lastSent     time.Time
+	lastObserved time.Time // when an answer named the limit last
+	notBefore    time.Time // no slot begins earlier
+	firstSlot    time.Time // the first slot begins
+	period       time.Duration
+	nextSlot     int // the first slot that is not used
 }
 
 // SetLimit sets the limit that an answer named. phase, in [0, 1), is the position of the
 // first slot in the first period. It reports whether the limit has changed.
 func (l *Limiter) SetLimit(rate float64, entries int, now time.Time, phase float64) (changed bool) {
-	l.lastNamed = now
+	l.lastObserved = now
 	if l.rate > 0 && similar(l.rate, rate) {
 		return false
 	}
@@ -87,20 +87,20 @@
 // as this entry's share of a window.
 func (l *Limiter) schedule(entries int, now time.Time, phase float64) {
 	l.entries = max(entries, 1)
-	l.period = time.Duration(float64(l.entries) / (share(l.rate, l.entries) * l.rate) * float64(time.Second))
+	l.period = time.Duration(float64(l.entries) / (usableShare(l.rate, l.entries) * l.rate) * float64(time.Second))
 	l.notBefore = now
 	if !l.lastSent.IsZero() && now.Sub(l.lastSent) < window {
 		l.notBefore = l.lastSent.Add(window)
 	}
-	l.first = l.notBefore.Add(time.Duration(phase * float64(l.period)))
-	l.next = 0
+	l.firstSlot = l.notBefore.Add(time.Duration(phase * float64(l.period)))
+	l.nextSlot = 0
 }
 
 // Unlimited handles an answer without a limit to a request that was sent at the given
 // time, and reports whether it ends the limit. An answer to an earlier request does not:
 // it may be older than the limit.
 func (l *Limiter) Unlimited(sent time.Time) (ended bool) {
-	if l.rate == 0 || !sent.After(l.lastNamed) {
+	if l.rate == 0 || !sent.After(l.lastObserved) {
 		return false
 	}
 	l.Clear()
@@ -118,8 +118,8 @@
 	if l.rate == 0 {
 		return true
 	}
-	slot, elapsed := l.slot(now)
-	return slot >= l.next && elapsed >= 0 && elapsed < slotLength
+	slot, elapsed := l.slotAt(now)
+	return slot >= l.nextSlot && elapsed >= 0 && elapsed < slotLength
 }
 
 // Take reports whether a request may be sent now, and uses the slot if so.
@@ -129,8 +129,8 @@
 	}
 	l.lastSent = now
 	if l.rate > 0 {
-		slot, _ := l.slot(now)
-		l.next = slot + 1
+		slot, _ := l.slotAt(now)
+		l.nextSlot = slot + 1
 	}
 	return true
 }
@@ -145,15 +145,15 @@
 	return max(float64(l.period)/float64(slotLength), 1)
 }
 
-// slot returns the index of the latest slot and the time since it began; the index is
+// slotAt returns the index of the latest slotAt and the time since it began; the index is
 // negative before the first.
-func (l *Limiter) slot(now time.Time) (index int, elapsed time.Duration) {
-	d := now.Sub(l.first)
-	if d < 0 {
-		return -1, d
+func (l *Limiter) slotAt(now time.Time) (index int, elapsed time.Duration) {
+	sinceFirst := now.Sub(l.firstSlot)
+	if sinceFirst < 0 {
+		return -1, sinceFirst
 	}
-	index = int(d / l.period)
-	return index, d - time.Duration(index)*l.period
+	index = int(sinceFirst / l.period)
+	return index, sinceFirst - time.Duration(index)*l.period
 }
 
 // Wait returns the expected time until some entry may send a request, 0 without a limit.
--- a/core/coordination/ratelimit/limiter_test.go
+++ b/core/coordination/ratelimit/limiter_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-var began = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
 // The mean number of slots in a window stays within what an upstream tolerates.
-func TestShareIsTolerated(t *testing.T) {
+func TestUsableShareWithinTolerance(t *testing.T) {
 	for _, entries := range []int{1, 2, 6, 8, 68, 380} {
 		for _, rate := range []float64{0.01, 0.3, 0.5, 1, 1.7, 2.4, 5, 20, 100, 1000} {
-			p := share(rate, entries)
-			mean := p * rate * (window + slotLength).Seconds()
-			if tolerated := overshoot*rate*window.Seconds() + burst; mean > tolerated {
-				t.Errorf("%d entries, limit %v: %v slots in a window, tolerated %v", entries, rate, mean, tolerated)
+			part := usableShare(rate, entries)
+			meanSlots := part * rate * (window + slotLength).Seconds()
+			if tolerated := overshoot*rate*window.Seconds() + burst; meanSlots > tolerated {
+				t.Errorf("%d entries, limit %v: %v slots in a window, tolerated %v", entries, rate, meanSlots, tolerated)
 			}
-			if p < leastShare || p > 1 {
-				t.Errorf("%d entries, limit %v: a part of %v", entries, rate, p)
+			if part < minShare || part > 1 {
+				t.Errorf("%d entries, limit %v: a part of %v", entries, rate, part)
 			}
 		}
 	}
@@ -28,24 +28,24 @@
 func TestSlots(t *testing.T) {
 	l := &Limiter{}
 	for range 2 {
-		if !l.Take(began) || l.Wait(began) != 0 {
+		if !l.Take(start) || l.Wait(start) != 0 {
 			t.Fatal("without a limit requests are held back")
 		}
 	}
-	if !l.SetLimit(1, 8, began, 0.5) || l.SetLimit(1.05, 8, began.Add(time.Millisecond), 0.1) {
+	if !l.SetLimit(1, 8, start, 0.5) || l.SetLimit(1.05, 8, start.Add(time.Millisecond), 0.1) {
 		t.Error("a limit is news once")
 	}
 	period := l.period
-	if part := share(1, 8); period != time.Duration(8/part*float64(time.Second)) {
+	if part := usableShare(1, 8); period != time.Duration(8/part*float64(time.Second)) {
 		t.Errorf("period %v", period)
 	}
 	if l.Weight() != float64(period)/float64(slotLength) || (&Limiter{}).Weight() != 1 {
 		t.Errorf("weight %v", l.Weight())
 	}
-	if wait := l.Wait(began); wait != window+period/8 {
+	if wait := l.Wait(start); wait != window+period/8 {
 		t.Errorf("wait %v", wait)
 	}
-	first := began.Add(window + period/2)
+	first := start.Add(window + period/2)
 	for _, tt := range []struct {
 		at   time.Duration // after the first slot begins
 		want bool
@@ -69,11 +69,11 @@
 // entries changes the period.
 func TestLimitChanges(t *testing.T) {
 	l := &Limiter{}
-	l.SetLimit(2, 8, began, 0)
-	if !l.Take(began) {
+	l.SetLimit(2, 8, start, 0)
+	if !l.Take(start) {
 		t.Fatal("an entry that has sent nothing is blocked")
 	}
-	later := began.Add(time.Minute)
+	later := start.Add(time.Minute)
 	l.SetLimit(4, 8, later, 0)
 	if !l.Take(later) {
 		t.Error("blocked by what was sent a minute before")
@@ -95,24 +95,24 @@
 }
 
 // Only an answer to a request that was sent after the limit was named ends it.
-func TestEndOfALimit(t *testing.T) {
+func TestHandleUnlimited(t *testing.T) {
 	l := &Limiter{}
-	if l.Unlimited(began) {
+	if l.Unlimited(start) {
 		t.Error("there was none")
 	}
-	l.SetLimit(1, 8, began, 0)
-	if l.Unlimited(began.Add(-time.Millisecond)) || l.Rate() != 1 {
+	l.SetLimit(1, 8, start, 0)
+	if l.Unlimited(start.Add(-time.Millisecond)) || l.Rate() != 1 {
 		t.Error("ended by an answer to a request that was sent before")
 	}
-	if !l.Unlimited(began.Add(time.Second)) || l.Rate() != 0 || !l.Allows(began.Add(time.Second)) {
+	if !l.Unlimited(start.Add(time.Second)) || l.Rate() != 0 || !l.Allows(start.Add(time.Second)) {
 		t.Error("not ended")
 	}
 }
 
 // The latest observation wins, and each change is returned once.
 func TestStore(t *testing.T) {
-	b := &Store{}
-	at := func(s int) time.Time { return began.Add(time.Duration(s) * time.Second) }
+	store := &Store{}
+	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	for i, tt := range []struct {
 		rate    float64
 		at      int
@@ -127,49 +127,49 @@
 		{2, 4, false, 0},
 		{3, 6, true, 3},
 	} {
-		changes := b.Merge([]Observation{{Life: "a", Rate: tt.rate, At: at(tt.at)}}, at(10))
-		if len(changes) > 0 != tt.changed || b.Rate("a") != tt.want {
-			t.Errorf("step %d: changes %v, limit %v", i, changes, b.Rate("a"))
+		changes := store.Merge([]Observation{{Life: "a", Rate: tt.rate, At: at(tt.at)}}, at(10))
+		if len(changes) > 0 != tt.changed || store.Rate("a") != tt.want {
+			t.Errorf("step %d: changes %v, limit %v", i, changes, store.Rate("a"))
 		}
 	}
 	select {
-	case <-b.Changed():
+	case <-store.Changed():
 	default:
 		t.Error("no signal of the changes")
 	}
-	all, count, _ := b.Since(0, 10)
+	all, count, _ := store.Since(0, 10)
 	if len(all) != 1 || all[0].Rate != 3 {
 		t.Errorf("told %v", all)
 	}
-	if again, _, _ := b.Since(count, 10); len(again) > 0 {
+	if again, _, _ := store.Since(count, 10); len(again) > 0 {
 		t.Errorf("returned again: %v", again)
 	}
-	b.Merge([]Observation{{Life: "b", Rate: 1, At: at(10)}}, at(10+int(limitRetention/time.Second)))
-	if b.Rate("a") != 0 || b.Rate("b") != 1 {
+	store.Merge([]Observation{{Life: "b", Rate: 1, At: at(10)}}, at(10+int(limitRetention/time.Second)))
+	if store.Rate("a") != 0 || store.Rate("b") != 1 {
 		t.Error("what is old is kept, or what is new forgotten")
 	}
 }
 
 // Of too many lives those that changed last are kept.
-func TestStoreIsBounded(t *testing.T) {
-	b := &Store{}
-	for i := range maxStored + 500 {
-		b.Merge([]Observation{{Life: string(rune(i + 1)), Rate: 1, At: began}}, began)
+func TestStoreBound(t *testing.T) {
+	s := &Store{}
+	for i := range maxObservations + 500 {
+		s.Merge([]Observation{{Life: string(rune(i + 1)), Rate: 1, At: start}}, start)
 	}
-	if n := len(b.byLife); n > maxStored {
+	if n := len(s.byInstance); n > maxObservations {
 		t.Errorf("%d observations are kept", n)
 	}
 }
 
 // The longest backoff applies.
 func TestBackoff(t *testing.T) {
-	r := &Backoff{}
-	if r.Remaining(began) != 0 {
+	b := &Backoff{}
+	if b.Remaining(start) != 0 {
 		t.Error("a backoff by default")
 	}
-	r.Extend(began.Add(3 * time.Second))
-	r.Extend(began.Add(time.Second))
-	if r.Remaining(began) != 3*time.Second || r.Remaining(began.Add(2*time.Second)) != time.Second || r.Remaining(began.Add(3*time.Second)) != 0 {
-		t.Errorf("left: %v", r.Remaining(began))
+	b.Extend(start.Add(3 * time.Second))
+	b.Extend(start.Add(time.Second))
+	if b.Remaining(start) != 3*time.Second || b.Remaining(start.Add(2*time.Second)) != time.Second || b.Remaining(start.Add(3*time.Second)) != 0 {
+		t.Errorf("left: %v", b.Remaining(start))
 	}
 }
--- a/core/coordination/ratelimit/play_test.go
+++ b/core/coordination/ratelimit/play_test.go
@@ -6,190 +6,190 @@
 	"time"
 )
 
-// play simulates one upstream with a limit, entries, and callers.
-type play struct {
-	random  *rand.Rand
-	entries []*member
-	rate    float64       // the limit
-	restart time.Duration // between two entries that start again; 0: none does
-	now     time.Time
-
-	later    []told
-	arrivals []arrived
+// simulation simulates one upstream with a limit, entries, and callers.
+type simulation struct {
+	random          *rand.Rand
+	entries         []*simulatedEntry
+	rate            float64       // the limit
+	restartInterval time.Duration // between two entries that start again; 0: none does
+	now             time.Time
+
+	pending  []update
+	arrivals []arrival
 }
 
-// member is one entry.
-type member struct {
-	limiter Limiter
-	store   Store
-	count   uint64 // of the board's news that were told
-	deaf    bool   // it neither tells nor is told
-	heard   time.Time
+// simulatedEntry is one entry.
+type simulatedEntry struct {
+	limiter       Limiter
+	store         Store
+	sentVersion   uint64 // of the board's news that were told
+	isolated      bool   // it neither tells nor is told
+	firstObserved time.Time
 }
 
-type told struct {
-	to *member
-	f  []Observation
-	at time.Time
+type update struct {
+	to           *simulatedEntry
+	observations []Observation
+	dueAt        time.Time
 }
 
-type arrived struct {
-	at time.Time
-	by *member
+type arrival struct {
+	at     time.Time
+	sender *simulatedEntry
 }
 
 const (
-	step      = 10 * time.Millisecond
-	answers   = 60 * time.Millisecond // from a request to its answer
-	tellMost  = 700 * time.Millisecond
-	ruleAfter = 3 * time.Second
-	tellDelay = 500 * time.Millisecond // from an answer that names a limit until it counts
+	simulationStep      = 10 * time.Millisecond
+	responseDelay       = 60 * time.Millisecond // from a request to its answer
+	maxReplicationDelay = 700 * time.Millisecond
+	convergenceTime     = 3 * time.Second
+	isolatedGracePeriod = 500 * time.Millisecond // from an answer that names a limit until it counts
 )
 
-func newPlay(seed uint64, entries int, rate float64) *play {
-	p := &play{
+func newSimulation(seed uint64, entries int, rate float64) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, uint64(entries))),
 		rate:   rate,
-		now:    began,
+		now:    start,
 	}
 	for range entries {
-		p.entries = append(p.entries, &member{})
+		s.entries = append(s.entries, &simulatedEntry{})
 	}
-	return p
+	return s
 }
 
 // run plays for so long; wish returns how many requests a second all entries would send
 // to the upstream.
-func (p *play) run(d time.Duration, wish func(since time.Duration) float64) {
+func (s *simulation) run(duration time.Duration, demand func(since time.Duration) float64) {
 	type answer struct {
-		of   *member
-		sent time.Time
+		sender *simulatedEntry
+		sent   time.Time
 	}
-	var under []answer
-	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(step) {
-		for len(under) > 0 && p.now.Sub(under[0].sent) >= answers {
-			p.hear(under[0].of)
-			under = under[1:]
+	var inFlight []answer
+	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(simulationStep) {
+		for len(inFlight) > 0 && s.now.Sub(inFlight[0].sent) >= responseDelay {
+			s.receiveLimit(inFlight[0].sender)
+			inFlight = inFlight[1:]
 		}
-		p.deliver()
-		if p.restart > 0 && p.now.Sub(began)%p.restart == 0 {
-			p.startAgain()
+		s.deliver()
+		if s.restartInterval > 0 && s.now.Sub(start)%s.restartInterval == 0 {
+			s.restartEntry()
 		}
-		for n := wish(p.now.Sub(began)) * step.Seconds(); n > 0; n-- {
-			if n < 1 && p.random.Float64() >= n {
+		for n := demand(s.now.Sub(start)) * simulationStep.Seconds(); n > 0; n-- {
+			if n < 1 && s.random.Float64() >= n {
 				break
 			}
-			m := p.entries[p.random.IntN(len(p.entries))]
-			if m.limiter.Take(p.now) {
-				under = append(under, answer{
-					of:   m,
-					sent: p.now,
+			e := s.entries[s.random.IntN(len(s.entries))]
+			if e.limiter.Take(s.now) {
+				inFlight = append(inFlight, answer{
+					sender: e,
+					sent:   s.now,
 				})
-				p.arrivals = append(p.arrivals, arrived{
-					at: p.now,
-					by: m,
+				s.arrivals = append(s.arrivals, arrival{
+					at:     s.now,
+					sender: e,
 				})
 			}
 		}
 	}
 }
 
-// startAgain lets an entry forget all. It is told again of what the others know.
-func (p *play) startAgain() {
-	m, other := p.entries[p.random.IntN(len(p.entries))], p.entries[p.random.IntN(len(p.entries))]
-	*m = member{
-		deaf: m.deaf,
+// restartEntry lets an entry forget all. It is told again of what the others know.
+func (s *simulation) restartEntry() {
+	restarted, other := s.entries[s.random.IntN(len(s.entries))], s.entries[s.random.IntN(len(s.entries))]
+	*restarted = simulatedEntry{
+		isolated: restarted.isolated,
 	}
-	known, _, _ := other.store.Since(0, 10)
-	p.tell(m, known)
+	observations, _, _ := other.store.Since(0, 10)
+	s.replicate(restarted, observations)
 }
 
-// hear is an answer that names the limit.
-func (p *play) hear(m *member) {
-	if m.heard.IsZero() {
-		m.heard = p.now
+// receiveLimit is an answer that names the limit.
+func (s *simulation) receiveLimit(e *simulatedEntry) {
+	if e.firstObserved.IsZero() {
+		e.firstObserved = s.now
 	}
-	m.limiter.SetLimit(p.rate, len(p.entries), p.now, p.random.Float64())
-	m.store.Merge([]Observation{{Life: "u", Rate: p.rate, At: p.now}}, p.now)
-	if m.deaf {
+	e.limiter.SetLimit(s.rate, len(s.entries), s.now, s.random.Float64())
+	e.store.Merge([]Observation{{Life: "u", Rate: s.rate, At: s.now}}, s.now)
+	if e.isolated {
 		return
 	}
-	var news []Observation
-	if news, m.count, _ = m.store.Since(m.count, 10); len(news) == 0 {
+	var changes []Observation
+	if changes, e.sentVersion, _ = e.store.Since(e.sentVersion, 10); len(changes) == 0 {
 		return
 	}
-	for _, x := range p.entries {
-		if x != m && !x.deaf {
-			p.tell(x, news)
+	for _, x := range s.entries {
+		if x != e && !x.isolated {
+			s.replicate(x, changes)
 		}
 	}
 }
 
-func (p *play) tell(to *member, known []Observation) {
-	p.later = append(p.later, told{
-		to: to,
-		f:  known,
-		at: p.now.Add(time.Duration(p.random.Float64() * float64(tellMost))),
+func (s *simulation) replicate(to *simulatedEntry, observations []Observation) {
+	s.pending = append(s.pending, update{
+		to:           to,
+		observations: observations,
+		dueAt:        s.now.Add(time.Duration(s.random.Float64() * float64(maxReplicationDelay))),
 	})
 }
 
 // deliver brings what was told to whom it is for.
-func (p *play) deliver() {
-	left := p.later[:0]
-	for _, x := range p.later {
-		if x.at.After(p.now) {
-			left = append(left, x)
+func (s *simulation) deliver() {
+	pending := s.pending[:0]
+	for _, x := range s.pending {
+		if x.dueAt.After(s.now) {
+			pending = append(pending, x)
 			continue
 		}
-		for _, f := range x.to.store.Merge(x.f, p.now) {
-			x.to.limiter.SetLimit(f.Rate, len(p.entries), p.now, p.random.Float64())
+		for _, o := range x.to.store.Merge(x.observations, s.now) {
+			x.to.limiter.SetLimit(o.Rate, len(s.entries), s.now, s.random.Float64())
 		}
-		_, x.to.count, _ = x.to.store.Since(x.to.count, 10)
+		_, x.to.sentVersion, _ = x.to.store.Since(x.to.sentVersion, 10)
 	}
-	p.later = left
+	s.pending = pending
 }
 
-// most returns the most arrivals in a window that ends at an arrival later than from. Of the
+// maxArrivals returns the maxArrivals arrivals in a window that ends at an arrival later than from. Of the
 // entries that are told nothing those count that have heard the limit long enough before.
-func (p *play) most(from time.Time) (most int) {
-	for i, last := range p.arrivals {
-		if last.at.Before(from) {
+func (s *simulation) maxArrivals(since time.Time) (highest int) {
+	for i, last := range s.arrivals {
+		if last.at.Before(since) {
 			continue
 		}
 		n := 0
-		for j := i; j >= 0 && last.at.Sub(p.arrivals[j].at) < window; j-- {
-			by := p.arrivals[j].by
-			if !by.deaf || !by.heard.IsZero() && last.at.Sub(by.heard) >= tellDelay {
+		for j := i; j >= 0 && last.at.Sub(s.arrivals[j].at) < window; j-- {
+			sender := s.arrivals[j].sender
+			if !sender.isolated || !sender.firstObserved.IsZero() && last.at.Sub(sender.firstObserved) >= isolatedGracePeriod {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 // An upstream gets more requests than its limit allows: from entries that each use the whole
 // limit, that never learn of it, or that all have an open slot when other upstreams fail.
-func TestPlaysOfLimitedUpstreams(t *testing.T) {
+func TestSimulatedRateLimit(t *testing.T) {
 	for _, tt := range []struct {
-		what  string
-		seeds uint64
-		wish  func(usual float64) func(since time.Duration) float64
-		deaf  float64 // part of the entries
+		name          string
+		seeds         uint64
+		demand        func(baseRate float64) func(since time.Duration) float64
+		isolatedShare float64 // part of the entries
 
-		restart time.Duration
+		restartInterval time.Duration
 	}{
 		{
-			what:  "as usual",
+			name:  "as usual",
 			seeds: 5,
-			wish: func(usual float64) func(time.Duration) float64 {
+			demand: func(usual float64) func(time.Duration) float64 {
 				return func(time.Duration) float64 { return usual }
 			},
 		},
 		{
-			what:  "the others are lost after a while without requests",
+			name:  "the others are lost after a while without requests",
 			seeds: 5,
-			wish: func(usual float64) func(time.Duration) float64 {
+			demand: func(usual float64) func(time.Duration) float64 {
 				return func(since time.Duration) float64 {
 					switch {
 					case since < 10*time.Second:
@@ -202,18 +202,18 @@
 			},
 		},
 		{
-			what:  "one in ten neither tells nor is told",
-			seeds: 5,
-			deaf:  0.1,
-			wish: func(usual float64) func(time.Duration) float64 {
+			name:          "one in ten neither tells nor is told",
+			seeds:         5,
+			isolatedShare: 0.1,
+			demand: func(usual float64) func(time.Duration) float64 {
 				return func(time.Duration) float64 { return usual }
 			},
 		},
 		{
-			what:    "one entry after the other starts again",
-			seeds:   5,
-			restart: 500 * time.Millisecond,
-			wish: func(usual float64) func(time.Duration) float64 {
+			name:            "one entry after the other starts again",
+			seeds:           5,
+			restartInterval: 500 * time.Millisecond,
+			demand: func(usual float64) func(time.Duration) float64 {
 				return func(time.Duration) float64 { return usual }
 			},
 		},
@@ -223,18 +223,18 @@
 				worst, tolerated := 0, int(overshoot*rate*window.Seconds()+burst)
 				for seed := range tt.seeds {
 					usual := 4 * rate
-					p := newPlay(seed, entries, rate)
-					p.restart = tt.restart
-					for _, m := range p.entries {
-						m.deaf = p.random.Float64() < tt.deaf
+					s := newSimulation(seed, entries, rate)
+					s.restartInterval = tt.restartInterval
+					for _, e := range s.entries {
+						e.isolated = s.random.Float64() < tt.isolatedShare
 					}
-					p.run(time.Minute, tt.wish(usual))
-					worst = max(worst, p.most(began.Add(ruleAfter)))
+					s.run(time.Minute, tt.demand(usual))
+					worst = max(worst, s.maxArrivals(start.Add(convergenceTime)))
 				}
 				if worst > tolerated {
-					t.Errorf("%s: %d entries, limit %v: %d in a window, tolerated %d", tt.what, entries, rate, worst, tolerated)
+					t.Errorf("%s: %d entries, limit %v: %d in a window, tolerated %d", tt.name, entries, rate, worst, tolerated)
 				}
-				t.Logf("%s: %d entries, limit %v: at most %d, tolerated %d", tt.what, entries, rate, worst, tolerated)
+				t.Logf("%s: %d entries, limit %v: at most %d, tolerated %d", tt.name, entries, rate, worst, tolerated)
 			}
 		}
 	}
--- a/core/coordination/retry/comeback.go
+++ b/core/coordination/retry/comeback.go
@@ -4,21 +4,21 @@
 
 // Of the time after which a refused caller should come back.
 const (
-	// leastReturn is well over a round trip; nothing that ends by itself, such as a
+	// minRetryAfter is well over a round trip; nothing that ends by itself, such as a
 	// start or a full queue, ends sooner.
-	leastReturn = 200 * time.Millisecond
-	// unknownReturn is added where nothing tells how long a trouble takes: callers refused
+	minRetryAfter = 200 * time.Millisecond
+	// unknownOutageDelay is added where nothing tells how long a trouble takes: callers refused
 	// in the first moment of an outage would come back into it (bench return).
-	unknownReturn = 600 * time.Millisecond
-	// mostReturn bounds what a long trouble makes of it: its end is no nearer known.
-	mostReturn = 4 * time.Second
-	// spreadPart of the time is what callers are spread over: those that were
+	unknownOutageDelay = 600 * time.Millisecond
+	// maxRetryAfter bounds what a long trouble makes of it: its end is no nearer known.
+	maxRetryAfter = 4 * time.Second
+	// jitterFraction of the time is what callers are spread over: those that were
 	// refused in one moment would come back in one moment, and most of them would be
 	// refused again.
-	spreadPart = 0.5
-	// leftPart of the time that a caller has left is the most that it waits: one that
+	jitterFraction = 0.5
+	// deadlineFraction of the time that a caller has left is the most that it waits: one that
 	// is sent away for longer gives up, and a third try is seldom left to it.
-	leftPart = 1.0 / 3
+	deadlineFraction = 1.0 / 3
 )
 
 // ComeBack is what is known when a caller is refused for a trouble that ends.
@@ -34,22 +34,22 @@
 // of which nothing else is known is expected to last as long again as it has
 // lasted (bench return). Where it is known when there is room, the more urgent come first; where
 // it is not, the first to come back are no better off, and the order is by chance.
-func (c ComeBack) After(chance float64) time.Duration {
-	base, place := c.Expected, c.place(chance)
+func (c ComeBack) After(random float64) time.Duration {
+	base, position := c.Expected, c.jitterPosition(random)
 	if base <= 0 {
-		base, place = max(c.Lasted, 0)+unknownReturn, chance
+		base, position = max(c.Lasted, 0)+unknownOutageDelay, random
 	}
-	base = min(max(base, leastReturn), mostReturn)
-	after := base + time.Duration(spreadPart*place*float64(base))
+	base = min(max(base, minRetryAfter), maxRetryAfter)
+	delay := base + time.Duration(jitterFraction*position*float64(base))
 	if c.Left > 0 {
-		after = min(after, time.Duration(leftPart*float64(c.Left)))
+		delay = min(delay, time.Duration(deadlineFraction*float64(c.Left)))
 	}
-	return max(after, leastReturn)
+	return max(delay, minRetryAfter)
 }
 
-// place returns where in the spread the caller comes, 0 to 1: the more urgent its
+// jitterPosition returns where in the spread the caller comes, 0 to 1: the more urgent its
 // request, the sooner.
-func (c ComeBack) place(chance float64) float64 {
-	ranks := max(c.Ranks, 1)
-	return (float64(min(max(c.Rank, 0), ranks-1)) + chance) / float64(ranks)
+func (c ComeBack) jitterPosition(random float64) float64 {
+	levels := max(c.Ranks, 1)
+	return (float64(min(max(c.Rank, 0), levels-1)) + random) / float64(levels)
 }
--- a/core/coordination/retry/window.go
+++ b/core/coordination/retry/window.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// slices is the number of parts in which a window moves on.
-const slices = 20
+// buckets is the number of parts in which a window moves on.
+const buckets = 20
 
 // Window bounds the retries in any span of its length by what the requests in it
 // bring. What a calm span has left is there at once for the many requests that one lost
@@ -15,67 +15,67 @@
 	Spare  float64       // retries allowed beside what the requests bring
 	Floor  float64       // retries allowed at least, however few requests came
 
-	began   time.Time // of the newest slice
-	brought [slices]float64
-	retries [slices]int
-	newest  int
+	bucketStart time.Time // of the newest slice
+	earned      [buckets]float64
+	used        [buckets]int
+	current     int
 }
 
 // Request counts a request, which brings a share of a retry.
-func (w *Window) Request(share float64, now time.Time) {
-	w.move(now)
-	w.brought[w.newest] += share
+func (b *Window) Request(credit float64, now time.Time) {
+	b.advance(now)
+	b.earned[b.current] += credit
 }
 
 // Retry counts a retry, and reports whether it may be made; one that may not is
 // not counted.
-func (w *Window) Retry(now time.Time) bool {
-	if w.Left(now) < 1 {
+func (b *Window) Retry(now time.Time) bool {
+	if b.Left(now) < 1 {
 		return false
 	}
-	w.retries[w.newest]++
+	b.used[b.current]++
 	return true
 }
 
 // Left returns how many retries are left now.
-func (w *Window) Left(now time.Time) float64 {
-	w.move(now)
-	_, retries := w.sums()
-	return w.Allowed(now) - float64(retries)
+func (b *Window) Left(now time.Time) float64 {
+	b.advance(now)
+	_, used := b.totals()
+	return b.Allowed(now) - float64(used)
 }
 
 // Allowed returns how many retries the span up to now may hold.
-func (w *Window) Allowed(now time.Time) float64 {
-	w.move(now)
-	brought, _ := w.sums()
-	return max(w.Spare+brought, w.Floor)
+func (b *Window) Allowed(now time.Time) float64 {
+	b.advance(now)
+	earned, _ := b.totals()
+	return max(b.Spare+earned, b.Floor)
 }
 
-func (w *Window) sums() (brought float64, retries int) {
-	for i := range slices {
-		brought += w.brought[i]
-		retries += w.retries[i]
+func (b *Window) totals() (earned float64, used int) {
+	for i := range buckets {
+		earned += b.earned[i]
+		used += b.used[i]
 	}
-	return brought, retries
+	return earned, used
 }
 
-// move forgets what is older than the span. The oldest slice goes as a whole, so
+// advance forgets what is older than the span. The oldest slice goes as a whole, so
 // that the span is never longer than its length.
-func (w *Window) move(now time.Time) {
-	step := max(w.Length/slices, 1)
-	if w.began.IsZero() {
-		w.began = now
+func (b *Window) advance(now time.Time) {
+	bucketLength := max(b.Length/buckets, 1)
+	if b.bucketStart.IsZero() {
+		b.bucketStart = now
 	}
-	for range slices {
-		if now.Sub(w.began) < step {
+	for range buckets {
+		if now.Sub(b.bucketStart) < bucketLength {
 			return
 		}
-		w.began = w.began.Add(step)
-		w.newest = (w.newest + 1) % slices
-		w.brought[w.newest] = 0
-		w.retries[w.newest] = 0
+		b.bucketStart = b.bucketStart.Add(bucketLength)
+		b.current = (b.current + 1) % buckets
+		b.earned[b.current] = 0
+		b.used[b.current] = 0
 	}
-	if now.Sub(w.began) >= step {
-		w.began = now // nothing came for longer than the span
+	if now.Sub(b.bucketStart) >= bucketLength {
+		b.bucketStart = now // nothing came for longer than the span
 	}
 }
--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -23,20 +23,20 @@
 	For  time.Duration // from a start
 }
 
-// window is the second in which arrivals are counted, and what delays on the way may
+// arrivalWindow is the second in which arrivals are counted, and what delays on the way may
 // bring together.
-const window = 1100 * time.Millisecond
+const arrivalWindow = 1100 * time.Millisecond
 
 // Share returns how many of the entries are owners, and the pause that each of them
 // keeps between two requests. In a window each owner sends one request more than pauses
 // fit into it, so many owners leave little room for each; few can't use what it bears.
-func (l Limit) Share(entries int) (owners int, pause time.Duration) {
+func (l Limit) Share(entries int) (owners int, interval time.Duration) {
 	rate := max(l.Rate, 0.1)
-	owners = min(entries, int(l.Most-rate*window.Seconds()))
+	owners = min(entries, int(l.Most-rate*arrivalWindow.Seconds()))
 	if owners < 1 {
 		// Even one owner at the full rate may go over the bound.
 		owners = min(entries, 1)
-		rate = max(l.Most-1, 0.1) / window.Seconds()
+		rate = max(l.Most-1, 0.1) / arrivalWindow.Seconds()
 	}
 	return owners, time.Duration(float64(owners) / rate * float64(time.Second))
 }
@@ -58,85 +58,85 @@
 	Limit Limit
 }
 
-// same is by how much two words on when an upstream is warm may differ without news.
-const same = 300 * time.Millisecond
+// untilTolerance is by how much two words on when an upstream is warm may differ without news.
+const untilTolerance = 300 * time.Millisecond
 
 // Next returns the lives that are cold now, by those that were and what is seen, and how
 // many of them are new. Owners are given once, to lives that became cold since this
 // leader alone tells of them: those of before may have other owners, whom the leader
 // before told of it.
-func Next(old map[string]Cold, seen []Seen, entries []string, sole, now time.Time) (next map[string]Cold, fresh int) {
+func Next(previous map[string]Cold, observed []Seen, entries []string, soleSince, now time.Time) (next map[string]Cold, added int) {
 	next = map[string]Cold{}
-	for life, c := range old {
+	for instanceID, c := range previous {
 		if c.Until.After(now) {
-			next[life] = c
+			next[instanceID] = c
 		}
 	}
-	limits := map[string]Limit{}
-	for _, x := range seen {
-		if !x.Until.After(now) {
+	newLimits := map[string]Limit{}
+	for _, o := range observed {
+		if !o.Until.After(now) {
 			continue
 		}
-		c, known := next[x.Life]
-		if known && x.Until.Sub(c.Until).Abs() <= same {
+		c, known := next[o.Life]
+		if known && o.Until.Sub(c.Until).Abs() <= untilTolerance {
 			continue
 		}
-		c.Until = x.Until
-		next[x.Life] = c
-		if !known && x.Until.Add(-x.Limit.For).After(sole) {
-			limits[x.Life] = x.Limit
+		c.Until = o.Until
+		next[o.Life] = c
+		if !known && o.Until.Add(-o.Limit.For).After(soleSince) {
+			newLimits[o.Life] = o.Limit
 		}
 	}
-	assign(next, limits, entries)
-	return next, len(limits)
+	assignOwners(next, newLimits, entries)
+	return next, len(newLimits)
 }
 
-// assign gives owners to the lives that have none yet, so that the entries own about as
+// assignOwners gives owners to the lives that have none yet, so that the entries own about as
 // many each.
-func assign(colds map[string]Cold, fresh map[string]Limit, entries []string) {
-	owned := map[string]int{}
-	for _, c := range colds {
+func assignOwners(upstreams map[string]Cold, newLimits map[string]Limit, entries []string) {
+	ownedCount := map[string]int{}
+	for _, c := range upstreams {
 		for _, e := range c.Owners {
-			owned[e]++
+			ownedCount[e]++
 		}
 	}
-	for _, life := range slices.Sorted(maps.Keys(fresh)) {
-		n, pause := fresh[life].Share(len(entries))
+	for _, instanceID := range slices.Sorted(maps.Keys(newLimits)) {
+		owners, interval := newLimits[instanceID].Share(len(entries))
 		ranked := slices.Clone(entries)
-		rank := func(entry string) uint64 { return xxhash.Sum64String(life + "\x00" + entry) }
+		hash := func(entry string) uint64 { return xxhash.Sum64String(instanceID + "\x00" + entry) }
 		slices.SortFunc(ranked, func(a, b string) int {
-			return cmp.Or(owned[a]-owned[b], cmp.Compare(rank(a), rank(b)))
+			return cmp.Or(ownedCount[a]-ownedCount[b], cmp.Compare(hash(a), hash(b)))
 		})
-		c := colds[life]
-		c.Owners = ranked[:n]
-		c.Pause = pause
-		c.Weight = float64(len(entries)) / float64(max(n, 1))
-		colds[life] = c
+		c := upstreams[instanceID]
+		c.Owners = ranked[:owners]
+		c.Pause = interval
+		c.Weight = float64(len(entries)) / float64(max(owners, 1))
+		upstreams[instanceID] = c
 		for _, e := range c.Owners {
-			owned[e]++
+			ownedCount[e]++
 		}
 	}
 }
 
 // Gate is what one entry knows of one life. The zero value is of a warm one.
 type Gate struct {
-	until  time.Time
-	pause  time.Duration // 0: this entry is no owner
-	weight float64
-	next   time.Time
+	coldUntil time.Time
+	interval  time.Duration // 0: this entry is no owner
+	weight    float64
+	nextSend  time.Time
 }
 
 // Cold takes that the life is cold until then. The pause that this entry keeps between
 // requests is 0 if it is no owner.
 func (g *Gate) Cold(c Cold) {
-	g.until = c.Until
-	g.pause = c.Pause
+	g.coldUntil = c.Until
+	g.interval = c.Pause
 	g.weight = c.Weight
 }
 
 // Weight returns for how many entries this one sends to the life, which it may.
 func (g *Gate) Weight(now time.Time) float64 {
-	if !now.Before(g.until) {
+	if !now.Before(g.coldUntil) {
 		return 1
 	}
 	return max(g.weight, 1)
@@ -144,7 +144,7 @@
 
 // Allows reports whether a request may be sent now.
 func (g *Gate) Allows(now time.Time) bool {
-	return !now.Before(g.until) || g.pause > 0 && !now.Before(g.next)
+	return !now.Before(g.coldUntil) || g.interval > 0 && !now.Before(g.nextSend)
 }
 
 // Take reports the same, and notes that a request is sent if so.
@@ -152,14 +152,14 @@
 	if !g.Allows(now) {
 		return false
 	}
-	g.next = now.Add(g.pause)
+	g.nextSend = now.Add(g.interval)
 	return true
 }
 
 // Opens returns when a request may be sent.
 func (g *Gate) Opens() time.Time {
-	if g.pause > 0 && g.next.Before(g.until) {
-		return g.next
+	if g.interval > 0 && g.nextSend.Before(g.coldUntil) {
+		return g.nextSend
 	}
-	return g.until
+	return g.coldUntil
 }
