--- a/internal/node/accounts_test.go
+++ b/internal/node/accounts_test.go
@@ -11,7 +11,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-func trial(route string, order, runs uint64) *wire.Trial {
+func testTrial(route string, order, runs uint64) *wire.Trial {
 	return &wire.Trial{
 		Service: "s",
 		Version: "v2",
@@ -23,39 +23,39 @@
 
 // Of thousands of routes those that had answers are told, and the controller
 // knows the counts of all; a new stream is told all of them.
-func TestAccountsTellWhatChanged(t *testing.T) {
-	h := newHub(persimmoncross.SystemClock{})
+func TestAccountsSendOnlyChanges(t *testing.T) {
+	h := newPublisher(persimmoncross.SystemClock{})
 	counts := map[string]uint64{}
-	account := func() *wire.Account {
+	newAccount := func() *wire.Account {
 		a := &wire.Account{
 			Vm:          "a",
 			Incarnation: "1",
 			Entry:       true,
 		}
 		for route, n := range counts {
-			a.Trials = append(a.Trials, trial(route, 4, n))
+			a.Trials = append(a.Trials, testTrial(route, 4, n))
 		}
 		return a
 	}
 	for i := range manyRoutes {
 		counts[fmt.Sprint("r", i)] = 1
 	}
-	stream := accounted{}
-	h.take(stream.lacking(account()))
+	stream := sentTrials{}
+	h.receiveReport(stream.delta(newAccount()))
 	for n := range 5 {
 		counts["r7"]++
 		counts["r9"] += 2
-		a := stream.lacking(account())
+		a := stream.delta(newAccount())
 		if size := proto.Size(a); len(a.GetTrials()) != 2 || size > 100 {
 			t.Errorf("account %d: %d counts, %d bytes", n, len(a.GetTrials()), size)
 		}
-		h.take(a)
+		h.receiveReport(a)
 	}
-	if a := stream.lacking(account()); len(a.GetTrials()) != 0 {
+	if a := stream.delta(newAccount()); len(a.GetTrials()) != 0 {
 		t.Errorf("%d counts without an answer", len(a.GetTrials()))
 	}
-	accounts, _ := h.recent(h.clock.Now())
-	p := pool(register.Upgrade{
+	accounts, _ := h.currentReports(h.clock.Now())
+	p := sumTrials(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
@@ -63,28 +63,28 @@
 	if len(p.New) != manyRoutes || p.New["r7"].Runs != 6 || p.New["r9"].Runs != 11 || p.New["r8"].Runs != 1 {
 		t.Errorf("%d routes, r7 %d, r8 %d, r9 %d", len(p.New), p.New["r7"].Runs, p.New["r8"].Runs, p.New["r9"].Runs)
 	}
-	h.take(&wire.Account{
+	h.receiveReport(&wire.Account{
 		Vm:          "a",
 		Incarnation: "1",
 		Entry:       true,
-		Trials:      []*wire.Trial{trial("r7", 4, 3)},
+		Trials:      []*wire.Trial{testTrial("r7", 4, 3)},
 	})
-	if accounts, _ := h.recent(h.clock.Now()); pool(register.Upgrade{
+	if accounts, _ := h.currentReports(h.clock.Now()); sumTrials(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
 	}, accounts).New["r7"].Runs != 6 {
 		t.Error("a count that came late took the place of a later one")
 	}
-	relayed := h.unrelayed()
-	if len(relayed) != 1 || len(accounted{}.lacking(relayed[0]).GetTrials()) != manyRoutes {
+	relayed := h.takeUnforwardedReports()
+	if len(relayed) != 1 || len(sentTrials{}.delta(relayed[0]).GetTrials()) != manyRoutes {
 		t.Errorf("a new stream is not told all")
 	}
-	if again, _ := h.recent(h.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
+	if again, _ := h.currentReports(h.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
 		t.Error("what was relayed has changed here")
 	}
 	counts = nil // the upgrade is over
-	stream.lacking(account())
+	stream.delta(newAccount())
 	if len(stream) != 0 {
 		t.Error("counts that are over are kept by the stream")
 	}
@@ -92,9 +92,9 @@
 
 // Counts of upgrades that are over go, and those of one that this controller
 // does not know yet stay.
-func TestCountsOfUpgradesThatAreOver(t *testing.T) {
-	before := &wire.Account{
-		Trials: []*wire.Trial{trial("r", 3, 1), trial("r", 5, 1), trial("r", 9, 1)},
+func TestCountsOfEndedUpgradesAreDropped(t *testing.T) {
+	previous := &wire.Account{
+		Trials: []*wire.Trial{testTrial("r", 3, 1), testTrial("r", 5, 1), testTrial("r", 9, 1)},
 	}
 	for _, tt := range []struct {
 		stage register.Stage
@@ -106,23 +106,23 @@
 		{register.Trial, 9, []uint64{9}},
 		{register.Prepare, 2, []uint64{3, 5, 9}},
 	} {
-		got := merge(before, &wire.Account{}, map[string]register.Upgrade{
+		got := mergeTrials(previous, &wire.Account{}, map[string]register.Upgrade{
 			"s": {
 				Service: "s",
 				Order:   tt.order,
 				Stage:   tt.stage,
 			},
 		})
-		left := map[uint64]bool{}
+		keptOrders := map[uint64]bool{}
 		for _, x := range got.GetTrials() {
-			left[x.GetOrder()] = true
+			keptOrders[x.GetOrder()] = true
 		}
-		if len(left) != len(tt.want) {
-			t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, left, tt.want)
+		if len(keptOrders) != len(tt.want) {
+			t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
 		}
 		for _, n := range tt.want {
-			if !left[n] {
-				t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, left, tt.want)
+			if !keptOrders[n] {
+				t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
 			}
 		}
 	}
--- a/internal/node/bounds_bench_test.go
+++ b/internal/node/bounds_bench_test.go
@@ -30,51 +30,51 @@
 					Models:      []string{"daka510000", "rada7437b5", "ravo486f6a"},
 				}
 			}
-			h := newHub(persimmoncross.SystemClock{})
-			whole, change, largest := 0, 0, 0
-			send := func(s *sent) (bytes int) {
-				for first := true; first || s.pending(); first = false {
-					u, _ := h.next(s, true, nil)
+			h := newPublisher(persimmoncross.SystemClock{})
+			wholeBytes, changeBytes, largestUpdate := 0, 0, 0
+			send := func(s *followerState) (bytes int) {
+				for first := true; first || s.hasPending(); first = false {
+					u, _ := h.nextUpdate(s, true, nil)
 					bytes += proto.Size(u)
-					largest = max(largest, proto.Size(u))
+					largestUpdate = max(largestUpdate, proto.Size(u))
 				}
 				return bytes
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				h.setList(list, time.Now())
-				s := &sent{}
-				whole = send(s)
+				s := &followerState{}
+				wholeBytes = send(s)
 				next := append([]persimmoncross.Upstream{}, list...)
 				next[i%n].Leaving = !next[i%n].Leaving
 				h.setList(next, time.Now())
 				list = next
-				change = send(s)
+				changeBytes = send(s)
 			}
-			b.ReportMetric(float64(whole), "whole-B")
-			b.ReportMetric(float64(change), "change-B")
-			b.ReportMetric(float64(largest), "update-B")
+			b.ReportMetric(float64(wholeBytes), "whole-B")
+			b.ReportMetric(float64(changeBytes), "change-B")
+			b.ReportMetric(float64(largestUpdate), "update-B")
 		})
 	}
 }
 
-// BenchmarkHead is what each step of an upgrade costs a follower, by the sessions
+// BenchmarkEncodeHead is what each step of an upgrade costs a follower, by the sessions
 // that its trial leaves where they are.
-func BenchmarkHead(b *testing.B) {
+func BenchmarkEncodeHead(b *testing.B) {
 	for _, n := range []int{50, 1_100, 10_000} {
 		b.Run(fmt.Sprint("sessions=", n), func(b *testing.B) {
-			kept := make([]uint64, n)
-			for i := range kept {
-				kept[i] = uint64(i) * 0x9E3779B97F4A7C15
+			keptSessions := make([]uint64, n)
+			for i := range keptSessions {
+				keptSessions[i] = uint64(i) * 0x9E3779B97F4A7C15
 			}
 			s := &register.State{
 				Number:   9,
-				Document: documentOf(9, manyRoutes),
+				Document: testDocument(9, manyRoutes),
 				Upgrades: map[string]register.Upgrade{
 					"s": {
 						Service: "s",
 						Stage:   register.Trial,
-						Kept:    kept,
+						Kept:    keptSessions,
 					},
 				},
 			}
--- a/internal/node/coldentry.go
+++ b/internal/node/coldentry.go
@@ -10,9 +10,9 @@
 
 // What an entry does about cold upstreams before the controllers have told it.
 
-// coldServices returns for how long the upstreams of services are cold after a start;
+// coldDurations returns for how long the upstreams of services are cold after a start;
 // services whose upstreams never are have no entry. The caller holds mu.
-func (e *Entry) coldServices() map[string]time.Duration {
+func (e *Entry) coldDurations() map[string]time.Duration {
 	services := map[string]time.Duration{}
 	if e.catalog == nil {
 		return services
@@ -25,23 +25,23 @@
 	return services
 }
 
-// tookBack takes the upstreams of the data centres that are evacuated no more for cold,
+// assumeReturnedCold takes the upstreams of the data centres that are evacuated no more for cold,
 // until the leader tells who may send there. The caller holds mu.
-func (e *Entry) tookBack(before, now map[string]register.Evacuation) {
-	for name := range before {
-		if _, under := now[name]; !under {
-			e.pool.Expect(name, e.coldServices())
+func (e *Entry) assumeReturnedCold(previous, current map[string]register.Evacuation) {
+	for name := range previous {
+		if _, evacuated := current[name]; !evacuated {
+			e.pool.Expect(name, e.coldDurations())
 		}
 	}
 }
 
-// limitedCold returns the list with its word on cold upstreams only where that means a
+// clearUnlimitedCold returns the list with its word on cold upstreams only where that means a
 // limit; before there is a document it may mean one. The caller holds mu.
-func (e *Entry) limitedCold(list []persimmoncross.Upstream) []persimmoncross.Upstream {
+func (e *Entry) clearUnlimitedCold(list []persimmoncross.Upstream) []persimmoncross.Upstream {
 	if e.catalog == nil {
 		return list
 	}
-	services := e.coldServices()
+	services := e.coldDurations()
 	limited := slices.Clone(list)
 	for i, u := range limited {
 		if services[u.Service] == 0 {
--- a/internal/node/colds.go
+++ b/internal/node/colds.go
@@ -21,89 +21,89 @@
 // it is rounded, and under way.
 const coldMargin = 100 * time.Millisecond
 
-// colds are the lives that are cold, and their owners. A set that was told never changes.
-type colds = map[string]slowstart.Cold
+// coldUpstreams are the lives that are cold, and their owners. A set that was told never changes.
+type coldUpstreams = map[string]slowstart.Cold
 
-// coldWatch is what a controller remembers beside the hub's set.
-type coldWatch struct {
+// coldTracker is what a controller remembers beside the hub's set.
+type coldTracker struct {
 	// Owned by the list's duty.
-	led    time.Time                  // since when this process leads; zero: it does not
-	number uint64                     // of the document that limits are of
-	limits map[string]slowstart.Limit // by service
-	list   []persimmoncross.Upstream  // as the leader read it last
-	read   time.Time
-	ended  map[string]time.Time // when an evacuation ended, by data centre
+	ledSince       time.Time                  // since when this process leads; zero: it does not
+	documentNumber uint64                     // of the document that limits are of
+	limits         map[string]slowstart.Limit // by service
+	list           []persimmoncross.Upstream  // as the leader read it last
+	listReadAt     time.Time
+	evacuationEnds map[string]time.Time // when an evacuation ended, by data centre
 
-	mu        sync.Mutex // guards all below; the log's goroutine takes it
-	evacuated map[string]register.Evacuation
-	news      map[string]time.Time // ends that the duty has not seen
+	mu                sync.Mutex // guards all below; the log's goroutine takes it
+	evacuated         map[string]register.Evacuation
+	newEvacuationEnds map[string]time.Time // ends that the duty has not seen
 }
 
-// follow takes a state: the upstreams of a data centre whose evacuation has ended are
+// updateState takes a state: the upstreams of a data centre whose evacuation has ended are
 // taken for cold.
-func (w *coldWatch) follow(s *register.State, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name := range w.evacuated {
-		if _, under := s.Evacuations[name]; !under {
-			if w.news == nil {
-				w.news = map[string]time.Time{}
+func (t *coldTracker) updateState(s *register.State, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name := range t.evacuated {
+		if _, evacuated := s.Evacuations[name]; !evacuated {
+			if t.newEvacuationEnds == nil {
+				t.newEvacuationEnds = map[string]time.Time{}
 			}
-			w.news[name] = now
+			t.newEvacuationEnds[name] = now
 		}
 	}
-	w.evacuated = s.Evacuations
+	t.evacuated = s.Evacuations
 }
 
-// look takes the ends of evacuations since the look before, and whether this process
+// refresh takes the ends of evacuations since the refresh before, and whether this process
 // leads. It reports whether there is news for the leader.
-func (w *coldWatch) look(leads bool, now time.Time) (news bool) {
+func (t *coldTracker) refresh(isLeader bool, now time.Time) (needsUpdate bool) {
 	switch {
-	case !leads:
-		w.led = time.Time{}
-		w.list = nil
-	case w.led.IsZero():
-		w.led = now
-		news = true
+	case !isLeader:
+		t.ledSince = time.Time{}
+		t.list = nil
+	case t.ledSince.IsZero():
+		t.ledSince = now
+		needsUpdate = true
 	}
-	for name, at := range w.ended {
-		if now.Sub(at) > coldForget {
-			delete(w.ended, name)
+	for name, at := range t.evacuationEnds {
+		if now.Sub(at) > evacuationEndRetention {
+			delete(t.evacuationEnds, name)
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.ended == nil {
-		w.ended = map[string]time.Time{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.evacuationEnds == nil {
+		t.evacuationEnds = map[string]time.Time{}
 	}
-	maps.Copy(w.ended, w.news)
-	news = news || len(w.news) > 0
-	w.news = nil
-	return news
+	maps.Copy(t.evacuationEnds, t.newEvacuationEnds)
+	needsUpdate = needsUpdate || len(t.newEvacuationEnds) > 0
+	t.newEvacuationEnds = nil
+	return needsUpdate
 }
 
-// limits returns what cold upstreams bear, by service; services whose upstreams never
+// coldLimits returns what cold upstreams bear, by service; services whose upstreams never
 // are have none.
-func (c *Controller) limits() map[string]slowstart.Limit {
-	w := &c.colds
+func (c *Controller) coldLimits() map[string]slowstart.Limit {
+	w := &c.coldTracker
 	s := c.register.Current()
-	if c.Decode == nil || len(s.Document) == 0 || s.Number == w.number {
+	if c.Decode == nil || len(s.Document) == 0 || s.Number == w.documentNumber {
 		return w.limits
 	}
-	w.number = s.Number
+	w.documentNumber = s.Number
 	c.OneDocument(func() {
 		declared, err := c.Decode(s.Document)
 		if err != nil {
 			c.Log.Error().Err(err).Uint64("number", s.Number).Msg("a document that was kept can't be read")
 			return
 		}
-		w.limits = c.limitsOf(declared)
+		w.limits = c.coldLimitsOf(declared)
 	})
 	return w.limits
 }
 
-// limitsOf returns what a document declares of cold upstreams.
-func (c *Controller) limitsOf(declared *catalog.Catalog) map[string]slowstart.Limit {
+// coldLimitsOf returns what a document declares of cold upstreams.
+func (c *Controller) coldLimitsOf(declared *catalog.Catalog) map[string]slowstart.Limit {
 	limits := map[string]slowstart.Limit{}
 	for name, x := range declared.Services {
 		if x.ColdFor > 0 {
@@ -117,106 +117,106 @@
 	return limits
 }
 
-// updateColds tells which upstreams are cold, by the list as it was read last, before
+// updateColdUpstreams tells which upstreams are cold, by the list as it was read last, before
 // that list itself is told.
-func (c *Controller) updateColds(now time.Time) {
-	w := &c.colds
-	list, read := w.list, w.read
+func (c *Controller) updateColdUpstreams(now time.Time) {
+	w := &c.coldTracker
+	list, readAt := w.list, w.listReadAt
 	if list == nil {
-		list, read = c.hub.upstreams()
+		list, readAt = c.publisher.upstreams()
 	}
 	var seen []slowstart.Seen
 	for _, u := range list {
-		ended, back := w.ended[u.DataCentre]
-		if u.Cold <= 0 && !back {
+		endedAt, reinstated := w.evacuationEnds[u.DataCentre]
+		if u.Cold <= 0 && !reinstated {
 			continue
 		}
-		l, limited := c.limits()[u.Service]
+		limit, limited := c.coldLimits()[u.Service]
 		if !limited {
 			continue
 		}
 		until := time.Time{}
 		if u.Cold > 0 {
-			until = read.Add(u.Cold + coldMargin)
+			until = readAt.Add(u.Cold + coldMargin)
 		}
-		if at := ended.Add(l.For); back && at.After(until) {
+		if at := endedAt.Add(limit.For); reinstated && at.After(until) {
 			until = at
 		}
 		seen = append(seen, slowstart.Seen{
 			Life:  u.Life(),
 			Until: until,
-			Limit: l,
+			Limit: limit,
 		})
 	}
-	entries := c.hub.entryNames(now)
+	entries := c.publisher.presentEntries(now)
 	// The leader before may have told of what began up to the list's lag later than this
 	// one led.
-	sole := w.led.Add(c.Site.List.Lag + coldMargin)
-	next, fresh := slowstart.Next(c.hub.coldNow(), seen, entries, sole, now)
-	if fresh > 0 {
-		c.Log.Info().Int("upstreams", len(next)).Int("fresh", fresh).Int("entries", len(entries)).Msg("upstreams are cold")
-		c.count("cold.assigned")
+	soleSince := w.ledSince.Add(c.Site.List.Lag + coldMargin)
+	next, added := slowstart.Next(c.publisher.currentCold(), seen, entries, soleSince, now)
+	if added > 0 {
+		c.Log.Info().Int("upstreams", len(next)).Int("fresh", added).Int("entries", len(entries)).Msg("upstreams are cold")
+		c.incrementCounter("cold.assigned")
 	}
-	c.hub.setColds(next)
+	c.publisher.setColdUpstreams(next)
 }
 
-// coldForget is how long the end of an evacuation is remembered: longer than an upstream
+// evacuationEndRetention is how long the end of an evacuation is remembered: longer than an upstream
 // is cold.
-const coldForget = time.Minute
+const evacuationEndRetention = time.Minute
 
-// setColds takes which lives are cold.
-func (h *hub) setColds(next colds) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if maps.EqualFunc(h.colds, next, sameCold) {
+// setColdUpstreams takes which lives are cold.
+func (p *publisher) setColdUpstreams(next coldUpstreams) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if maps.EqualFunc(p.cold, next, equalCold) {
 		return
 	}
-	h.colded++
-	at := make(map[string]uint64, len(next))
-	news := false
-	for life, c := range next {
-		at[life] = h.coldAt[life]
-		if old, known := h.colds[life]; !known || !sameCold(old, c) {
-			at[life] = h.colded
-			news = true
+	p.coldVersion++
+	changedAt := make(map[string]uint64, len(next))
+	hasAdded := false
+	for id, c := range next {
+		changedAt[id] = p.coldChangedAt[id]
+		if old, known := p.cold[id]; !known || !equalCold(old, c) {
+			changedAt[id] = p.coldVersion
+			hasAdded = true
 		}
 	}
-	h.colds = next
-	h.coldAt = at
-	if news {
-		h.wake()
+	p.cold = next
+	p.coldChangedAt = changedAt
+	if hasAdded {
+		p.notify()
 	}
 }
 
-// addColds takes what the leader tells beside what it told before.
-func (h *hub) addColds(told colds, now time.Time) {
-	next := colds{}
-	for life, c := range h.coldNow() {
+// mergeColdUpstreams takes what the leader tells beside what it told before.
+func (p *publisher) mergeColdUpstreams(received coldUpstreams, now time.Time) {
+	next := coldUpstreams{}
+	for id, c := range p.currentCold() {
 		if c.Until.After(now) {
-			next[life] = c
+			next[id] = c
 		}
 	}
-	maps.Copy(next, told)
-	h.setColds(next)
+	maps.Copy(next, received)
+	p.setColdUpstreams(next)
 }
 
-func sameCold(a, b slowstart.Cold) bool {
+func equalCold(a, b slowstart.Cold) bool {
 	return a.Until.Equal(b.Until) && a.Pause == b.Pause && slices.Equal(a.Owners, b.Owners)
 }
 
-func (h *hub) coldNow() colds {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.colds
+func (p *publisher) currentCold() coldUpstreams {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cold
 }
 
-// entryNames returns the entries that are present, in order.
-func (h *hub) entryNames(now time.Time) []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// presentEntries returns the entries that are present, in order.
+func (p *publisher) presentEntries(now time.Time) []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var names []string
-	for _, a := range h.accounts {
-		if a.message.GetEntry() && now.Sub(a.at) <= accountAge {
+	for _, a := range p.reports {
+		if a.message.GetEntry() && now.Sub(a.receivedAt) <= presenceTimeout {
 			names = append(names, a.message.GetVm())
 		}
 	}
@@ -224,19 +224,19 @@
 	return slices.Compact(names)
 }
 
-// tellColds puts what has become cold into an update for a follower; an entry is told
+// addColdUpstreams puts what has become cold into an update for a follower; an entry is told
 // of itself only. What is warm is known by its time. The caller holds mu.
-func (h *hub) tellColds(u *wire.Update, s *sent) {
-	if h.colded == s.colded {
+func (p *publisher) addColdUpstreams(u *wire.Update, s *followerState) {
+	if p.coldVersion == s.coldVersion {
 		return
 	}
-	now := h.clock.Now()
-	for life, c := range h.colds {
-		if h.coldAt[life] <= s.colded || !c.Until.After(now) {
+	now := p.clock.Now()
+	for id, c := range p.cold {
+		if p.coldChangedAt[id] <= s.coldVersion || !c.Until.After(now) {
 			continue
 		}
 		x := &wire.Cold{
-			Life:   life,
+			Life:   id,
 			Left:   uint32(c.Until.Sub(now) / time.Millisecond),
 			Owners: c.Owners,
 		}
@@ -249,22 +249,22 @@
 		}
 		u.Colds = append(u.Colds, x)
 	}
-	s.colded = h.colded
+	s.coldVersion = p.coldVersion
 }
 
-// coldsOf reads what an update tells; nil if it tells nothing.
-func coldsOf(u *wire.Update, now time.Time) colds {
+// coldUpstreamsOf reads what an update tells; nil if it tells nothing.
+func coldUpstreamsOf(u *wire.Update, now time.Time) coldUpstreams {
 	if len(u.GetColds()) == 0 {
 		return nil
 	}
-	told := colds{}
+	cold := coldUpstreams{}
 	for _, x := range u.GetColds() {
-		told[x.GetLife()] = slowstart.Cold{
+		cold[x.GetLife()] = slowstart.Cold{
 			Until:  now.Add(time.Duration(x.GetLeft()) * time.Millisecond),
 			Owners: x.GetOwners(),
 			Pause:  time.Duration(x.GetPause()) * time.Millisecond,
 			Weight: float64(x.GetWeight()),
 		}
 	}
-	return told
+	return cold
 }
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -36,17 +36,17 @@
 	"persimmoncross/io/transport/socket"
 )
 
-// Times of the log. An election takes one to two election times; a lease ends
+// Times of the log. An electionTimeout takes one to two electionTimeout times; a lease ends
 // before that, so that a controller that was cut off does not pass for recent.
 const (
-	heartbeat = 100 * time.Millisecond
-	election  = 500 * time.Millisecond
-	leaseTime = 1000 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond
+	electionTimeout   = 500 * time.Millisecond
+	leaseDuration     = 1000 * time.Millisecond
 )
 
-// orderWait bounds an operator's order: callers go to another controller after
+// proposalTimeout bounds an operator's order: callers go to another controller after
 // a second without an answer.
-const orderWait = 900 * time.Millisecond
+const proposalTimeout = 900 * time.Millisecond
 
 // Controller is one controller's process. The exported fields are set before
 // Run.
@@ -60,61 +60,61 @@
 	// upstream is cold.
 	Decode func(document []byte) (*catalog.Catalog, error)
 
-	store    *store
-	register *register.Register
-	group    *group.Group
-	node     *peer.Node
-	orders   *peer.Proposer
-	hub      *hub
-	loads    *loadBoard
-	cases    *caseBoard
-	watch    upgradeWatch
-	colds    coldWatch
-	seeds    atomic.Pointer[[]string]
-	opened   atomic.Bool
-
-	followers atomic.Int64 // streams to followers under way
-	packing   sync.Mutex   // held while a document is packed for the log
-	decoding  sync.Mutex   // held while a document is decoded
+	store          *memberStore
+	register       *register.Register
+	group          *group.Group
+	node           *peer.Node
+	proposer       *peer.Proposer
+	publisher      *publisher
+	loads          *loadAggregator
+	cases          *caseAggregator
+	upgradeTracker upgradeTracker
+	coldTracker    coldTracker
+	seeds          atomic.Pointer[[]string]
+	groupOpened    atomic.Bool
+
+	followerStreams atomic.Int64 // streams to followers under way
+	packMu          sync.Mutex   // held while a document is packed for the log
+	decodeMu        sync.Mutex   // held while a document is decoded
 }
 
 // OneDocument does what decodes a document while nobody else does: that takes some
 // twenty times its bytes, and operators may send several at once that are as large as
 // they may be.
 func (c *Controller) OneDocument(decode func()) {
-	c.decoding.Lock()
-	defer c.decoding.Unlock()
+	c.decodeMu.Lock()
+	defer c.decodeMu.Unlock()
 	decode()
 }
 
 // Prepare opens the data folder and the peer socket.
 func (c *Controller) Prepare(ctx context.Context) error {
 	c.SetSeeds(c.Site)
-	st, err := openStore(c.Site, c.Log)
+	store, err := openStore(c.Site, c.Log)
 	if err != nil {
-		return failure("start", Start, err)
+		return newError("start", Start, err)
 	}
-	c.store = st
+	c.store = store
 	listener, err := socket.Listen().Listen(ctx, "tcp", c.Site.Peer.String())
 	if err != nil {
-		return failure("start", Start, err)
+		return newError("start", Start, err)
 	}
-	c.assemble(listener)
+	c.createComponents(listener)
 	if err := c.group.Open(); err != nil {
-		return failure("start", Start, err)
+		return newError("start", Start, err)
 	}
-	c.opened.Store(true)
+	c.groupOpened.Store(true)
 	return nil
 }
 
-func (c *Controller) assemble(listener net.Listener) {
-	c.hub = newHub(c.Clock)
-	c.hub.place(c.Site.Peer.String(), c.Site.DataCentre)
-	metrics.NewRegisteredFunctionalGauge("followers", c.Metrics, c.followers.Load)
-	c.loads = &loadBoard{
+func (c *Controller) createComponents(listener net.Listener) {
+	c.publisher = newPublisher(c.Clock)
+	c.publisher.setDataCentre(c.Site.Peer.String(), c.Site.DataCentre)
+	metrics.NewRegisteredFunctionalGauge("followers", c.Metrics, c.followerStreams.Load)
+	c.loads = &loadAggregator{
 		clock: c.Clock,
 	}
-	c.cases = &caseBoard{
+	c.cases = &caseAggregator{
 		clock: c.Clock,
 	}
 	c.register = register.New()
@@ -124,7 +124,7 @@
 		Listener: listener,
 		Open:     true,
 		Via:      c.Site.Via,
-		Handler: &calls{
+		Handler: &peerHandler{
 			controller: c,
 		},
 		Clock:   c.Clock,
@@ -137,22 +137,22 @@
 			Group:     groupName,
 			ID:        c.store.member,
 			VM:        c.node.VM,
-			Heartbeat: heartbeat,
-			Election:  election,
-			Lease:     leaseTime,
+			Heartbeat: heartbeatInterval,
+			Election:  electionTimeout,
+			Lease:     leaseDuration,
 			Random:    rand.New(rand.NewPCG(rand.Uint64(), uint64(os.Getpid()))),
 			Announce:  true,
 		},
 		Storage: c.store.log,
 		Machine: c.register,
-		Sender: &sender{
+		Sender: &consensusSender{
 			controller: c,
 		},
 		Clock:   c.Clock,
 		Metrics: c.Metrics,
 		Log:     c.Log,
 	}
-	c.orders = &peer.Proposer{
+	c.proposer = &peer.Proposer{
 		Group: groupName,
 		Node:  c.node,
 		Local: c.group,
@@ -162,11 +162,11 @@
 
 // SetSeeds takes the seeds of a file that was read again.
 func (c *Controller) SetSeeds(s *settings.Site) {
-	names := seedNames(s)
+	names := seedAddresses(s)
 	c.seeds.Store(&names)
 }
 
-func seedNames(s *settings.Site) []string {
+func seedAddresses(s *settings.Site) []string {
 	var names []string
 	for _, a := range s.Seeds {
 		if p := s.PeerOf(a); p != s.Peer {
@@ -178,22 +178,22 @@
 
 // stateChanged passes the register's state on to the followers.
 func (c *Controller) stateChanged(s *register.State) {
-	c.hub.setState(s)
-	c.colds.follow(s, c.Clock.Now())
-	c.Log.Info().Uint64("index", s.Index).Uint64("number", s.Number).Int("upgrades", len(s.Upgrades)).Strs("evacuated", evacuated(s)).Msg("state")
+	c.publisher.setState(s)
+	c.coldTracker.updateState(s, c.Clock.Now())
+	c.Log.Info().Uint64("index", s.Index).Uint64("number", s.Number).Int("upgrades", len(s.Upgrades)).Strs("evacuated", evacuatedDataCentres(s)).Msg("state")
 }
 
 // Run serves until the context ends, and then hands the leadership over.
 func (c *Controller) Run(ctx context.Context) {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	var duties sync.WaitGroup
-	duties.Go(func() { c.node.Run(life) })
-	duties.Go(func() { c.group.Run(life) })
-	duties.Go(func() { c.listDuty(life) })
-	duties.Go(func() { c.votersDuty(life) })
-	duties.Go(func() { c.upgradesDuty(life) })
-	duties.Go(func() { c.holdsDuty(life) })
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer stop()
+	var loops sync.WaitGroup
+	loops.Go(func() { c.node.Run(runCtx) })
+	loops.Go(func() { c.group.Run(runCtx) })
+	loops.Go(func() { c.runListReader(runCtx) })
+	loops.Go(func() { c.runVoterChanges(runCtx) })
+	loops.Go(func() { c.runUpgrades(runCtx) })
+	loops.Go(func() { c.runHoldJudge(runCtx) })
 	f := &follower{
 		Name: c.node.VM,
 		Node: c.node,
@@ -204,76 +204,76 @@
 		Log:      c.Log,
 		Metrics:  c.Metrics,
 		Seeds:    func() []string { return nil },
-		Only:     c.otherLeader,
-		Accounts: c.relayed,
-		Take:     c.takeUpdate,
-
-		Loads:     c.loads.account,
-		TakeLoads: c.loads.learn,
-		Cases:     c.relayedCases,
-		Limits:    &c.hub.limits,
+		Only:     c.remoteLeader,
+		Accounts: c.reportsForLeader,
+		Take:     c.applyUpdate,
+
+		Loads:     c.loads.report,
+		TakeLoads: c.loads.applyFleetLoads,
+		Cases:     c.casesForLeader,
+		Limits:    &c.publisher.limits,
 	}
-	duties.Go(func() { f.run(life) })
+	loops.Go(func() { f.run(runCtx) })
 	<-ctx.Done()
 	c.Log.Info().Msg("stopping")
-	c.handOver(life)
-	end()
-	duties.Wait()
+	c.transferLeadership(runCtx)
+	stop()
+	loops.Wait()
 	c.store.log.Close()
 	c.store.folder.Close()
 	c.Log.Info().Msg("stopped")
 }
 
-// handOver gives away the leadership and waits until another member has it.
-func (c *Controller) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*election)
+// transferLeadership gives away the leadership and waits until another member has it.
+func (c *Controller) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, 2*electionTimeout)
 	defer cancel()
 	if !c.group.Transfer(ctx) {
 		return
 	}
 	for c.Leads() && ctx.Err() == nil {
-		<-c.Clock.After(heartbeat / 2)
+		<-c.Clock.After(heartbeatInterval / 2)
 	}
 }
 
 // Leads reports whether this controller leads the log.
 func (c *Controller) Leads() bool { return c.group.View().Role == consensus.Leader }
 
-// otherLeader returns the controller that leads, "" if none is known or this
+// remoteLeader returns the controller that leads, "" if none is known or this
 // one leads.
-func (c *Controller) otherLeader() string {
+func (c *Controller) remoteLeader() string {
 	if l := c.group.View().Leader; l != c.node.VM {
 		return l
 	}
 	return ""
 }
 
-// relayed returns the entries' accounts for the leader.
-func (c *Controller) relayed() []*wire.Account {
-	return c.hub.unrelayed()
+// reportsForLeader returns the entries' accounts for the leader.
+func (c *Controller) reportsForLeader() []*wire.Account {
+	return c.publisher.takeUnforwardedReports()
 }
 
-// takeUpdate takes the leader's list; the state comes with the log.
-func (c *Controller) takeUpdate(u *wire.Update) bool {
-	c.hub.setEntries(int(u.GetEntries()))
+// applyUpdate takes the leader's list; the state comes with the log.
+func (c *Controller) applyUpdate(u *wire.Update) bool {
+	c.publisher.setEntries(int(u.GetEntries()))
 	for i, name := range u.GetControllers() {
 		if i < len(u.GetDatacentres()) {
-			c.hub.place(name, u.GetDatacentres()[i])
+			c.publisher.setDataCentre(name, u.GetDatacentres()[i])
 		}
 	}
-	if told := coldsOf(u, c.Clock.Now()); told != nil {
-		c.hub.addColds(told, c.Clock.Now())
+	if cold := coldUpstreamsOf(u, c.Clock.Now()); cold != nil {
+		c.publisher.mergeColdUpstreams(cold, c.Clock.Now())
 	}
-	c.hub.mergeLimits(limitsOf(u.GetLimits(), c.Clock.Now()))
+	c.publisher.mergeLimits(fromWireLimits(u.GetLimits(), c.Clock.Now()))
 	if u.GetAge() < 0 {
 		return true
 	}
-	read := c.Clock.Now().Add(-time.Duration(u.GetAge()))
+	readAt := c.Clock.Now().Add(-time.Duration(u.GetAge()))
 	if u.GetListed() {
-		return c.hub.setList(upstreamsOf(u), read)
+		return c.publisher.setList(upstreamsOf(u), readAt)
 	}
-	list, _ := c.hub.upstreams()
-	return c.hub.setList(list, read)
+	list, _ := c.publisher.upstreams()
+	return c.publisher.setList(list, readAt)
 }
 
 // Declare offers a document to the fleet. It returns nil once the document, or
@@ -281,46 +281,46 @@
 func (c *Controller) Declare(ctx context.Context, number uint64, document []byte) error {
 	// Another change may take the base away meanwhile: then it is offered whole.
 	for _, s := range []*register.State{c.register.Current(), {}} {
-		result, err := c.order(ctx, c.offer(s, number, document))
+		result, err := c.propose(ctx, c.documentCommand(s, number, document))
 		if err != nil {
 			return err
 		}
 		if string(result) != register.OtherBase {
 			return nil
 		}
-		c.count("declare.again")
+		c.incrementCounter("declare.again")
 	}
-	return failure("declare", Unavailable, errors.New("the document could not be opened"))
+	return newError("declare", Unavailable, errors.New("the document could not be opened"))
 }
 
-// offer packs one document at a time: that takes 25 MB for the largest.
-func (c *Controller) offer(s *register.State, number uint64, document []byte) register.Command {
-	c.packing.Lock()
-	defer c.packing.Unlock()
+// documentCommand packs one document at a time: that takes 25 MB for the largest.
+func (c *Controller) documentCommand(s *register.State, number uint64, document []byte) register.Command {
+	c.packMu.Lock()
+	defer c.packMu.Unlock()
 	return register.Offer(s, number, document)
 }
 
 // Read returns the state with all that was acknowledged before the call. A
 // document that is held here already is not sent again.
 func (c *Controller) Read(ctx context.Context) (*register.State, error) {
-	held := c.register.Current()
-	result, err := c.order(ctx, register.Command{
+	current := c.register.Current()
+	result, err := c.propose(ctx, register.Command{
 		Read: true,
-		Have: held.Number,
+		Have: current.Number,
 	})
 	if err != nil {
 		return nil, err
 	}
 	s, err := register.Decode(result)
-	if err == nil && s.Number == held.Number {
-		s.Document = held.Document
+	if err == nil && s.Number == current.Number {
+		s.Document = current.Document
 	}
 	return s, err
 }
 
 // Begin orders an upgrade.
 func (c *Controller) Begin(ctx context.Context, service, target string, duration time.Duration) error {
-	_, err := c.order(ctx, register.Command{
+	_, err := c.propose(ctx, register.Command{
 		Begin: &register.Upgrade{
 			Service:  service,
 			Target:   target,
@@ -335,14 +335,14 @@
 // that. It returns nil once the order is kept by a quorum; of a data centre that
 // nobody knows it returns an [Error] of kind [Unknown].
 func (c *Controller) Evacuate(ctx context.Context, dataCentre string, end bool) error {
-	known, sure := c.knows(dataCentre)
+	known, sure := c.lookUpDataCentre(dataCentre)
 	switch {
 	case !known && !sure:
-		return failure("evacuate", Unavailable, errNoList)
+		return newError("evacuate", Unavailable, errListNotRead)
 	case !known:
-		return failure("evacuate", Unknown, fmt.Errorf("there is no data centre %q", dataCentre))
+		return newError("evacuate", Unknown, fmt.Errorf("there is no data centre %q", dataCentre))
 	}
-	_, err := c.order(ctx, register.Command{
+	_, err := c.propose(ctx, register.Command{
 		Evacuate: &register.Evacuate{
 			DataCentre: dataCentre,
 			End:        end,
@@ -352,47 +352,47 @@
 	return err
 }
 
-// errNoList tells that a data centre may have upstreams of which this controller does
+// errListNotRead tells that a data centre may have upstreams of which this controller does
 // not know yet.
-var errNoList = errors.New("the list of upstreams was not read yet")
+var errListNotRead = errors.New("the list of upstreams was not read yet")
 
-// knows reports whether a data centre is one of the settings', or has upstreams, or is
+// lookUpDataCentre reports whether a data centre is one of the settings', or has upstreams, or is
 // evacuated. It is not sure of one that has none before there is a list.
-func (c *Controller) knows(dataCentre string) (known, sure bool) {
+func (c *Controller) lookUpDataCentre(dataCentre string) (known, certain bool) {
 	if _, ok := c.Site.Regions[dataCentre]; ok || dataCentre == c.Site.DataCentre {
 		return true, true
 	}
 	if _, ok := c.register.Current().Evacuations[dataCentre]; ok {
 		return true, true
 	}
-	list, read := c.hub.upstreams()
+	list, readAt := c.publisher.upstreams()
 	known = slices.ContainsFunc(list, func(u persimmoncross.Upstream) bool { return u.DataCentre == dataCentre })
-	return known, !read.IsZero()
+	return known, !readAt.IsZero()
 }
 
-func (c *Controller) order(ctx context.Context, command register.Command) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderWait)
+func (c *Controller) propose(ctx context.Context, command register.Command) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
-	result, err := c.orders.Propose(ctx, register.Encode(command))
+	result, err := c.proposer.Propose(ctx, register.Encode(command))
 	if err != nil {
-		return nil, failure("order", Unavailable, err)
+		return nil, newError("order", Unavailable, err)
 	}
 	return result, nil
 }
 
-// sender sends the log's messages; a member that looks for the leader asks the
+// consensusSender sends the log's messages; a member that looks for the leader asks the
 // seeds and the voters that it knows of.
-type sender struct {
+type consensusSender struct {
 	controller *Controller
 }
 
 // Send implements [persimmoncross.Sender].
-func (s *sender) Send(m persimmoncross.Message) {
+func (s *consensusSender) Send(m persimmoncross.Message) {
 	if m.Dest != "" {
 		s.controller.node.Send(m)
 		return
 	}
-	asked := map[string]bool{
+	sent := map[string]bool{
 		s.controller.node.VM: true,
 	}
 	names := *s.controller.seeds.Load()
@@ -400,10 +400,10 @@
 		names = append(names[:len(names):len(names)], v.VM)
 	}
 	for _, name := range names {
-		if asked[name] {
+		if sent[name] {
 			continue
 		}
-		asked[name] = true
+		sent[name] = true
 		m.Dest = name
 		s.controller.node.Send(m)
 	}
--- a/internal/node/crasher_test.go
+++ b/internal/node/crasher_test.go
@@ -21,15 +21,15 @@
 
 // Of the upstreams that end.
 const (
-	poison   = "poison " // how a body begins that ends its upstream
-	downTime = 400 * time.Millisecond
-	runTime  = 20 * time.Millisecond // from a run's beginning to the end of the upstream
+	crashBodyPrefix = "poison " // how a body begins that ends its upstream
+	restartDelay    = 400 * time.Millisecond
+	crashDelay      = 20 * time.Millisecond // from a run's beginning to the end of the upstream
 )
 
-// passageCodec is a codec for the stand-ins below.
-type passageCodec struct{}
+// testCodec is a codec for the stand-ins below.
+type testCodec struct{}
 
-func (passageCodec) Encode(h http.Header, a *persimmoncross.PassageAttempt, _ time.Duration) {
+func (testCodec) Encode(h http.Header, a *persimmoncross.PassageAttempt, _ time.Duration) {
 	h.Set("Request", a.Passage.ID)
 	h.Set("Incarnation", a.Upstream.Incarnation)
 	if a.LastEvent != "" {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (passageCodec) Decode(status int, h http.Header) persimmoncross.PassageHead {
+func (testCodec) Decode(status int, h http.Header) persimmoncross.PassageHead {
 	limit, _ := strconv.ParseFloat(h.Get("Limit"), 64)
 	return persimmoncross.PassageHead{
 		Status:      status,
@@ -49,234 +49,234 @@
 	}
 }
 
-// arrival is a request that reached an upstream.
-type arrival struct {
+// receivedRequest is a request that reached an upstream.
+type receivedRequest struct {
 	body       string
 	at         time.Time
-	place      *crasher
+	upstream   *fakeUpstream
 	dataCentre string
 }
 
-// farm is a number of upstreams that some requests end. Each is back after a
+// fakeUpstreamSet is a number of upstreams that some requests end. Each is back after a
 // while, with another name at its address.
-type farm struct {
-	list   *lister
-	events int // of a stream
-	pace   time.Duration
-
-	mu       sync.Mutex // guards all below
-	all      []*crasher
-	arrivals []arrival
-	ends     map[string][]time.Time // of upstreams, by the body that ended them
-	lives    int
-	closed   bool
-	// breaks is which part of the answers breaks off though the upstream lives on,
+type fakeUpstreamSet struct {
+	lister          *fakeLister
+	eventsPerStream int // of a stream
+	eventInterval   time.Duration
+
+	mu              sync.Mutex // guards all below
+	all             []*fakeUpstream
+	requests        []receivedRequest
+	crashTimes      map[string][]time.Time // of upstreams, by the body that ended them
+	lastIncarnation int
+	closed          bool
+	// abortPercent is which part of the answers abortPercent off though the upstream lives on,
 	// in hundredths.
-	breaks int
-	// listLag is how much later than an upstream is back the list tells so.
-	listLag time.Duration
-	// fronted tells that something before the upstreams goes on taking connections
+	abortPercent int
+	// listDelay is how much later than an upstream is back the list tells so.
+	listDelay time.Duration
+	// proxied tells that something before the upstreams goes on taking connections
 	// while they are down, and closes them.
-	fronted bool
+	proxied bool
 }
 
-// crasher is one place of a farm.
-type crasher struct {
-	farm       *farm
-	address    netip.AddrPort
-	dataCentre string  // "a" and "b" in turn
-	limit      float64 // that its answers name, 0: none; guarded by farm.mu
-	id         string
-	server     *http.Server
-	front      *front // nil: the upstream itself listens
+// fakeUpstream is one place of a farm.
+type fakeUpstream struct {
+	set         *fakeUpstreamSet
+	address     netip.AddrPort
+	dataCentre  string  // "a" and "b" in turn
+	rateLimit   float64 // that its answers name, 0: none; guarded by farm.mu
+	incarnation string
+	server      *http.Server
+	proxy       *fakeProxy // nil: the upstream itself listens
 }
 
-// front takes connections for an upstream, and closes them while that is down. It is
+// fakeProxy takes connections for an upstream, and closes them while that is down. It is
 // the listener of one life at a time.
-type front struct {
+type fakeProxy struct {
 	net.Listener
-	farm  *farm
-	conns chan net.Conn
-	down  bool // guarded by farm.mu
+	set          *fakeUpstreamSet
+	accepted     chan net.Conn
+	upstreamDown bool // guarded by farm.mu
 }
 
-// run hands connections on until the listener is closed.
-func (f *front) run() {
+// acceptLoop hands connections on until the listener is closed.
+func (p *fakeProxy) acceptLoop() {
 	for {
-		c, err := f.Listener.Accept()
+		c, err := p.Listener.Accept()
 		if err != nil {
 			return
 		}
-		f.farm.mu.Lock()
-		down := f.down
-		f.farm.mu.Unlock()
+		p.set.mu.Lock()
+		down := p.upstreamDown
+		p.set.mu.Unlock()
 		if down {
 			c.Close()
 			continue
 		}
-		f.conns <- c
+		p.accepted <- c
 	}
 }
 
-// frontLife is a front as one life's server knows it: closing that ends the life only.
-type frontLife struct {
-	*front
-	ended chan struct{}
-	once  sync.Once
+// proxyListener is a front as one life's server knows it: closing that ends the life only.
+type proxyListener struct {
+	*fakeProxy
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func (l *frontLife) Accept() (net.Conn, error) {
+func (l *proxyListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.conns:
+	case c := <-l.accepted:
 		return c, nil
-	case <-l.ended:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *frontLife) Close() error {
-	l.once.Do(func() { close(l.ended) })
+func (l *proxyListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-func newFarm(t *testing.T, l *lister, size int) *farm {
+func newFakeUpstreams(t *testing.T, lister *fakeLister, size int) *fakeUpstreamSet {
 	t.Helper()
-	return newFarmOf(t, l, size, false)
+	return newFakeUpstreamsWithProxies(t, lister, size, false)
 }
 
-// newFarmOf returns a farm with fronts before its upstreams, or without.
-func newFarmOf(t *testing.T, l *lister, size int, fronted bool) *farm {
+// newFakeUpstreamsWithProxies returns a farm with fronts before its upstreams, or without.
+func newFakeUpstreamsWithProxies(t *testing.T, lister *fakeLister, size int, proxied bool) *fakeUpstreamSet {
 	t.Helper()
-	f := &farm{
-		list:    l,
-		events:  6,
-		pace:    10 * time.Millisecond,
-		ends:    map[string][]time.Time{},
-		fronted: fronted,
+	set := &fakeUpstreamSet{
+		lister:          lister,
+		eventsPerStream: 6,
+		eventInterval:   10 * time.Millisecond,
+		crashTimes:      map[string][]time.Time{},
+		proxied:         proxied,
 	}
 	for range size {
-		socket, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &crasher{
-			farm:    f,
-			address: socket.Addr().(*net.TCPAddr).AddrPort(),
+		u := &fakeUpstream{
+			set:     set,
+			address: listener.Addr().(*net.TCPAddr).AddrPort(),
 
-			dataCentre: []string{"a", "b"}[len(f.all)%2],
+			dataCentre: []string{"a", "b"}[len(set.all)%2],
 		}
-		if fronted {
-			c.front = &front{
-				Listener: socket,
-				farm:     f,
-				conns:    make(chan net.Conn),
+		if proxied {
+			u.proxy = &fakeProxy{
+				Listener: listener,
+				set:      set,
+				accepted: make(chan net.Conn),
 			}
-			go c.front.run()
-			t.Cleanup(func() { c.front.Close() })
+			go u.proxy.acceptLoop()
+			t.Cleanup(func() { u.proxy.Close() })
 		}
-		f.all = append(f.all, c)
-		f.mu.Lock()
-		c.begin(socket)
-		f.mu.Unlock()
+		set.all = append(set.all, u)
+		set.mu.Lock()
+		u.start(listener)
+		set.mu.Unlock()
 	}
-	f.tell()
+	set.publishList()
 	t.Cleanup(func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.closed = true
-		for _, c := range f.all {
-			if c.server != nil {
-				c.server.Close()
+		set.mu.Lock()
+		defer set.mu.Unlock()
+		set.closed = true
+		for _, u := range set.all {
+			if u.server != nil {
+				u.server.Close()
 			}
 		}
 	})
-	return f
+	return set
 }
 
-// begin starts a life. The caller holds mu.
-func (c *crasher) begin(l net.Listener) {
-	if c.front != nil {
-		c.front.down = false
-		l = &frontLife{
-			front: c.front,
-			ended: make(chan struct{}),
+// start starts a life. The caller holds mu.
+func (u *fakeUpstream) start(listener net.Listener) {
+	if u.proxy != nil {
+		u.proxy.upstreamDown = false
+		listener = &proxyListener{
+			fakeProxy: u.proxy,
+			closed:    make(chan struct{}),
 		}
 	}
-	c.farm.lives++
-	c.id = fmt.Sprint("i", c.farm.lives)
-	c.server = &http.Server{
-		Handler: c.life(c.id),
+	u.set.lastIncarnation++
+	u.incarnation = fmt.Sprint("i", u.set.lastIncarnation)
+	u.server = &http.Server{
+		Handler: u.handler(u.incarnation),
 	}
-	go c.server.Serve(l)
+	go u.server.Serve(listener)
 }
 
-// tell sets the list: upstreams that have ended are on it until they are back.
-func (f *farm) tell() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// publishList sets the list: upstreams that have ended are on it until they are back.
+func (s *fakeUpstreamSet) publishList() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var list []persimmoncross.Upstream
-	for _, c := range f.all {
+	for _, u := range s.all {
 		list = append(list, persimmoncross.Upstream{
-			Incarnation: c.id,
+			Incarnation: u.incarnation,
 			Service:     "s",
-			Address:     c.address,
-			DataCentre:  c.dataCentre,
+			Address:     u.address,
+			DataCentre:  u.dataCentre,
 			Version:     "v1",
 			Slots:       64,
 		})
 	}
-	f.list.set(list...)
+	s.lister.setUpstreams(list...)
 }
 
 // crash ends the upstream's process, with all its connections, and starts another
 // after a while.
-func (c *crasher) crash(cause string) {
-	f := c.farm
-	f.mu.Lock()
-	s := c.server
-	c.server = nil
-	if c.front != nil {
-		c.front.down = true
+func (u *fakeUpstream) crash(body string) {
+	set := u.set
+	set.mu.Lock()
+	server := u.server
+	u.server = nil
+	if u.proxy != nil {
+		u.proxy.upstreamDown = true
 	}
-	if s != nil && cause != "" {
-		f.ends[cause] = append(f.ends[cause], time.Now())
+	if server != nil && body != "" {
+		set.crashTimes[body] = append(set.crashTimes[body], time.Now())
 	}
-	f.mu.Unlock()
-	if s == nil {
+	set.mu.Unlock()
+	if server == nil {
 		return
 	}
-	s.Close()
-	time.AfterFunc(downTime, c.back)
+	server.Close()
+	time.AfterFunc(restartDelay, u.restart)
 }
 
-// back starts the next life at the address.
-func (c *crasher) back() {
-	f := c.farm
+// restart starts the next life at the address.
+func (u *fakeUpstream) restart() {
+	set := u.set
 	for range 500 {
-		l, err := net.Listener(nil), error(nil)
-		if c.front == nil {
-			l, err = net.Listen("tcp", c.address.String())
+		listener, err := net.Listener(nil), error(nil)
+		if u.proxy == nil {
+			listener, err = net.Listen("tcp", u.address.String())
 		}
 		if err != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		f.mu.Lock()
+		set.mu.Lock()
 		switch {
-		case !f.closed:
-			c.begin(l)
-		case l != nil:
-			l.Close()
+		case !set.closed:
+			u.start(listener)
+		case listener != nil:
+			listener.Close()
 		}
-		lag := f.listLag
-		f.mu.Unlock()
-		time.AfterFunc(lag, f.tell)
+		listDelay := set.listDelay
+		set.mu.Unlock()
+		time.AfterFunc(listDelay, set.publishList)
 		return
 	}
 }
 
-// life is one life's handler.
-func (c *crasher) life(id string) http.HandlerFunc {
+// handler is one handler's handler.
+func (u *fakeUpstream) handler(incarnation string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		text, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -284,47 +284,47 @@
 		}
 		body := string(text)
 		w.Header().Set("Request", r.Header.Get("Request"))
-		if r.Header.Get("Incarnation") != id {
+		if r.Header.Get("Incarnation") != incarnation {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		f := c.farm
-		f.mu.Lock()
-		f.arrivals = append(f.arrivals, arrival{
-			body:  body,
-			at:    time.Now(),
-			place: c,
-
-			dataCentre: c.dataCentre,
+		set := u.set
+		set.mu.Lock()
+		set.requests = append(set.requests, receivedRequest{
+			body:     body,
+			at:       time.Now(),
+			upstream: u,
+
+			dataCentre: u.dataCentre,
 		})
-		if c.limit > 0 {
-			w.Header().Set("Limit", fmt.Sprint(c.limit))
+		if u.rateLimit > 0 {
+			w.Header().Set("Limit", fmt.Sprint(u.rateLimit))
 		}
-		breaks := f.breaks > 0 && len(f.arrivals)*37%100 < f.breaks
-		f.mu.Unlock()
-		streams := strings.HasPrefix(r.URL.Path, "/stream/")
-		if streams {
+		abort := set.abortPercent > 0 && len(set.requests)*37%100 < set.abortPercent
+		set.mu.Unlock()
+		isStream := strings.HasPrefix(r.URL.Path, "/stream/")
+		if isStream {
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.WriteHeader(http.StatusOK)
 			http.NewResponseController(w).Flush()
 		}
-		if strings.HasPrefix(body, poison) {
-			time.Sleep(runTime)
-			c.crash(body)
+		if strings.HasPrefix(body, crashBodyPrefix) {
+			time.Sleep(crashDelay)
+			u.crash(body)
 			panic(http.ErrAbortHandler) // also where another has just ended the upstream
 		}
-		after, _ := strconv.Atoi(r.Header.Get("After"))
-		for n := after + 1; streams && n <= f.events; n++ {
-			time.Sleep(f.pace)
+		lastEvent, _ := strconv.Atoi(r.Header.Get("After"))
+		for n := lastEvent + 1; isStream && n <= set.eventsPerStream; n++ {
+			time.Sleep(set.eventInterval)
 			fmt.Fprintf(w, "id: %d\ndata: x\n\n", n)
 			http.NewResponseController(w).Flush()
-			if breaks && n == f.events/2 {
+			if abort && n == set.eventsPerStream/2 {
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if !streams {
-			time.Sleep(f.pace)
-			if breaks {
+		if !isStream {
+			time.Sleep(set.eventInterval)
+			if abort {
 				panic(http.ErrAbortHandler)
 			}
 			io.WriteString(w, body)
@@ -332,71 +332,71 @@
 	}
 }
 
-// reached counts the arrivals of a body after the time.
-func (f *farm) reached(body string, after time.Time) (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, a := range f.arrivals {
-		if a.body == body && a.at.After(after) {
+// requestCount counts the arrivals of a body after the time.
+func (s *fakeUpstreamSet) requestCount(body string, after time.Time) (n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.requests {
+		if r.body == body && r.at.After(after) {
 			n++
 		}
 	}
 	return n
 }
 
-// lastAt returns when the body came last, the zero time if it never did.
-func (f *farm) lastAt(body string) (last time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, a := range f.arrivals {
-		if a.body == body && a.at.After(last) {
-			last = a.at
+// lastRequestTime returns when the body came last, the zero time if it never did.
+func (s *fakeUpstreamSet) lastRequestTime(body string) (last time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.requests {
+		if r.body == body && r.at.After(last) {
+			last = r.at
 		}
 	}
 	return last
 }
 
-// ended returns when the body had ended so many upstreams, false if it has not.
-func (f *farm) ended(body string, upstreams int) (time.Time, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at := slices.Clone(f.ends[body])
-	if len(at) < upstreams {
+// nthCrashTime returns when the body had nthCrashTime so many upstreams, false if it has not.
+func (s *fakeUpstreamSet) nthCrashTime(body string, n int) (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	times := slices.Clone(s.crashTimes[body])
+	if len(times) < n {
 		return time.Time{}, false
 	}
-	slices.SortFunc(at, time.Time.Compare)
-	return at[upstreams-1], true
+	slices.SortFunc(times, time.Time.Compare)
+	return times[n-1], true
 }
 
-// taker takes an answer.
-type taker struct {
+// responseRecorder takes an answer.
+type responseRecorder struct {
 	status int
 	body   bytes.Buffer
 }
 
-func (k *taker) Head(h persimmoncross.PassageHead) error {
-	k.status = h.Status
+func (r *responseRecorder) Head(h persimmoncross.PassageHead) error {
+	r.status = h.Status
 	return nil
 }
 
-func (k *taker) Write(p []byte) error {
-	_, err := k.body.Write(p)
+func (r *responseRecorder) Write(p []byte) error {
+	_, err := r.body.Write(p)
 	return err
 }
 
-func (k *taker) Flush() error { return nil }
+func (r *responseRecorder) Flush() error { return nil }
 
-var passages struct {
+var requestIDs struct {
 	mu   sync.Mutex // guards last
 	last int
 }
 
-// ask sends a request at an entry, under an id of its own, and returns what came.
-func ask(e *Entry, route, body string) (*taker, *persimmoncross.Refusal) {
-	passages.mu.Lock()
-	passages.last++
-	id := fmt.Sprint("p", passages.last)
-	passages.mu.Unlock()
+// sendRequest sends a request at an entry, under an id of its own, and returns what came.
+func sendRequest(e *Entry, route, body string) (*responseRecorder, *persimmoncross.Refusal) {
+	requestIDs.mu.Lock()
+	requestIDs.last++
+	id := fmt.Sprint("p", requestIDs.last)
+	requestIDs.mu.Unlock()
 	now := time.Now()
 	p := &persimmoncross.Passage{
 		ID:       id,
@@ -410,6 +410,6 @@
 		Arrived:  now,
 		Deadline: now.Add(10 * time.Second),
 	}
-	k := &taker{}
-	return k, e.Relay().Serve(context.Background(), p, k)
+	recorder := &responseRecorder{}
+	return recorder, e.Relay().Serve(context.Background(), p, recorder)
 }
--- a/internal/node/documents.go
+++ b/internal/node/documents.go
@@ -15,129 +15,129 @@
 // against the document that the entry holds, in parts that show life on the way,
 // and only by the one controller that the entry follows.
 const (
-	// partSize is what a slow link carries in a part of the silence after which a
+	// maxPartBytes is what a slow link carries in a part of the silence after which a
 	// controller is left: 13 ms of 10 Mbit/s, 0.2 s of a fiftieth of that.
-	partSize = 16 << 10
-	// keptDocuments are held as bases. One that was overtaken may be what an entry
+	maxPartBytes = 16 << 10
+	// maxKeptDocuments are held as bases. One that was overtaken may be what an entry
 	// holds that was being sent it, or was cut off for some changes.
-	keptDocuments = 4
+	maxKeptDocuments = 4
 )
 
 // document is one numbered document.
 type document struct {
-	number uint64
-	sum    uint64
-	source []byte
+	number   uint64
+	checksum uint64
+	source   []byte
 }
 
-// shelf holds the newest document and those before it, packed for followers.
-type shelf struct {
-	packing sync.Mutex // held while a document is packed: one at a time, and each once
+// documentStore holds the newest document and those before it, packed for followers.
+type documentStore struct {
+	packMu sync.Mutex // held while a document is packed: one at a time, and each once
 
-	mu     sync.Mutex        // guards all below; never held for long, the log's goroutine takes it
-	kept   []document        // the newest last
-	packed map[uint64][]byte // the newest, by the number that it is packed against; 0: by itself
-	whole  func() []byte     // packs the newest by itself
+	mu           sync.Mutex        // guards all below; never held for long, the log's goroutine takes it
+	documents    []document        // the newest last
+	packedByBase map[uint64][]byte // the newest, by the number that it is packed against; 0: by itself
+	packWhole    func() []byte     // packs the newest by itself
 }
 
-// put takes a newer document.
-func (s *shelf) put(number uint64, source []byte, whole func() []byte) {
+// add takes a newer document.
+func (s *documentStore) add(number uint64, source []byte, packWhole func() []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := len(s.kept); n > 0 && s.kept[n-1].number >= number {
+	if n := len(s.documents); n > 0 && s.documents[n-1].number >= number {
 		return
 	}
-	s.kept = append(s.kept, document{
-		number: number,
-		sum:    packed.Sum(source),
-		source: source,
+	s.documents = append(s.documents, document{
+		number:   number,
+		checksum: packed.Sum(source),
+		source:   source,
 	})
-	if n := len(s.kept); n > keptDocuments {
-		s.kept = slices.Clone(s.kept[n-keptDocuments:])
+	if n := len(s.documents); n > maxKeptDocuments {
+		s.documents = slices.Clone(s.documents[n-maxKeptDocuments:])
 	}
-	s.packed = map[uint64][]byte{}
-	s.whole = whole
+	s.packedByBase = map[uint64][]byte{}
+	s.packWhole = packWhole
 }
 
-// transfer is a document on its way to one follower.
-type transfer struct {
+// documentTransfer is a document on its way to one follower.
+type documentTransfer struct {
 	document document
 	base     uint64
 	data     []byte // packed; shared and never changed
 	offset   int
 }
 
-// need is the document that a follower lacks.
-type need struct {
-	newest document
-	base   document // its number is 0: the newest is packed by itself
-	whole  func() []byte
-	data   []byte // nil: not packed yet
+// missingDocument is the document that a follower lacks.
+type missingDocument struct {
+	newest    document
+	base      document // its number is 0: the newest is packed by itself
+	packWhole func() []byte
+	packed    []byte // nil: not packed yet
 }
 
-// look returns what a follower lacks that holds the document with the number and
+// lookUpMissing returns what a follower lacks that holds the document with the number and
 // sum, and false where that is the newest.
-func (s *shelf) look(number, sum uint64) (n need, lacks bool) {
+func (s *documentStore) lookUpMissing(number, checksum uint64) (missing missingDocument, isMissing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.kept) == 0 || s.kept[len(s.kept)-1].number <= number {
-		return n, false
-	}
-	n.newest = s.kept[len(s.kept)-1]
-	n.whole = s.whole
-	for _, d := range s.kept {
-		if d.number == number && d.sum == sum {
-			n.base = d
+	if len(s.documents) == 0 || s.documents[len(s.documents)-1].number <= number {
+		return missing, false
+	}
+	missing.newest = s.documents[len(s.documents)-1]
+	missing.packWhole = s.packWhole
+	for _, d := range s.documents {
+		if d.number == number && d.checksum == checksum {
+			missing.base = d
 		}
 	}
-	n.data = s.packed[n.base.number]
-	return n, true
+	missing.packed = s.packedByBase[missing.base.number]
+	return missing, true
 }
 
-// from begins to send the newest document to a follower that holds another,
+// newTransfer begins to send the newest document to a follower that holds another,
 // nil where that is the newest itself.
-func (s *shelf) from(number, sum uint64) *transfer {
-	n, lacks := s.look(number, sum)
-	if lacks && n.data == nil {
-		s.packing.Lock()
-		defer s.packing.Unlock()
-		if n, lacks = s.look(number, sum); lacks && n.data == nil {
-			n.data = s.pack(n)
+func (s *documentStore) newTransfer(number, checksum uint64) *documentTransfer {
+	missing, isMissing := s.lookUpMissing(number, checksum)
+	if isMissing && missing.packed == nil {
+		s.packMu.Lock()
+		defer s.packMu.Unlock()
+		if missing, isMissing = s.lookUpMissing(number, checksum); isMissing && missing.packed == nil {
+			missing.packed = s.pack(missing)
 		}
 	}
-	if !lacks {
+	if !isMissing {
 		return nil
 	}
-	return &transfer{
-		document: n.newest,
-		base:     n.base.number,
-		data:     n.data,
+	return &documentTransfer{
+		document: missing.newest,
+		base:     missing.base.number,
+		data:     missing.packed,
 	}
 }
 
 // pack packs a document and keeps it for other followers. The caller holds packing.
-func (s *shelf) pack(n need) []byte {
+func (s *documentStore) pack(missing missingDocument) []byte {
 	var data []byte
-	if n.base.number == 0 {
-		data = n.whole()
+	if missing.base.number == 0 {
+		data = missing.packWhole()
 	} else {
-		data = packed.Since(n.base.source, n.newest.source)
+		data = packed.Since(missing.base.source, missing.newest.source)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.kept[len(s.kept)-1].number == n.newest.number {
-		s.packed[n.base.number] = data
+	if s.documents[len(s.documents)-1].number == missing.newest.number {
+		s.packedByBase[missing.base.number] = data
 	}
 	return data
 }
 
-// part returns the next part, and whether it is the last.
-func (t *transfer) part() (p *wire.Part, last bool) {
-	end := min(t.offset+partSize, len(t.data))
+// nextPart returns the next nextPart, and whether it is the last.
+func (t *documentTransfer) nextPart() (p *wire.Part, last bool) {
+	end := min(t.offset+maxPartBytes, len(t.data))
 	p = &wire.Part{
 		Number: t.document.number,
 		Base:   t.base,
-		Sum:    t.document.sum,
+		Sum:    t.document.checksum,
 		Size:   uint32(len(t.data)),
 		Offset: uint32(t.offset),
 		Data:   t.data[t.offset:end],
@@ -146,40 +146,40 @@
 	return p, end == len(t.data)
 }
 
-// draft is a document of which parts have come.
-type draft struct {
+// partialDocument is a document of which parts have come.
+type partialDocument struct {
 	number uint64
 	data   []byte
 }
 
-// errPart tells that the parts of a document don't make one that can be used.
-var errPart = errors.New("node: a document came in parts that don't fit")
+// errInvalidParts tells that the parts of a document don't make one that can be used.
+var errInvalidParts = errors.New("node: a document came in parts that don't fit")
 
-// add takes a part. It returns the document once it is whole; base returns the
+// addPart takes a part. It returns the document once it is whole; base returns the
 // one that it was packed against.
-func (d *draft) add(p *wire.Part, base func(number uint64) []byte) ([]byte, error) {
+func (d *partialDocument) addPart(p *wire.Part, baseSource func(number uint64) []byte) ([]byte, error) {
 	if p.GetOffset() == 0 {
 		d.number = p.GetNumber()
 		d.data = nil
 	}
 	if p.GetNumber() != d.number || int(p.GetOffset()) != len(d.data) || p.GetSize() > packed.LimitPacked {
-		return nil, errPart
+		return nil, errInvalidParts
 	}
 	d.data = append(d.data, p.GetData()...)
 	if len(d.data) < int(p.GetSize()) {
 		return nil, nil
 	}
-	var against []byte
+	var base []byte
 	if p.GetBase() != 0 {
-		against = base(p.GetBase())
+		base = baseSource(p.GetBase())
 	}
-	source, err := packed.Open(d.data, against)
+	source, err := packed.Open(d.data, base)
 	d.data = nil
 	if err != nil {
 		return nil, err
 	}
 	if packed.Sum(source) != p.GetSum() {
-		return nil, errPart
+		return nil, errInvalidParts
 	}
 	return source, nil
 }
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -20,96 +20,96 @@
 // A document that the entry holds and that is no base any more is asked for
 // whole, and what can't be made out is never in force.
 func TestDocumentsInParts(t *testing.T) {
-	base, next := documentOf(1, 300), documentOf(2, 301)
-	parts := func(t *transfer) []*wire.Part {
+	base, next := testDocument(1, 300), testDocument(2, 301)
+	parts := func(t *documentTransfer) []*wire.Part {
 		var all []*wire.Part
 		for last := false; !last; {
 			var p *wire.Part
-			p, last = t.part()
+			p, last = t.nextPart()
 			all = append(all, p)
 		}
 		return all
 	}
-	s := &shelf{}
+	s := &documentStore{}
 	put := func(number uint64, source []byte) {
-		s.put(number, source, func() []byte { return packed.Whole(source) })
+		s.add(number, source, func() []byte { return packed.Whole(source) })
 	}
 	put(1, base)
 	put(2, next)
 	put(1, base) // late
-	if s.from(2, packed.Sum(next)) != nil || s.from(3, 0) != nil {
+	if s.newTransfer(2, packed.Sum(next)) != nil || s.newTransfer(3, 0) != nil {
 		t.Error("a document is sent to who holds it, or a later one")
 	}
-	if got := s.from(1, packed.Sum(base)+1); got.base != 0 {
+	if got := s.newTransfer(1, packed.Sum(base)+1); got.base != 0 {
 		t.Error("packed against a document that the entry does not hold")
 	}
-	whole, less := parts(s.from(0, 0)), parts(s.from(1, packed.Sum(base)))
-	large := &transfer{
+	whole, delta := parts(s.newTransfer(0, 0)), parts(s.newTransfer(1, packed.Sum(base)))
+	large := &documentTransfer{
 		document: document{
-			number: 2,
-			sum:    packed.Sum(next),
+			number:   2,
+			checksum: packed.Sum(next),
 		},
-		data: append(packed.Whole(next), make([]byte, 3*partSize)...),
+		data: append(packed.Whole(next), make([]byte, 3*maxPartBytes)...),
 	}
-	other := parts(large)
-	damaged := proto.Clone(less[0]).(*wire.Part)
+	largeParts := parts(large)
+	damaged := proto.Clone(delta[0]).(*wire.Part)
 	damaged.Sum++
-	huge := proto.Clone(less[0]).(*wire.Part)
-	huge.Size = 1 << 31
+	oversized := proto.Clone(delta[0]).(*wire.Part)
+	oversized.Size = 1 << 31
 	for _, tt := range []struct {
-		what  string
+		name  string
 		parts []*wire.Part
 		held  []byte
 		ok    bool
 	}{
 		{"whole", whole, nil, true},
-		{"what differs", less, base, true},
-		{"what differs, without the base", less, nil, false},
-		{"what differs, of another base", less, documentOf(1, 299), false},
+		{"what differs", delta, base, true},
+		{"what differs, without the base", delta, nil, false},
+		{"what differs, of another base", delta, testDocument(1, 299), false},
 		{"another sum", []*wire.Part{damaged}, base, false},
-		{"a part is missing", append(other[:1:1], other[2:]...), nil, false},
-		{"a part comes twice", append(other[:1:1], other...), nil, false},
-		{"begun anew", append(other[:2:2], whole...), nil, true},
-		{"not from the beginning", other[1:], nil, false},
-		{"larger than any document", []*wire.Part{huge}, base, false},
-		{"what follows is no document", other, nil, false},
+		{"a part is missing", append(largeParts[:1:1], largeParts[2:]...), nil, false},
+		{"a part comes twice", append(largeParts[:1:1], largeParts...), nil, false},
+		{"begun anew", append(largeParts[:2:2], whole...), nil, true},
+		{"not from the beginning", largeParts[1:], nil, false},
+		{"larger than any document", []*wire.Part{oversized}, base, false},
+		{"what follows is no document", largeParts, nil, false},
 	} {
-		d := &draft{}
+		assembly := &partialDocument{}
 		var got []byte
 		var err error
 		for _, p := range tt.parts {
-			if got, err = d.add(p, func(uint64) []byte { return tt.held }); err != nil {
+			if got, err = assembly.addPart(p, func(uint64) []byte { return tt.held }); err != nil {
 				break
 			}
 		}
 		if tt.ok && (err != nil || !bytes.Equal(got, next)) || !tt.ok && got != nil {
-			t.Errorf("%s: %d bytes, %v", tt.what, len(got), err)
+			t.Errorf("%s: %d bytes, %v", tt.name, len(got), err)
 		}
 	}
-	for number := range uint64(2 * keptDocuments) {
-		put(3+number, documentOf(3+number, 300))
+	for number := range uint64(2 * maxKeptDocuments) {
+		put(3+number, testDocument(3+number, 300))
 	}
-	if got := s.from(1, packed.Sum(base)); got.base != 0 || len(s.kept) != keptDocuments {
-		t.Errorf("base %d, %d documents kept", got.base, len(s.kept))
+	if got := s.newTransfer(1, packed.Sum(base)); got.base != 0 || len(s.documents) != maxKeptDocuments {
+		t.Errorf("base %d, %d documents kept", got.base, len(s.documents))
 	}
 }
 
 // An entry whose document is no base that controllers know of gets the next one
 // all the same.
-func TestDamagedDocumentIsAskedForWhole(t *testing.T) {
+func TestDamagedDocumentIsFetchedWhole(t *testing.T) {
 	f := newFleet(t, 83)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 3; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	f.declareDocument(all[0], 1, documentOf(1, 100))
-	e := f.entry(6)
-	f.inForce(e, 1)
+	f.declareDocument(controllers[0], 1, testDocument(1, 100))
+	e := f.startEntry(6)
+	f.waitForDocument(e, 1)
 	e.mu.Lock()
-	e.document.source = documentOf(1, 99) // what is held is not what its sum says
+	e.document.source = testDocument(1, 99) // what is held is not what its sum says
 	e.mu.Unlock()
-	f.declareDocument(all[0], 2, documentOf(2, 101))
-	f.inForce(e, 2)
+	f.declareDocument(controllers[0], 2, testDocument(2, 101))
+	f.waitForDocument(e, 2)
 	if n := metrics.GetOrRegisterCounter("follow.document.damaged", e.Metrics).Count(); n == 0 {
 		t.Error("nothing was counted")
 	}
@@ -117,8 +117,8 @@
 
 // Lists of thousands go in parts, and only the whole of one comes into force.
 func TestLongListsInParts(t *testing.T) {
-	h := newHub(persimmoncross.SystemClock{})
-	list := func(n int, leaving bool) []persimmoncross.Upstream {
+	h := newPublisher(persimmoncross.SystemClock{})
+	newList := func(n int, leaving bool) []persimmoncross.Upstream {
 		var all []persimmoncross.Upstream
 		for i := range n {
 			all = append(all, persimmoncross.Upstream{
@@ -131,85 +131,85 @@
 		return all
 	}
 	var got []persimmoncross.Upstream
-	taken := 0
+	applied := 0
 	f := &follower{
 		Take: func(u *wire.Update) bool {
 			if u.GetListed() {
 				got = upstreamsOf(u)
-				taken++
+				applied++
 			}
 			return true
 		},
 	}
-	a, s := &found{}, &sent{}
-	for _, want := range [][]persimmoncross.Upstream{list(4_100, false), list(4_100, true), list(10, true), nil} {
+	a, s := &controllerStream{}, &followerState{}
+	for _, want := range [][]persimmoncross.Upstream{newList(4_100, false), newList(4_100, true), newList(10, true), nil} {
 		h.setList(want, time.Now())
-		taken = 0
-		for first := true; first || s.pending(); first = false {
-			u, _ := h.next(s, true, nil)
+		applied = 0
+		for first := true; first || s.hasPending(); first = false {
+			u, _ := h.nextUpdate(s, true, nil)
 			if n := proto.Size(u); n > 20<<10 {
 				t.Errorf("an update of %d bytes", n)
 			}
-			if s.pending() && u.GetAge() >= 0 {
+			if s.hasPending() && u.GetAge() >= 0 {
 				t.Error("the age of a list that has not come")
 			}
-			if err := a.take(f, u); err != nil {
+			if err := a.handleUpdate(f, u); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if taken != 1 || !slices.EqualFunc(got, want, sameUpstream) {
-			t.Fatalf("%d upstreams after %d takings, want %d", len(got), taken, len(want))
+		if applied != 1 || !slices.EqualFunc(got, want, equalUpstream) {
+			t.Fatalf("%d upstreams after %d takings, want %d", len(got), applied, len(want))
 		}
 	}
-	asks := &sent{
-		asks:  true,
-		entry: true,
+	searcher := &followerState{
+		probing: true,
+		entry:   true,
 	}
-	h.setList(list(4_100, false), time.Now())
-	if u, _ := h.next(asks, true, nil); u.GetListed() || u.GetAge() >= 0 || asks.pending() {
+	h.setList(newList(4_100, false), time.Now())
+	if u, _ := h.nextUpdate(searcher, true, nil); u.GetListed() || u.GetAge() >= 0 || searcher.hasPending() {
 		t.Error("a follower that only asks is sent the list")
 	}
 }
 
 // While a document is packed, a later one is taken and the log is not held up; who
 // waits for the earlier one gets it, and it is not kept for others.
-func TestPackingHoldsUpNobody(t *testing.T) {
-	s := &shelf{}
-	first, second := documentOf(1, 50), documentOf(2, 51)
-	begun, goOn := make(chan struct{}), make(chan struct{})
-	packings := 0
-	s.put(1, first, func() []byte {
-		packings++
-		close(begun)
-		<-goOn
+func TestPackingDoesNotBlock(t *testing.T) {
+	s := &documentStore{}
+	first, second := testDocument(1, 50), testDocument(2, 51)
+	started, proceed := make(chan struct{}), make(chan struct{})
+	packCount := 0
+	s.add(1, first, func() []byte {
+		packCount++
+		close(started)
+		<-proceed
 		return packed.Whole(first)
 	})
-	var wait sync.WaitGroup
-	got := make([]*transfer, 3)
-	wait.Go(func() { got[0] = s.from(0, 0) })
-	<-begun
-	s.put(2, second, func() []byte { return packed.Whole(second) }) // would wait for ever
-	wait.Go(func() { got[1] = s.from(0, 0) })
-	wait.Go(func() { got[2] = s.from(1, packed.Sum(first)) })
-	close(goOn)
-	wait.Wait()
+	var group sync.WaitGroup
+	got := make([]*documentTransfer, 3)
+	group.Go(func() { got[0] = s.newTransfer(0, 0) })
+	<-started
+	s.add(2, second, func() []byte { return packed.Whole(second) }) // would wait for ever
+	group.Go(func() { got[1] = s.newTransfer(0, 0) })
+	group.Go(func() { got[2] = s.newTransfer(1, packed.Sum(first)) })
+	close(proceed)
+	group.Wait()
 	for i, want := range []struct {
 		number, base uint64
 		source       []byte
 	}{{1, 0, first}, {2, 0, second}, {2, 1, second}} {
-		var against []byte
+		var base []byte
 		if want.base == 1 {
-			against = first
+			base = first
 		}
-		opened, err := packed.Open(got[i].data, against)
-		if err != nil || got[i].document.number != want.number || got[i].base != want.base || !bytes.Equal(opened, want.source) {
+		unpacked, err := packed.Open(got[i].data, base)
+		if err != nil || got[i].document.number != want.number || got[i].base != want.base || !bytes.Equal(unpacked, want.source) {
 			t.Errorf("%d: document %d against %d, %v", i, got[i].document.number, got[i].base, err)
 		}
 	}
-	if packings != 1 || !bytes.Equal(s.packed[0], packed.Whole(second)) {
-		t.Errorf("packed %d times; kept is not the newest", packings)
+	if packCount != 1 || !bytes.Equal(s.packedByBase[0], packed.Whole(second)) {
+		t.Errorf("packed %d times; kept is not the newest", packCount)
 	}
-	if again := s.from(0, 0); &again.data[0] != &s.packed[0][0] {
+	if again := s.newTransfer(0, 0); &again.data[0] != &s.packedByBase[0][0] {
 		t.Error("the newest is packed for each follower")
 	}
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -16,98 +16,98 @@
 
 // Times of the leader's duties.
 const (
-	dutyEvery = 200 * time.Millisecond
-	// listPart is the part of the drain time after which the list is read again:
+	loopInterval = 200 * time.Millisecond
+	// listReadsPerDrain is the part of the drain time after which the list is read again:
 	// with the list's own lag and the way to the entries it leaves half unused.
-	listPart  = 6
-	listLeast = 250 * time.Millisecond
-	listWait  = 3 * time.Second // thousands of upstreams are on tens of pages
-	listRest  = 2               // times as long as a reading took it is not begun again
-	listTick  = 100 * time.Millisecond
-	// voterPatience is the silence after which a voter that has a successor is
+	listReadsPerDrain     = 6
+	minListReadInterval   = 250 * time.Millisecond
+	listReadTimeout       = 3 * time.Second // thousands of upstreams are on tens of pages
+	minListIntervalFactor = 2               // times as long as a reading took it is not begun again
+	listCheckInterval     = 100 * time.Millisecond
+	// voterSilenceTimeout is the silence after which a voter that has a successor is
 	// removed: several elections, well within the time a new disk has to count.
-	voterPatience = 1500 * time.Millisecond
-	changeWait    = 2 * time.Second
+	voterSilenceTimeout = 1500 * time.Millisecond
+	voterChangeTimeout  = 2 * time.Second
 )
 
-// listEvery returns the pause between two readings of the list of upstreams.
-func (c *Controller) listEvery() time.Duration {
-	return max(c.Site.Bounds.Drain/listPart, listLeast)
+// listReadInterval returns the pause between two readings of the list of upstreams.
+func (c *Controller) listReadInterval() time.Duration {
+	return max(c.Site.Bounds.Drain/listReadsPerDrain, minListReadInterval)
 }
 
-// listDuty reads the list while this controller leads, and at once where it is
+// runListReader reads the list while this controller leads, and at once where it is
 // older than it should be, as after an election.
-func (c *Controller) listDuty(ctx context.Context) {
-	rest := time.Duration(0)
+func (c *Controller) runListReader(ctx context.Context) {
+	minInterval := time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Clock.After(listTick):
+		case <-c.Clock.After(listCheckInterval):
 		}
-		_, read := c.hub.upstreams()
-		began := c.Clock.Now()
-		leads := c.leadsNow()
-		if news := c.colds.look(leads, began); news && leads {
-			c.updateColds(began) // whether the list can be read or not
+		_, readAt := c.publisher.upstreams()
+		startedAt := c.Clock.Now()
+		isLeader := c.isLeaderWithLease()
+		if needsUpdate := c.coldTracker.refresh(isLeader, startedAt); needsUpdate && isLeader {
+			c.updateColdUpstreams(startedAt) // whether the list can be read or not
 		}
-		if leads && began.Sub(read) >= max(c.listEvery(), rest) {
+		if isLeader && startedAt.Sub(readAt) >= max(c.listReadInterval(), minInterval) {
 			c.readList(ctx)
-			rest = listRest * c.Clock.Now().Sub(began)
+			minInterval = minListIntervalFactor * c.Clock.Now().Sub(startedAt)
 		}
 	}
 }
 
 func (c *Controller) readList(ctx context.Context) {
-	began := c.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, listWait)
+	startedAt := c.Clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	list, err := c.Lister.Upstreams(ctx)
 	if err != nil {
-		c.count("list.failed")
+		c.incrementCounter("list.failed")
 		c.Log.Warn().Err(err).Msg("the list of upstreams was not read")
 		return
 	}
-	c.colds.list, c.colds.read = list, began
-	c.updateColds(c.Clock.Now())
-	c.hub.setList(list, began)
+	c.coldTracker.list, c.coldTracker.listReadAt = list, startedAt
+	c.updateColdUpstreams(c.Clock.Now())
+	c.publisher.setList(list, startedAt)
 }
 
-// votersDuty keeps the set of voters whole while this controller leads.
-func (c *Controller) votersDuty(ctx context.Context) {
+// runVoterChanges keeps the set of voters whole while this controller leads.
+func (c *Controller) runVoterChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Clock.After(dutyEvery):
+		case <-c.Clock.After(loopInterval):
 		}
-		if c.leadsNow() {
+		if c.isLeaderWithLease() {
 			c.changeVoters(ctx)
 		}
 	}
 }
 
 func (c *Controller) changeVoters(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, changeWait)
+	ctx, cancel := context.WithTimeout(ctx, voterChangeTimeout)
 	defer cancel()
 	facts := steward.Facts{
 		Self:     c.store.member,
 		Voters:   c.group.View().Set.Voters,
 		Silence:  map[persimmoncross.MemberID]time.Duration{},
 		Wanted:   2*c.Site.Losses + 1,
-		Patience: voterPatience,
+		Patience: voterSilenceTimeout,
 	}
-	for _, k := range c.group.Members(ctx) {
-		if k.Voter {
-			facts.Silence[k.Member.ID] = k.Silence
+	for _, member := range c.group.Members(ctx) {
+		if member.Voter {
+			facts.Silence[member.Member.ID] = member.Silence
 			continue
 		}
-		if k.Silence > voterPatience {
+		if member.Silence > voterSilenceTimeout {
 			continue // it may never come back
 		}
 		facts.Learners = append(facts.Learners, steward.Learner{
-			Member:   k.Member,
-			CaughtUp: k.CaughtUp,
+			Member:   member.Member,
+			CaughtUp: member.CaughtUp,
 		})
 	}
 	change := steward.Decide(facts)
@@ -123,84 +123,84 @@
 	c.Log.Info().Err(err).Str("add", change.Add.VM).Uint64("remove", uint64(change.Remove)).Str("reason", change.Reason).Msg("voters")
 }
 
-// upgradeWatch remembers when this process first saw each upgrade. One goroutine
+// upgradeTracker remembers when this process first saw each upgrade. One goroutine
 // owns it.
-type upgradeWatch struct {
-	seen    map[uint64]seenUpgrade
-	current bool // this process has followed the log without a gap since the look before
+type upgradeTracker struct {
+	seen           map[uint64]seenUpgrade
+	hasFollowedLog bool // this process has followed the log without a gap since the look before
 }
 
 type seenUpgrade struct {
-	at      time.Time
+	seenAt  time.Time
 	elapsed time.Duration // at that moment
 }
 
-// watchLag is how long after its order an upgrade may first be seen here while
+// maxSeenDelay is how long after its order an upgrade may first be seen here while
 // the log is followed: a look, and the way of the order through the log.
-const watchLag = 2 * dutyEvery
+const maxSeenDelay = 2 * loopInterval
 
 // elapsed returns for how long the upgrade has been under way. What comes while
 // the log is followed has begun within watchLag; the time of day, which may jump,
 // is asked for that part of it, and for what was found after a start or a gap as
 // far as it is plausible. A completion that counts from the look is 0.1 s later on
 // average: the operator saw it too late on 14 of 102 plays of one day.
-func (w *upgradeWatch) elapsed(u register.Upgrade, now time.Time) time.Duration {
+func (w *upgradeTracker) elapsed(u register.Upgrade, now time.Time) time.Duration {
 	if w.seen == nil {
 		w.seen = map[uint64]seenUpgrade{}
 	}
 	s, ok := w.seen[u.Order]
 	if !ok {
-		s.at = now
-		most := 2 * u.Duration
-		if w.current {
-			most = watchLag
+		s.seenAt = now
+		maxElapsed := 2 * u.Duration
+		if w.hasFollowedLog {
+			maxElapsed = maxSeenDelay
 		}
-		if d := now.Sub(time.UnixMilli(u.Began)); d > 0 && d < most {
+		if d := now.Sub(time.UnixMilli(u.Began)); d > 0 && d < maxElapsed {
 			s.elapsed = d
 		}
 		w.seen[u.Order] = s
 	}
-	return s.elapsed + now.Sub(s.at)
+	return s.elapsed + now.Sub(s.seenAt)
 }
 
-// upgradesDuty moves upgrades on while this controller leads.
-func (c *Controller) upgradesDuty(ctx context.Context) {
+// runUpgrades moves upgrades on while this controller leads.
+func (c *Controller) runUpgrades(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Clock.After(dutyEvery):
+		case <-c.Clock.After(loopInterval):
 		}
-		accounts, entries := c.hub.recent(c.Clock.Now())
+		reports, entries := c.publisher.currentReports(c.Clock.Now())
 		for _, u := range c.register.Current().Upgrades {
-			elapsed := c.watch.elapsed(u, c.Clock.Now())
-			if c.leadsNow() && !u.Stage.Ended() {
-				c.advance(ctx, u, elapsed, accounts)
+			elapsed := c.upgradeTracker.elapsed(u, c.Clock.Now())
+			if c.isLeaderWithLease() && !u.Stage.Ended() {
+				c.advanceUpgrade(ctx, u, elapsed, reports)
 			}
 		}
-		if c.leadsNow() {
-			c.hub.setEntries(entries)
+		if c.isLeaderWithLease() {
+			c.publisher.setEntries(entries)
 		}
-		c.watch.current = c.leased()
+		c.upgradeTracker.hasFollowedLog = c.hasLease()
 	}
 }
 
-func (c *Controller) advance(ctx context.Context, u register.Upgrade, elapsed time.Duration, accounts []*wire.Account) {
-	list, _ := c.hub.upstreams()
-	list = remaining(list, c.register.Current().Evacuations)
-	stage, why := upgrade.Decide(u, elapsed, c.exposure(), pool(u, accounts), ready(u, list))
+func (c *Controller) advanceUpgrade(ctx context.Context, u register.Upgrade, elapsed time.Duration, reports []*wire.Account) {
+	list, _ := c.publisher.upstreams()
+	list = availableUpstreams(list, c.register.Current().Evacuations)
+	stage, reason := upgrade.Decide(u, elapsed, c.exposure(), sumTrials(u, reports), isTargetReady(u, list))
 	if stage == u.Stage {
 		return
 	}
-	_, err := c.order(ctx, register.Command{
+	_, err := c.propose(ctx, register.Command{
 		Advance: &register.Advance{
 			Service: u.Service,
 			Order:   u.Order,
 			Stage:   stage,
-			Kept:    kept(u, stage, accounts),
+			Kept:    keptSessions(u, stage, reports),
 		},
 	})
-	c.Log.Info().Err(err).Str("service", u.Service).Str("target", u.Target).Str("stage", string(stage)).Dur("elapsed", elapsed).Str("why", why).Msg("upgrade")
+	c.Log.Info().Err(err).Str("service", u.Service).Str("target", u.Target).Str("stage", string(stage)).Dur("elapsed", elapsed).Str("why", reason).Msg("upgrade")
 }
 
 // exposure returns what an unproven version may get.
@@ -211,66 +211,66 @@
 	}
 }
 
-// kept adds up the sessions that stay on the old version during a trial.
-func kept(u register.Upgrade, stage register.Stage, accounts []*wire.Account) []uint64 {
+// keptSessions adds up the sessions that stay on the old version during a trial.
+func keptSessions(u register.Upgrade, stage register.Stage, reports []*wire.Account) []uint64 {
 	if stage != register.Trial {
 		return nil
 	}
-	var all []uint64
-	for _, a := range accounts {
+	var sessions []uint64
+	for _, a := range reports {
 		for _, r := range a.GetRecent() {
 			if r.GetService() == u.Service && r.GetOrder() == u.Order {
-				all = append(all, r.GetSessions()...)
+				sessions = append(sessions, r.GetSessions()...)
 			}
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(sessions)
+	return slices.Compact(sessions)
 }
 
-// ready reports whether there are as many upstreams of the new version as of
+// isTargetReady reports whether there are as many upstreams of the new version as of
 // all others, so that it can take all requests.
-func ready(u register.Upgrade, list []persimmoncross.Upstream) bool {
-	fresh, old := 0, 0
+func isTargetReady(u register.Upgrade, list []persimmoncross.Upstream) bool {
+	updated, others := 0, 0
 	for _, x := range list {
 		switch {
 		case x.Service != u.Service || x.Leaving:
 		case x.Version == u.Target:
-			fresh++
+			updated++
 		default:
-			old++
+			others++
 		}
 	}
-	return fresh > 0 && 4*fresh >= 3*old
+	return updated > 0 && 4*updated >= 3*others
 }
 
-// pool adds up the accounts on one upgrade.
-func pool(u register.Upgrade, accounts []*wire.Account) upgrade.Pool {
-	p := upgrade.Pool{
+// sumTrials adds up the accounts on one upgrade.
+func sumTrials(u register.Upgrade, reports []*wire.Account) upgrade.Pool {
+	total := upgrade.Pool{
 		New: map[string]upgrade.Count{},
 		Old: map[string]upgrade.Count{},
 	}
-	for _, a := range accounts {
+	for _, a := range reports {
 		for _, t := range a.GetTrials() {
 			if t.GetService() != u.Service || t.GetOrder() != u.Order {
 				continue
 			}
-			side := p.Old
+			counts := total.Old
 			if t.GetVersion() == u.Target {
-				side = p.New
+				counts = total.New
 			}
-			c := side[t.GetRoute()]
+			c := counts[t.GetRoute()]
 			c.Runs += t.GetRuns()
 			c.Failed += t.GetFailed()
 			c.Timed += t.GetTimed()
 			c.Time += t.GetTime()
 			c.Square += t.GetSquare()
-			side[t.GetRoute()] = c
+			counts[t.GetRoute()] = c
 		}
 	}
-	return p
+	return total
 }
 
-func (c *Controller) count(name string) {
+func (c *Controller) incrementCounter(name string) {
 	metrics.GetOrRegisterCounter("controller."+name, c.Metrics).Inc(1)
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -37,38 +37,38 @@
 	Decode func(document []byte) (*catalog.Catalog, error)
 	Policy cascade.Confidence
 
-	incarnation string
-	relay       *relay.Relay
-	client      *forward.Client
-	evidence    *relay.Evidence
-	book        *quarantine.Book
-	pool        *relay.Pool
-	node        *peer.Node
-	follower    *follower // from Run on
-	view        atomic.Pointer[relay.View]
-	seeds       atomic.Pointer[[]string]
-	leaving     atomic.Bool
+	incarnation    string
+	relay          *relay.Relay
+	client         *forward.Client
+	evidence       *relay.Evidence
+	quarantineBook *quarantine.Book
+	pool           *relay.Pool
+	node           *peer.Node
+	follower       *follower // from Run on
+	view           atomic.Pointer[relay.View]
+	seeds          atomic.Pointer[[]string]
+	stopping       atomic.Bool
 
-	mu       sync.Mutex // guards all below
-	index    uint64
-	current  *register.State // without its document
-	document document
-	catalog  *catalog.Catalog // of document, or of the last one that could be read
-	targets  map[string][]*relay.Target
-	listRead time.Time                                     // when the list in force was read; zero: there is none
-	holds    map[persimmoncross.Digest]persimmoncross.Hold // never changed
-	holdsOf  uint64                                        // index of the state that they are of
-	keeper   *quarantine.Keeper                            // while no controller judges for all; nil: one does
-	rejoined time.Time                                     // when a controller judged again, while keeper refuses on; zero: none has
-	leased   time.Time                                     // when a controller last told that its state is recent
-	started  time.Time
-	entries  entryCount
+	mu          sync.Mutex // guards all below
+	stateIndex  uint64
+	state       *register.State // without its document
+	document    document
+	catalog     *catalog.Catalog // of document, or of the last one that could be read
+	targets     map[string][]*relay.Target
+	listReadAt  time.Time                                     // when the list in force was read; zero: there is none
+	holds       map[persimmoncross.Digest]persimmoncross.Hold // never changed
+	holdsIndex  uint64                                        // index of the state that they are of
+	localKeeper *quarantine.Keeper                            // while no controller judges for all; nil: one does
+	rejoinedAt  time.Time                                     // when a controller judged again, while keeper refuses on; zero: none has
+	leasedAt    time.Time                                     // when a controller last told that its state is recent
+	startedAt   time.Time
+	entries     entryCount
 }
 
 // Prepare makes the parts.
 func (e *Entry) Prepare() {
 	e.incarnation = uuid.NewString()
-	e.started = e.Clock.Now()
+	e.startedAt = e.Clock.Now()
 	e.SetSeeds(e.Site)
 	e.client = &forward.Client{
 		Codec:   e.Codec,
@@ -78,12 +78,12 @@
 	e.pool = &relay.Pool{
 		Clock: e.Clock,
 		Gone:  e.client.CloseIdle,
-		Again: e.startedAgain,
+		Again: e.upstreamRestarted,
 
 		Limits: &ratelimit.Store{},
 	}
 	e.evidence = &relay.Evidence{}
-	e.book = &quarantine.Book{
+	e.quarantineBook = &quarantine.Book{
 		VM: e.Site.Name,
 	}
 	e.relay = &relay.Relay{
@@ -103,7 +103,7 @@
 		},
 		Evidence: e.evidence,
 		Pressure: &relay.Pressure{},
-		Book:     e.book,
+		Book:     e.quarantineBook,
 		Limits:   e.pool.Limits,
 		Prober:   e.client,
 		Cascade:  e.Policy,
@@ -121,18 +121,18 @@
 	e.node.Prepare()
 }
 
-// startedAgain notes that an upstream is another one under the same name or at the same
+// upstreamRestarted notes that an upstream is another one under the same name or at the same
 // address: what was known of it is forgotten, and answers that broke off there were
 // its end.
-func (e *Entry) startedAgain(was, is persimmoncross.Upstream) {
+func (e *Entry) upstreamRestarted(previous, current persimmoncross.Upstream) {
 	metrics.GetOrRegisterCounter("upstreams.again", e.Metrics).Inc(1)
-	blamed := e.book.Succeeded(was.Life(), e.Clock.Now())
-	e.Log.Info().Str("upstream", was.Incarnation).Time("was", was.Started).Str("by", is.Incarnation).Time("started", is.Started).Str("address", is.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
+	blamed := e.quarantineBook.Succeeded(previous.Life(), e.Clock.Now())
+	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.Started).Str("by", current.Incarnation).Time("started", current.Started).Str("address", current.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
 }
 
 // SetSeeds takes the seeds of a file that was read again.
 func (e *Entry) SetSeeds(s *settings.Site) {
-	names := seedNames(s)
+	names := seedAddresses(s)
 	e.seeds.Store(&names)
 }
 
@@ -143,7 +143,7 @@
 // are upstreams of a service that it declares, and the process is not stopping.
 func (e *Entry) Ready() bool {
 	v := e.view.Load()
-	if e.leaving.Load() || v == nil || v.Catalog == nil {
+	if e.stopping.Load() || v == nil || v.Catalog == nil {
 		return false
 	}
 	for service := range v.Targets {
@@ -164,11 +164,11 @@
 
 // Run follows a controller until the context ends.
 func (e *Entry) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { e.node.Run(ctx) })
-	duties.Go(func() { e.client.Run(ctx) })
-	duties.Go(func() { e.listDuty(ctx) })
-	duties.Go(func() { e.holdsDuty(ctx) })
+	var loops sync.WaitGroup
+	loops.Go(func() { e.node.Run(ctx) })
+	loops.Go(func() { e.client.Run(ctx) })
+	loops.Go(func() { e.runFallbackListReader(ctx) })
+	loops.Go(func() { e.runLocalJudge(ctx) })
 	e.follower = &follower{
 		Name:  e.Site.Name,
 		Entry: true,
@@ -180,92 +180,92 @@
 		Log:      e.Log,
 		Metrics:  e.Metrics,
 		Seeds:    func() []string { return *e.seeds.Load() },
-		Accounts: e.accounts,
-		Take:     e.take,
+		Accounts: e.reports,
+		Take:     e.applyUpdate,
 
-		Held:         e.held,
-		TakeDocument: e.takeDocument,
+		Held:         e.heldDocument,
+		TakeDocument: e.applyDocument,
 
-		Loads:     e.loads,
-		TakeLoads: e.takeLoads,
+		Loads:     e.loadReport,
+		TakeLoads: e.applyLoads,
 
 		Incarnation: e.incarnation,
-		Cases:       e.toldCases,
+		Cases:       e.changedCases,
 		Limits:      e.pool.Limits,
-		TakeHolds:   e.takeHolds,
+		TakeHolds:   e.applyHolds,
 	}
-	duties.Go(func() { e.follower.run(ctx) })
-	duties.Wait()
+	loops.Go(func() { e.follower.run(ctx) })
+	loops.Wait()
 }
 
-// take brings an update into force. A state that is older than the one here is
+// applyUpdate brings an update into force. A state that is older than the one here is
 // not taken: it comes from a controller that lags. It returns false if the list
 // in the update is older than the one in force.
-func (e *Entry) take(u *wire.Update) bool {
+func (e *Entry) applyUpdate(u *wire.Update) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	changed := false
 	if u.GetLeased() {
-		e.leased = e.Clock.Now()
+		e.leasedAt = e.Clock.Now()
 	}
-	if e.entries.set(int(u.GetEntries()), e.Clock.Now()) {
-		e.pool.SetEntries(e.entries.n)
+	if e.entries.update(int(u.GetEntries()), e.Clock.Now()) {
+		e.pool.SetEntries(e.entries.count)
 		changed = true
 	}
-	if len(u.GetState()) > 0 && u.GetIndex() > e.index {
-		changed = e.takeState(u.GetState()) || changed
+	if len(u.GetState()) > 0 && u.GetIndex() > e.stateIndex {
+		changed = e.applyState(u.GetState()) || changed
 	}
-	if told := coldsOf(u, e.Clock.Now()); told != nil {
-		e.pool.Chill(told)
+	if cold := coldUpstreamsOf(u, e.Clock.Now()); cold != nil {
+		e.pool.Chill(cold)
 	}
-	if limits := limitsOf(u.GetLimits(), e.Clock.Now()); len(limits) > 0 {
+	if limits := fromWireLimits(u.GetLimits(), e.Clock.Now()); len(limits) > 0 {
 		e.pool.MergeLimits(limits)
 	}
-	taken := true
+	listApplied := true
 	if u.GetAge() >= 0 {
-		read := e.Clock.Now().Add(-time.Duration(u.GetAge()))
-		taken = read.After(e.listRead)
-		if taken && u.GetListed() {
+		readAt := e.Clock.Now().Add(-time.Duration(u.GetAge()))
+		listApplied = readAt.After(e.listReadAt)
+		if listApplied && u.GetListed() {
 			e.targets = e.pool.Update(upstreamsOf(u))
 			changed = true
 		}
-		if taken {
-			e.listRead = read
+		if listApplied {
+			e.listReadAt = readAt
 		}
 	}
 	if changed {
-		e.publish()
+		e.publishView()
 	}
-	return taken
+	return listApplied
 }
 
-func (e *Entry) takeState(data []byte) bool {
+func (e *Entry) applyState(data []byte) bool {
 	s, err := register.Decode(data)
 	if err != nil {
 		e.Log.Error().Err(err).Msg("a state of the controllers can't be read")
 		return false
 	}
-	if e.current != nil && s.Number < e.current.Number {
+	if e.state != nil && s.Number < e.state.Number {
 		return false
 	}
-	e.index = s.Index
-	if e.current != nil {
-		e.tookBack(e.current.Evacuations, s.Evacuations)
+	e.stateIndex = s.Index
+	if e.state != nil {
+		e.assumeReturnedCold(e.state.Evacuations, s.Evacuations)
 	}
-	e.current = s
+	e.state = s
 	return true
 }
 
-// held returns the document in force here.
-func (e *Entry) held() document {
+// heldDocument returns the document in force here.
+func (e *Entry) heldDocument() document {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.document
 }
 
-// takeDocument brings a document into force, unless it is older than the one
+// applyDocument brings a document into force, unless it is older than the one
 // here: it comes from a controller that lags.
-func (e *Entry) takeDocument(number uint64, source []byte) {
+func (e *Entry) applyDocument(number uint64, source []byte) {
 	c, err := e.Decode(source)
 	if err != nil {
 		e.Log.Error().Err(err).Uint64("number", number).Msg("a document that was kept can't be read")
@@ -276,28 +276,28 @@
 		return
 	}
 	e.document = document{
-		number: number,
-		sum:    packed.Sum(source),
-		source: source,
+		number:   number,
+		checksum: packed.Sum(source),
+		source:   source,
 	}
 	if err == nil {
 		e.catalog = c
-		e.publish()
+		e.publishView()
 	}
 }
 
-// publish makes the view that requests are served from.
-func (e *Entry) publish() {
+// publishView makes the view that requests are served from.
+func (e *Entry) publishView() {
 	v := &relay.View{
 		Catalog: e.catalog,
 		Targets: e.targets,
-		Entries: e.entries.n,
+		Entries: e.entries.count,
 
-		Holds: e.heldNow(),
+		Holds: e.effectiveHolds(),
 	}
-	if s := e.current; s != nil {
+	if s := e.state; s != nil {
 		v.Upgrades = s.Upgrades
-		v.Targets = remainingTargets(e.targets, s.Evacuations)
+		v.Targets = availableTargets(e.targets, s.Evacuations)
 	}
 	v.Reserved = relay.Reserve(v.Holds, v.Targets)
 	e.view.Store(v)
@@ -312,11 +312,11 @@
 	if v.Catalog != nil {
 		number = v.Catalog.Number
 	}
-	e.Log.Info().Uint64("index", e.index).Uint64("number", number).Int("services", len(v.Targets)).Int("entries", v.Entries).Int("holds", len(v.Holds)).Strs("evacuated", evacuated(e.current)).Msg("view")
+	e.Log.Info().Uint64("index", e.stateIndex).Uint64("number", number).Int("services", len(v.Targets)).Int("entries", v.Entries).Int("holds", len(v.Holds)).Strs("evacuated", evacuatedDataCentres(e.state)).Msg("view")
 }
 
-// accounts returns what this entry saw of upgrades.
-func (e *Entry) accounts() []*wire.Account {
+// reports returns what this entry saw of upgrades.
+func (e *Entry) reports() []*wire.Account {
 	a := &wire.Account{
 		Vm:          e.Site.Name,
 		Incarnation: e.incarnation,
@@ -335,13 +335,13 @@
 			Square:  c.Square,
 		})
 	}
-	a.Recent = e.recent()
+	a.Recent = e.recentSessions()
 	return []*wire.Account{a}
 }
 
-// recent returns the sessions that the trials which are prepared must leave
+// recentSessions returns the sessions that the trials which are prepared must leave
 // where they are.
-func (e *Entry) recent() []*wire.Recent {
+func (e *Entry) recentSessions() []*wire.Recent {
 	v := e.view.Load()
 	if v == nil {
 		return nil
@@ -361,8 +361,8 @@
 	return list
 }
 
-// loads returns what this entry knows of the upstreams' loads.
-func (e *Entry) loads() []*wire.UpstreamLoad {
+// loadReport returns what this entry knows of the upstreams' loadReport.
+func (e *Entry) loadReport() []*wire.UpstreamLoad {
 	now := e.Clock.Now()
 	list := []*wire.UpstreamLoad{}
 	for _, l := range e.pool.Loads() {
@@ -388,7 +388,7 @@
 	return list
 }
 
-// takeLoads passes on what all entries know.
-func (e *Entry) takeLoads(lives []string, loads []byte) {
-	e.pool.Learn(unpack(lives, loads))
+// applyLoads passes on what all entries know.
+func (e *Entry) applyLoads(ids []string, loads []byte) {
+	e.pool.Learn(decodeLoads(ids, loads))
 }
--- a/internal/node/env_test.go
+++ b/internal/node/env_test.go
@@ -23,91 +23,91 @@
 // fleet runs controllers and entries on loopback addresses of their own: as on
 // VMs, all have the same peer port.
 type fleet struct {
-	t     *testing.T
-	port  uint16
-	seeds []netip.AddrPort
-	list  *lister
-	dir   string
-	base  int // third byte of the addresses
-	vms   map[string]*process
+	t         *testing.T
+	peerPort  uint16
+	seeds     []netip.AddrPort
+	lister    *fakeLister
+	dataDir   string
+	subnet    int // third byte of the addresses
+	processes map[string]*testProcess
 }
 
-type process struct {
+type testProcess struct {
 	controller *Controller
 	entry      *Entry
-	end        context.CancelFunc
+	cancel     context.CancelFunc
 	done       chan struct{}
 }
 
-// lister is a stand-in for the platform's list.
-type lister struct {
-	mu    sync.Mutex // guards all below
-	list  []persimmoncross.Upstream
-	calls int
-	down  bool
+// fakeLister is a stand-in for the platform's list.
+type fakeLister struct {
+	mu        sync.Mutex // guards all below
+	upstreams []persimmoncross.Upstream
+	calls     int
+	failing   bool
 }
 
-func (l *lister) Upstreams(context.Context) ([]persimmoncross.Upstream, error) {
+func (l *fakeLister) Upstreams(context.Context) ([]persimmoncross.Upstream, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	if l.down {
+	if l.failing {
 		return nil, errors.New("the list is away")
 	}
-	return l.list, nil
+	return l.upstreams, nil
 }
 
-func (l *lister) setDown(down bool) {
+func (l *fakeLister) setFailing(failing bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = down
+	l.failing = failing
 }
 
-func (l *lister) set(list ...persimmoncross.Upstream) {
+func (l *fakeLister) setUpstreams(upstreams ...persimmoncross.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = list
+	l.upstreams = upstreams
 }
 
-func newFleet(t *testing.T, base int) *fleet {
+func newFleet(t *testing.T, subnet int) *fleet {
 	t.Helper()
 	f := &fleet{
-		t:    t,
-		list: &lister{},
-		dir:  t.TempDir(),
-		base: base,
-		vms:  map[string]*process{},
+		t:         t,
+		lister:    &fakeLister{},
+		dataDir:   t.TempDir(),
+		subnet:    subnet,
+		processes: map[string]*testProcess{},
 	}
 	l, err := net.Listen("tcp", f.address(1)+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.port = netip.MustParseAddrPort(l.Addr().String()).Port()
+	f.peerPort = netip.MustParseAddrPort(l.Addr().String()).Port()
 	l.Close()
 	for n := 1; n <= 3; n++ {
 		f.seeds = append(f.seeds, netip.AddrPortFrom(netip.MustParseAddr(f.address(n)), 1))
 	}
-	f.list.set(persimmoncross.Upstream{
+	f.lister.setUpstreams(persimmoncross.Upstream{
 		Incarnation: "u1",
 		Service:     "s",
 		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
 		Slots:       1,
 	})
 	t.Cleanup(func() {
-		for name := range f.vms {
+		for name := range f.processes {
 			f.stop(name)
 		}
 	})
 	return f
 }
 
-func (f *fleet) address(n int) string { return fmt.Sprintf("127.0.%d.%d", f.base, n) }
+func (f *fleet) address(n int) string { return fmt.Sprintf("127.0.%d.%d", f.subnet, n) }
 
-func (f *fleet) site(n int, founding bool) *settings.Site {
+func (f *fleet) siteSettings(n int, founding bool) *settings.Site {
 	return &settings.Site{
 		Name:     fmt.Sprint("vm", n),
-		Peer:     netip.AddrPortFrom(netip.MustParseAddr(f.address(n)), f.port),
-		Data:     filepath.Join(f.dir, fmt.Sprint(n)),
+		Peer:     netip.AddrPortFrom(netip.MustParseAddr(f.address(n)), f.peerPort),
+		Data:     filepath.Join(f.dataDir, fmt.Sprint(n)),
 		Seeds:    f.seeds,
 		Founding: founding,
 		Losses:   2,
@@ -122,15 +122,15 @@
 	}
 }
 
-// prepared returns the controller with the number, before its Run.
-func (f *fleet) prepared(n int, founding bool) *Controller {
+// prepareController returns the controller with the number, before its Run.
+func (f *fleet) prepareController(n int, founding bool) *Controller {
 	f.t.Helper()
 	c := &Controller{
-		Site:    f.site(n, founding),
+		Site:    f.siteSettings(n, founding),
 		Clock:   persimmoncross.SystemClock{},
 		Log:     zerolog.Nop(),
 		Metrics: metrics.NewRegistry(),
-		Lister:  f.list,
+		Lister:  f.lister,
 	}
 	if err := c.Prepare(context.Background()); err != nil {
 		f.t.Fatal(err)
@@ -138,14 +138,14 @@
 	return c
 }
 
-// controller starts the controller with the number.
-func (f *fleet) controller(n int, founding bool) *Controller {
+// startController starts the startController with the number.
+func (f *fleet) startController(n int, founding bool) *Controller {
 	f.t.Helper()
-	return f.run(f.prepared(n, founding))
+	return f.runController(f.prepareController(n, founding))
 }
 
-// run runs a controller; one that is not prepared yet is.
-func (f *fleet) run(c *Controller) *Controller {
+// runController runs a controller; one that is not prepared yet is.
+func (f *fleet) runController(c *Controller) *Controller {
 	f.t.Helper()
 	if c.store == nil {
 		if err := c.Prepare(context.Background()); err != nil {
@@ -153,12 +153,12 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{
+	p := &testProcess{
 		controller: c,
-		end:        cancel,
+		cancel:     cancel,
 		done:       make(chan struct{}),
 	}
-	f.vms[c.Site.Name] = p
+	f.processes[c.Site.Name] = p
 	go func() {
 		defer close(p.done)
 		c.Run(ctx)
@@ -166,20 +166,20 @@
 	return c
 }
 
-// entry starts an entry.
-func (f *fleet) entry(n int) *Entry { return f.entryVia(n, nil) }
+// startEntry starts an startEntry.
+func (f *fleet) startEntry(n int) *Entry { return f.startEntryVia(n, nil) }
 
-// entryVia starts an entry that reaches controllers by other addresses.
-func (f *fleet) entryVia(n int, via map[string]netip.AddrPort) *Entry {
-	site := f.site(n, true)
+// startEntryVia starts an entry that reaches controllers by other addresses.
+func (f *fleet) startEntryVia(n int, via map[string]netip.AddrPort) *Entry {
+	site := f.siteSettings(n, true)
 	site.Via = via
-	return f.runEntry(site)
+	return f.startEntryAtSite(site)
 }
 
-// testCatalog is what a document declares: its number, and the same routes always.
-func testCatalog(document []byte) (*catalog.Catalog, error) {
+// decodeTestCatalog is what a document declares: its number, and the same routes always.
+func decodeTestCatalog(document []byte) (*catalog.Catalog, error) {
 	c := &catalog.Catalog{
-		Routes: routes(),
+		Routes: testRoutes(),
 		Services: map[string]*catalog.Service{
 			"s": {
 				Name: "s",
@@ -191,25 +191,25 @@
 	return c, err
 }
 
-// runEntry starts an entry of the site.
-func (f *fleet) runEntry(site *settings.Site) *Entry {
+// startEntryAtSite starts an entry of the site.
+func (f *fleet) startEntryAtSite(site *settings.Site) *Entry {
 	e := &Entry{
 		Site:    site,
 		Clock:   persimmoncross.SystemClock{},
 		Log:     zerolog.Nop(),
 		Metrics: metrics.NewRegistry(),
-		Lister:  f.list,
-		Codec:   passageCodec{},
-		Decode:  testCatalog,
+		Lister:  f.lister,
+		Codec:   testCodec{},
+		Decode:  decodeTestCatalog,
 	}
 	e.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{
-		entry: e,
-		end:   cancel,
-		done:  make(chan struct{}),
+	p := &testProcess{
+		entry:  e,
+		cancel: cancel,
+		done:   make(chan struct{}),
 	}
-	f.vms[e.Site.Name] = p
+	f.processes[e.Site.Name] = p
 	go func() {
 		defer close(p.done)
 		e.Run(ctx)
@@ -217,14 +217,14 @@
 	return e
 }
 
-// routes are those of every document: streams that go on elsewhere, and answers
+// testRoutes are those of every document: streams that go on elsewhere, and answers
 // that may be repeated or not.
-func routes() []*catalog.Route {
+func testRoutes() []*catalog.Route {
 	var list []*catalog.Route
 	for _, r := range []struct {
-		name   string
-		repeat persimmoncross.Repeat
-		most   int
+		name        string
+		repeat      persimmoncross.Repeat
+		maxAttempts int
 	}{
 		{"stream", persimmoncross.RepeatResume, 3},
 		{"safe", persimmoncross.RepeatFreely, 3},
@@ -238,7 +238,7 @@
 			Stream:      r.name == "stream",
 			Timeout:     10 * time.Second,
 			Objective:   3 * time.Second,
-			MaxAttempts: r.most,
+			MaxAttempts: r.maxAttempts,
 			Split: []catalog.Share{
 				{
 					Service: "s",
@@ -251,45 +251,45 @@
 }
 
 func (f *fleet) stop(name string) {
-	p := f.vms[name]
-	delete(f.vms, name)
-	p.end()
+	p := f.processes[name]
+	delete(f.processes, name)
+	p.cancel()
 	<-p.done
 }
 
-// wipe loses the disk of a stopped VM.
-func (f *fleet) wipe(n int) {
-	if err := os.RemoveAll(f.site(n, false).Data); err != nil {
+// deleteData loses the disk of a stopped VM.
+func (f *fleet) deleteData(n int) {
+	if err := os.RemoveAll(f.siteSettings(n, false).Data); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// await waits until the condition holds; what it waits for has no bound in time
+// waitFor waits until the condition holds; what it waits for has no bound in time
 // that a busy machine could break.
-func (f *fleet) await(what string, holds func() bool) {
+func (f *fleet) waitFor(description string, condition func() bool) {
 	f.t.Helper()
 	for range 6000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatalf("never: %s", what)
+	f.t.Fatalf("never: %s", description)
 }
 
 // declare offers a document until it is acknowledged.
 func (f *fleet) declare(c *Controller, number uint64) {
 	f.t.Helper()
-	f.await(fmt.Sprint("document ", number, " is kept"), func() bool {
+	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
 		return c.Declare(context.Background(), number, []byte(fmt.Sprint(number))) == nil
 	})
 }
 
-// read returns the number in force.
-func (f *fleet) read(c *Controller) uint64 {
+// readDocumentNumber returns the number in force.
+func (f *fleet) readDocumentNumber(c *Controller) uint64 {
 	f.t.Helper()
 	number := uint64(0)
-	f.await("a read is answered", func() bool {
+	f.waitFor("a read is answered", func() bool {
 		s, err := c.Read(context.Background())
 		if err == nil {
 			number = s.Number
@@ -299,8 +299,8 @@
 	return number
 }
 
-// voters waits until so many members vote, none of them of a lost identity.
-func (f *fleet) voters(c *Controller, n int) {
+// waitForVoters waits until so many members vote, none of them of a lost identity.
+func (f *fleet) waitForVoters(c *Controller, n int) {
 	f.t.Helper()
-	f.await(fmt.Sprint(n, " voters"), func() bool { return len(c.group.View().Set.Voters) == n })
+	f.waitFor(fmt.Sprint(n, " voters"), func() bool { return len(c.group.View().Set.Voters) == n })
 }
--- a/internal/node/error.go
+++ b/internal/node/error.go
@@ -25,7 +25,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func failure(operation string, kind Kind, err error) *Error {
+func newError(operation string, kind Kind, err error) *Error {
 	return &Error{
 		Operation: operation,
 		Kind:      kind,
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -22,14 +22,14 @@
 
 // Pauses of a follower.
 const (
-	followPause = 100 * time.Millisecond // before the next controller is asked
-	// staleWait is how long a controller without a lease is followed before
+	findRetryInterval = 100 * time.Millisecond // before the next controller is asked
+	// staleTimeout is how long a controller without a lease is followed before
 	// another one is tried.
-	staleWait = 300 * time.Millisecond
-	// findStagger is the pause before the next controller is asked beside the
+	staleTimeout = 300 * time.Millisecond
+	// queryStagger is the pause before the next controller is asked beside the
 	// one that has not answered yet; findWait ends the search.
-	findStagger = 200 * time.Millisecond
-	findWait    = 1200 * time.Millisecond
+	queryStagger = 200 * time.Millisecond
+	findTimeout  = 1200 * time.Millisecond
 )
 
 // follower keeps a stream of updates from some controller. The exported fields
@@ -71,46 +71,46 @@
 	// older than the one in force; the list then comes again with the next update.
 	Take func(u *wire.Update) bool
 
-	mu          sync.Mutex // guards all below
-	controllers []string
-	places      places
-	last        map[string]*wire.Upstream // the list, as some stream told it; never changed
-	followed    string
-	failed      string // the one that was followed last
-	anew        bool   // the document held is no base: it is asked for whole
+	mu                 sync.Mutex // guards all below
+	controllers        []string
+	dataCentres        dataCentreByController
+	receivedList       map[string]*wire.Upstream // the list, as some stream told it; never changed
+	followedController string
+	failedController   string // the one that was followed last
+	needsWholeDocument bool   // the document held is no base: it is asked for whole
 }
 
 // run follows until the context ends.
 func (f *follower) run(ctx context.Context) {
-	var won *found
+	var current *controllerStream
 	for ctx.Err() == nil {
-		if won == nil {
-			won = f.find(ctx)
+		if current == nil {
+			current = f.findController(ctx)
 		}
-		if won != nil {
-			next, err := f.follow(ctx, won)
-			why := whyLeft(err)
-			f.count("follow.left." + why)
-			f.Log.Info().Err(err).Str("controller", won.target).Str("why", why).Int64("bytes", won.stream.Received()).Msg("not following any more")
-			if won = next; won != nil {
+		if current != nil {
+			next, err := f.follow(ctx, current)
+			reason := endReason(err)
+			f.incrementCounter("follow.left." + reason)
+			f.Log.Info().Err(err).Str("controller", current.controller).Str("why", reason).Int64("bytes", current.stream.Received()).Msg("not following any more")
+			if current = next; current != nil {
 				continue
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-f.Clock.After(followPause):
+		case <-f.Clock.After(findRetryInterval):
 		}
 	}
 }
 
-// whyLeft returns the reason for which a following ended, as it is counted.
-func whyLeft(err error) string {
+// endReason returns the reason for which a following ended, as it is counted.
+func endReason(err error) string {
 	switch {
 	case err == nil:
 		return "leader" // another controller leads
-	case errors.Is(err, errStale):
+	case errors.Is(err, errStaleController):
 		return "stale"
-	case errors.Is(err, errNear):
+	case errors.Is(err, errLocalAnswered):
 		return "near"
 	case errors.Is(err, yamux.ErrTimeout):
 		return "silent"
@@ -118,14 +118,14 @@
 	return "broken"
 }
 
-func (f *follower) count(name string) {
+func (f *follower) incrementCounter(name string) {
 	metrics.GetOrRegisterCounter(name, f.Metrics).Inc(1)
 }
 
-// targets returns the controllers to ask: those of this VM's data centre first, in an
+// candidates returns the controllers to ask: those of this VM's data centre first, in an
 // order of this VM's own, so that the followers spread over all; the one that failed
 // last comes last.
-func (f *follower) targets() []string {
+func (f *follower) candidates() []string {
 	if f.Only != nil {
 		if only := f.Only(); only != "" {
 			return []string{only}
@@ -134,7 +134,7 @@
 	}
 	f.mu.Lock()
 	names := slices.Clone(f.controllers)
-	failed, places := f.failed, f.places
+	failedController, dataCentres := f.failedController, f.dataCentres
 	f.mu.Unlock()
 	for _, s := range f.Seeds() {
 		if !slices.Contains(names, s) {
@@ -143,16 +143,16 @@
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		x, y := xxhash.Sum64String(f.Name+a), xxhash.Sum64String(f.Name+b)
-		here := func(name string) bool { return f.DataCentre != "" && places[name] == f.DataCentre }
+		local := func(name string) bool { return f.DataCentre != "" && dataCentres[name] == f.DataCentre }
 		switch {
 		case a == b:
 			return 0
-		case a == failed:
+		case a == failedController:
 			return 1
-		case b == failed:
+		case b == failedController:
 			return -1
-		case here(a) != here(b):
-			if here(a) {
+		case local(a) != local(b):
+			if local(a) {
 				return -1
 			}
 			return 1
@@ -166,90 +166,90 @@
 	return names
 }
 
-// find asks the controllers one after the other, without waiting long for any,
+// findController asks the controllers one after the other, without waiting long for any,
 // and returns the first whose state is recent; failing that, any that answers.
 // A controller that was cut off does not answer for seconds, and a change must
 // be in force here sooner than that.
-func (f *follower) find(ctx context.Context) *found {
-	targets := f.targets()
-	if len(targets) == 0 {
+func (f *follower) findController(ctx context.Context) *controllerStream {
+	candidates := f.candidates()
+	if len(candidates) == 0 {
 		return nil // as long as no leader is known
 	}
-	answers := make(chan *found, len(targets))
-	over := &atomic.Bool{} // those that wait for a lease answer with what they have
-	late := f.Clock.After(findWait)
-	end := f.Clock.After(findWait + updateSilence)
+	answers := make(chan *controllerStream, len(candidates))
+	acceptUnleased := &atomic.Bool{} // those that wait for a lease answer with what they have
+	acceptTimer := f.Clock.After(findTimeout)
+	deadline := f.Clock.After(findTimeout + updateTimeout)
 	next := f.Clock.After(0)
-	asked, answered := 0, 0
-	var best *found
+	queried, answered := 0, 0
+	var best *controllerStream
 	for searching := true; searching; {
 		select {
 		case <-next:
-			f.count("follow.asked")
-			go f.ask(ctx, targets[asked], over, answers)
-			asked++
+			f.incrementCounter("follow.asked")
+			go f.query(ctx, candidates[queried], acceptUnleased, answers)
+			queried++
 			next = nil
-			if asked < len(targets) {
-				next = f.Clock.After(findStagger)
+			if queried < len(candidates) {
+				next = f.Clock.After(queryStagger)
 			}
 		case a := <-answers:
 			answered++
-			best = f.better(best, a)
-		case <-late:
-			over.Store(true)
-		case <-end:
+			best = f.preferred(best, a)
+		case <-acceptTimer:
+			acceptUnleased.Store(true)
+		case <-deadline:
 			searching = false
 		case <-ctx.Done():
 			searching = false
 		}
-		enough := best != nil && (best.leased || over.Load())
-		searching = searching && !enough && answered < len(targets)
+		enough := best != nil && (best.leased || acceptUnleased.Load())
+		searching = searching && !enough && answered < len(candidates)
 	}
-	over.Store(true)
-	go discard(answers, asked-answered)
+	acceptUnleased.Store(true)
+	go closeLateStreams(answers, queried-answered)
 	return best
 }
 
-// better keeps the one whose state is recent, of two such the near one, and ends the
+// preferred keeps the one whose state is recent, of two such the near one, and ends the
 // other.
-func (f *follower) better(a, b *found) *found {
+func (f *follower) preferred(a, b *controllerStream) *controllerStream {
 	switch {
 	case b == nil:
 		return a
 	case a == nil:
 		return b
-	case b.leased && !a.leased, b.leased == a.leased && f.near(b.target) && !f.near(a.target):
-		a.end()
+	case b.leased && !a.leased, b.leased == a.leased && f.isLocal(b.controller) && !f.isLocal(a.controller):
+		a.cancel()
 		return b
 	}
-	b.end()
+	b.cancel()
 	return a
 }
 
-// discard ends the answers that come too late.
-func discard(answers <-chan *found, outstanding int) {
+// closeLateStreams ends the answers that come too late.
+func closeLateStreams(answers <-chan *controllerStream, outstanding int) {
 	for range outstanding {
 		if a := <-answers; a != nil {
-			a.end()
+			a.cancel()
 		}
 	}
 }
 
-// ask opens a stream and takes updates from it until the controller's state is
+// query opens a stream and takes updates from it until the controller's state is
 // recent, as after a start of all of them, or the search is over.
-func (f *follower) ask(ctx context.Context, target string, over *atomic.Bool, answers chan<- *found) {
+func (f *follower) query(ctx context.Context, controller string, acceptUnleased *atomic.Bool, answers chan<- *controllerStream) {
 	ctx, cancel := context.WithCancel(ctx)
-	held, list := f.held(), f.lastList()
-	s, err := f.Node.Call(ctx, target, &wire.Call{
+	base, list := f.baseDocument(), f.lastReceivedList()
+	s, err := f.Node.Call(ctx, controller, &wire.Call{
 		Body: &wire.Call_Follow{
 			Follow: &wire.Follow{
 				Vm:     f.Name,
 				Entry:  f.Entry,
-				Number: held.number,
-				Sum:    held.sum,
+				Number: base.number,
+				Sum:    base.checksum,
 
 				Datacentre: f.DataCentre,
-				List:       listSums(list),
+				List:       partitionChecksums(list),
 				Packed:     true,
 				Bitmaps:    true,
 			},
@@ -260,26 +260,26 @@
 		answers <- nil
 		return
 	}
-	a := &found{
-		target: target,
-		stream: s,
-		list:   maps.Clone(list),
-		end: func() {
+	a := &controllerStream{
+		controller: controller,
+		stream:     s,
+		upstreams:  maps.Clone(list),
+		cancel: func() {
 			cancel()
 			s.Close()
 		},
 	}
-	s.Silence(findWait)
-	for first := true; first || !a.leased && !over.Load(); first = false {
+	s.Silence(findTimeout)
+	for first := true; first || !a.leased && !acceptUnleased.Load(); first = false {
 		u := &wire.Update{}
 		err := s.Receive(u)
 		if err != nil {
-			f.Node.Suspect(target, updateSilence)
+			f.Node.Suspect(controller, updateTimeout)
 		} else {
-			err = a.take(f, u)
+			err = a.handleUpdate(f, u)
 		}
 		if err != nil {
-			a.end()
+			a.cancel()
 			answers <- nil
 			return
 		}
@@ -290,83 +290,83 @@
 
 // follow takes updates until they stay away, their state is not recent, or a nearer
 // controller has answered, which it returns.
-func (f *follower) follow(ctx context.Context, won *found) (next *found, err error) {
-	defer won.end()
-	defer func() { f.blame(won.target) }()
-	f.Log.Info().Str("controller", won.target).Bool("near", f.near(won.target)).Msg("following")
-	f.follows(won.target)
-	defer f.follows("")
-	nearer := &nearer{
-		follower: f,
-		life:     ctx,
+func (f *follower) follow(ctx context.Context, current *controllerStream) (next *controllerStream, err error) {
+	defer current.cancel()
+	defer func() { f.setFailed(current.controller) }()
+	f.Log.Info().Str("controller", current.controller).Bool("near", f.isLocal(current.controller)).Msg("following")
+	f.setFollowed(current.controller)
+	defer f.setFollowed("")
+	prober := &localProber{
+		follower:  f,
+		streamCtx: ctx,
 	}
-	defer nearer.stop()
+	defer prober.stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.account(ctx, won.stream)
-	since := time.Time{} // without a lease
-	won.stream.Silence(updateSilence)
+	go f.sendReports(ctx, current.stream)
+	unleasedSince := time.Time{} // without a lease
+	current.stream.Silence(updateTimeout)
 	for {
 		u := &wire.Update{}
-		if err := won.stream.Receive(u); err != nil {
-			f.Node.Suspect(won.target, updateSilence)
+		if err := current.stream.Receive(u); err != nil {
+			f.Node.Suspect(current.controller, updateTimeout)
 			return nil, err
 		}
-		if err := won.take(f, u); err != nil {
+		if err := current.handleUpdate(f, u); err != nil {
 			return nil, err
 		}
-		if f.Only != nil && f.Only() != won.target {
+		if f.Only != nil && f.Only() != current.controller {
 			return nil, nil
 		}
 		now := f.Clock.Now()
-		if next := nearer.look(won.target, now); next != nil {
-			return next, errNear
+		if next := prober.poll(current.controller, now); next != nil {
+			return next, errLocalAnswered
 		}
 		switch {
 		case u.GetLeased():
-			since = time.Time{}
-		case since.IsZero():
-			since = now
-		case now.Sub(since) > staleWait && f.Only == nil:
-			return nil, errStale
+			unleasedSince = time.Time{}
+		case unleasedSince.IsZero():
+			unleasedSince = now
+		case now.Sub(unleasedSince) > staleTimeout && f.Only == nil:
+			return nil, errStaleController
 		}
 	}
 }
 
-// lastList returns the list that this VM was told last, by life.
-func (f *follower) lastList() map[string]*wire.Upstream {
+// lastReceivedList returns the list that this VM was told last, by life.
+func (f *follower) lastReceivedList() map[string]*wire.Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.last
+	return f.receivedList
 }
 
-// keepList keeps it.
-func (f *follower) keepList(list map[string]*wire.Upstream) {
+// setReceivedList keeps it.
+func (f *follower) setReceivedList(list map[string]*wire.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last = maps.Clone(list)
+	f.receivedList = maps.Clone(list)
 }
 
-// follows notes which controller is followed, "" for none.
-func (f *follower) follows(target string) {
+// setFollowed notes which controller is followed, "" for none.
+func (f *follower) setFollowed(controller string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.followed = target
+	f.followedController = controller
 }
 
-func (f *follower) blame(target string) {
+func (f *follower) setFailed(controller string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed = target
+	f.failedController = controller
 }
 
-// errNear ends following a controller for one in this VM's data centre.
-var errNear = failure("follow", Unavailable, errors.New("a controller in this data centre has answered"))
+// errLocalAnswered ends following a controller for one in this VM's data centre.
+var errLocalAnswered = newError("follow", Unavailable, errors.New("a controller in this data centre has answered"))
 
-// errStale ends following a controller whose state may be old.
-var errStale = failure("follow", Unavailable, context.DeadlineExceeded)
+// errStaleController ends following a controller whose state may be old.
+var errStaleController = newError("follow", Unavailable, context.DeadlineExceeded)
 
-func (f *follower) learn(controllers []string) {
+func (f *follower) setControllers(controllers []string) {
 	if len(controllers) == 0 {
 		return
 	}
@@ -375,62 +375,62 @@
 	f.controllers = controllers
 }
 
-func (f *follower) caseAccount(cases []*wire.Case) *wire.Account {
+func (f *follower) caseReport(cases []*wire.Case) *wire.Account {
 	return &wire.Account{
 		Incarnation: f.Incarnation,
 		Cases:       cases,
 	}
 }
 
-// account tells the controller what this VM saw.
-func (f *follower) account(ctx context.Context, s *peer.Stream) {
-	told, step := time.Time{}, time.Time{}
-	silent := false // the account of loads before was empty
-	counts := accounted{}
-	news, limited := uint64(0), uint64(0)
+// sendReports tells the controller what this VM saw.
+func (f *follower) sendReports(ctx context.Context, s *peer.Stream) {
+	lastReportSent, lastReportCheck := time.Time{}, time.Time{}
+	lastLoadsEmpty := false // the account of loads before was empty
+	sent := sentTrials{}
+	casesVersion, limitsVersion := uint64(0), uint64(0)
 	for {
 		now := f.Clock.Now()
-		if now.Sub(step) >= accountEvery {
-			step = now
-			late := now.Sub(told) >= presentEvery
+		if now.Sub(lastReportCheck) >= reportInterval {
+			lastReportCheck = now
+			keepaliveDue := now.Sub(lastReportSent) >= keepaliveInterval
 			for _, a := range f.Accounts() {
-				a = counts.lacking(a)
-				if f.Entry && !late && len(a.GetTrials()) == 0 && len(a.GetRecent()) == 0 {
+				a = sent.delta(a)
+				if f.Entry && !keepaliveDue && len(a.GetTrials()) == 0 && len(a.GetRecent()) == 0 {
 					continue
 				}
 				if s.Send(a) != nil {
 					return
 				}
-				told = now
+				lastReportSent = now
 			}
 		}
 		a := &wire.Account{
 			Loads: f.Loads(),
 		}
-		if len(a.Loads) > 0 || !silent {
+		if len(a.Loads) > 0 || !lastLoadsEmpty {
 			if s.Send(a) != nil {
 				return
 			}
 		}
-		silent = len(a.Loads) == 0
+		lastLoadsEmpty = len(a.Loads) == 0
 		var cases []*wire.Case
 		if f.Cases != nil {
-			cases, news = f.Cases(news)
+			cases, casesVersion = f.Cases(casesVersion)
 		}
-		for part := range slices.Chunk(cases, casesAtOnce) {
-			if s.Send(f.caseAccount(part)) != nil {
+		for part := range slices.Chunk(cases, maxCasesPerReport) {
+			if s.Send(f.caseReport(part)) != nil {
 				return
 			}
 		}
 		var err error
-		if limited, err = f.sendLimits(s, limited); err != nil {
+		if limitsVersion, err = f.sendLimits(s, limitsVersion); err != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.Limits.Changed():
-		case <-f.Clock.After(loadEvery):
+		case <-f.Clock.After(loadInterval):
 		}
 	}
 }
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -15,23 +15,23 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// starting is a controller that has no lease at its first updates, as all have
+// leaselessController is a controller that has no lease at its first updates, as all have
 // after a start of the whole fleet.
-type starting struct {
-	without int // updates before the lease; negative: it never comes
-	sent    atomic.Int64
+type leaselessController struct {
+	updatesBeforeLease int // updates before the lease; negative: it never comes
+	sentUpdates        atomic.Int64
 }
 
-func (h *starting) Receive(persimmoncross.Message) {}
+func (h *leaselessController) Receive(persimmoncross.Message) {}
 
-func (h *starting) Call(ctx context.Context, _ *wire.Call, s *peer.Stream) {
+func (h *leaselessController) Call(ctx context.Context, _ *wire.Call, s *peer.Stream) {
 	for n := 0; ctx.Err() == nil; n++ {
 		u := &wire.Update{
 			Age:    -1,
-			Leased: h.without >= 0 && n >= h.without,
+			Leased: h.updatesBeforeLease >= 0 && n >= h.updatesBeforeLease,
 		}
 		// Before it is sent: who has it must not find it uncounted.
-		h.sent.Add(1)
+		h.sentUpdates.Add(1)
 		if s.Send(u) != nil {
 			return
 		}
@@ -42,8 +42,8 @@
 	}
 }
 
-// asked returns a follower that knows a controller with the handler.
-func asked(t *testing.T, h peer.Handler) *follower {
+// newTestFollower returns a follower that knows a controller with the handler.
+func newTestFollower(t *testing.T, h peer.Handler) *follower {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := func(vm string) *peer.Node {
+	newNode := func(vm string) *peer.Node {
 		n := &peer.Node{
 			VM:      vm,
 			Open:    true,
@@ -62,10 +62,10 @@
 		n.Prepare()
 		return n
 	}
-	controller := node(listener.Addr().String())
+	controller := newNode(listener.Addr().String())
 	controller.Handler = h
 	controller.Listener = listener
-	entry := node("127.0.0.1:1")
+	entry := newNode("127.0.0.1:1")
 	go controller.Run(ctx)
 	go entry.Run(ctx)
 	return &follower{
@@ -79,11 +79,11 @@
 	}
 }
 
-// search repeats the search until a controller is found, as a follower does: its
+// findController repeats the findController until a controller is found, as a follower does: its
 // own node may not run yet.
-func search(t *testing.T, f *follower) *found {
+func findController(t *testing.T, f *follower) *controllerStream {
 	for t.Context().Err() == nil {
-		if got := f.find(t.Context()); got != nil {
+		if got := f.findController(t.Context()); got != nil {
 			return got
 		}
 	}
@@ -91,26 +91,26 @@
 }
 
 // A controller whose lease comes during the search is followed from then on.
-func TestSearchWaitsForTheLease(t *testing.T) {
-	h := &starting{
-		without: 5,
+func TestSearchWaitsForLease(t *testing.T) {
+	h := &leaselessController{
+		updatesBeforeLease: 5,
 	}
-	f := asked(t, h)
-	got := search(t, f)
-	defer got.end()
-	if !got.leased || h.sent.Load() <= 5 {
-		t.Errorf("leased %v after %d updates", got.leased, h.sent.Load())
+	f := newTestFollower(t, h)
+	got := findController(t, f)
+	defer got.cancel()
+	if !got.leased || h.sentUpdates.Load() <= 5 {
+		t.Errorf("leased %v after %d updates", got.leased, h.sentUpdates.Load())
 	}
 }
 
 // One whose lease never comes is followed when the search is over: better an
 // old state than none.
-func TestSearchEndsWithoutALease(t *testing.T) {
-	f := asked(t, &starting{
-		without: -1,
+func TestSearchEndsWithoutLease(t *testing.T) {
+	f := newTestFollower(t, &leaselessController{
+		updatesBeforeLease: -1,
 	})
-	got := search(t, f)
-	defer got.end()
+	got := findController(t, f)
+	defer got.cancel()
 	if got.leased {
 		t.Error("a lease was told that nobody has")
 	}
--- a/internal/node/holds_test.go
+++ b/internal/node/holds_test.go
@@ -12,25 +12,25 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-func digestOf(n int) persimmoncross.Digest { return persimmoncross.Digest{byte(n), byte(n >> 8), 1} }
+func testDigest(n int) persimmoncross.Digest { return persimmoncross.Digest{byte(n), byte(n >> 8), 1} }
 
 // However holds change while they are sent, a follower comes to have what is in
 // force, in parts of a bounded size, and is told nothing where nothing changes.
-func TestHoldsToFollowers(t *testing.T) {
+func TestHoldsReachFollowers(t *testing.T) {
 	s := &register.State{}
-	to, from := &sentHolds{}, &found{}
+	sender, receiver := &sentHolds{}, &controllerStream{}
 	var got map[persimmoncross.Digest]persimmoncross.Hold
 	send := func() {
 		for range 100 {
 			u := &wire.Update{}
-			all := to.next(u, s)
-			if len(u.GetHolds()) > holdsAtOnce {
+			complete := sender.addChanges(u, s)
+			if len(u.GetHolds()) > maxHoldsPerMessage {
 				t.Fatalf("%d holds in an update", len(u.GetHolds()))
 			}
-			if whole := from.takeHolds(u); whole != nil {
-				got = whole
+			if received := receiver.applyHolds(u); received != nil {
+				got = received
 			}
-			if all {
+			if complete {
 				return
 			}
 		}
@@ -39,8 +39,8 @@
 	for step, n := range []int{1, 300, 299, 5, 0, 64, 128} {
 		holds := map[persimmoncross.Digest]persimmoncross.Hold{}
 		for i := range n {
-			holds[digestOf(i*(step+1))] = persimmoncross.Hold{
-				Digest:  digestOf(i * (step + 1)),
+			holds[testDigest(i*(step+1))] = persimmoncross.Hold{
+				Digest:  testDigest(i * (step + 1)),
 				Service: "s",
 				Stage:   persimmoncross.HoldStage(1 + i%2),
 				Trial:   fmt.Sprint(i % 3),
@@ -57,7 +57,7 @@
 		}
 	}
 	u := &wire.Update{}
-	if !to.next(u, s) || len(u.GetHolds()) > 0 || u.GetHeld() != 0 {
+	if !sender.addChanges(u, s) || len(u.GetHolds()) > 0 || u.GetHeld() != 0 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -66,15 +66,15 @@
 // while; what one sender tells is bounded.
 func TestCaseBoard(t *testing.T) {
 	now := time.Unix(1000, 0)
-	clock := &standing{
+	clock := &settableClock{
 		now: now,
 	}
-	b := &caseBoard{
+	b := &caseAggregator{
 		clock: clock,
 	}
-	tell := func(sender string, n int, life string) {
-		b.take(sender, wire.FromCases([]quarantine.Case{{
-			Digest:  digestOf(n),
+	report := func(sender string, n int, life string) {
+		b.receive(sender, wire.FromCases([]quarantine.Case{{
+			Digest:  testDigest(n),
 			Service: "s",
 			Ends: []quarantine.End{{
 				Life: life,
@@ -85,30 +85,30 @@
 		}}, clock.now))
 	}
 	for i, sender := range []string{"a#1", "a#2", "b#1"} {
-		tell(sender, 1, fmt.Sprint("life", i))
+		report(sender, 1, fmt.Sprint("life", i))
 	}
-	tell("c#1", 1, "life0") // the same end, seen by another
-	cases, news := b.cases(0, now)
-	if len(cases) != 1 || len(cases[0].Ends) != 3 || cases[0].Digest != digestOf(1) {
+	report("c#1", 1, "life0") // the same end, seen by another
+	cases, version := b.mergedSince(0, now)
+	if len(cases) != 1 || len(cases[0].Ends) != 3 || cases[0].Digest != testDigest(1) {
 		t.Fatalf("%+v", cases)
 	}
-	if more, _ := b.cases(news, now); len(more) != 0 {
+	if more, _ := b.mergedSince(version, now); len(more) != 0 {
 		t.Errorf("told again: %+v", more)
 	}
-	for n := range 2 * casesOfSender {
-		tell("d#1", n+10, "x")
+	for n := range 2 * maxCasesPerReporter {
+		report("d#1", n+10, "x")
 	}
-	if n := len(b.senders["d#1"]); n != casesOfSender {
+	if n := len(b.byReporter["d#1"]); n != maxCasesPerReporter {
 		t.Errorf("%d cases of one sender", n)
 	}
 	clock.now = now.Add(time.Hour)
-	if cases, _ := b.cases(0, clock.now); len(cases) != 0 || len(b.senders) != 0 {
+	if cases, _ := b.mergedSince(0, clock.now); len(cases) != 0 || len(b.byReporter) != 0 {
 		t.Errorf("after an hour: %d cases", len(cases))
 	}
 }
 
-// standing is a clock that moves only when it is set.
-type standing struct{ now time.Time }
+// settableClock is a clock that moves only when it is set.
+type settableClock struct{ now time.Time }
 
-func (c *standing) Now() time.Time                       { return c.now }
-func (c *standing) After(time.Duration) <-chan time.Time { return nil }
+func (c *settableClock) Now() time.Time                       { return c.now }
+func (c *settableClock) After(time.Duration) <-chan time.Time { return nil }
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -12,272 +12,272 @@
 
 // Times of the stream to followers.
 const (
-	// updateEvery is the pause between updates in which nothing changed.
-	updateEvery = 250 * time.Millisecond
-	// updateSilence ends a follower's wait: two updates are missing, and another
+	// updateInterval is the pause between updates in which nothing changed.
+	updateInterval = 250 * time.Millisecond
+	// updateTimeout ends a follower's wait: two updates are missing, and another
 	// controller is found before a change has to be in force.
-	updateSilence = 700 * time.Millisecond
-	// accountEvery is the pause between a follower's accounts while there is
+	updateTimeout = 700 * time.Millisecond
+	// reportInterval is the pause between a follower's accounts while there is
 	// something to tell, presentEvery where it only tells that it is there.
-	accountEvery = loadEvery
-	presentEvery = 2 * time.Second
-	// loadEvery is the pause between accounts of the upstreams' loads: less than
+	reportInterval    = loadInterval
+	keepaliveInterval = 2 * time.Second
+	// loadInterval is the pause between accounts of the upstreams' loads: less than
 	// a long prompt takes to be read.
-	loadEvery = 250 * time.Millisecond
-	// accountAge is how long an account counts its entry as present.
-	accountAge = 7 * time.Second
-	// trialAge is how long the counts of an entry that is gone are kept.
-	trialAge = 2 * time.Minute
+	loadInterval = 250 * time.Millisecond
+	// presenceTimeout is how long an account counts its entry as present.
+	presenceTimeout = 7 * time.Second
+	// trialRetention is how long the counts of an entry that is gone are kept.
+	trialRetention = 2 * time.Minute
 )
 
-// hub holds what a controller tells its followers, and what they told it.
-type hub struct {
+// publisher holds what a controller tells its followers, and what they told it.
+type publisher struct {
 	clock     persimmoncross.Clock
-	documents shelf
+	documents documentStore
 	limits    ratelimit.Store
 
-	mu       sync.Mutex // guards all below
-	state    *register.State
-	head     []byte // state without its document, encoded
-	list     []persimmoncross.Upstream
-	listed   uint64                  // counts the changes of list
-	whole    []*wire.Upstream        // list, as it is sent to those who lack it; shared and never changed
-	summed   *summed                 // of list; nil: not made yet
-	packed   map[uint64][][]byte     // what followers with a count of listed lack, in packed parts
-	lacks    map[uint64]*wire.Update // the same as it is; shared and never changed
-	order    []string                // the lives of list, sorted; shared and never changed
-	changes  []listChange
-	colds    colds
-	colded   uint64            // counts the changes of colds
-	coldAt   map[string]uint64 // by life, at which count it changed last
-	places   places
-	read     time.Time
-	entries  entryCount
-	changed  chan struct{} // closed at each change, and replaced
-	accounts map[string]account
+	mu            sync.Mutex // guards all below
+	state         *register.State
+	encodedState  []byte // state without its document, encoded
+	list          []persimmoncross.Upstream
+	listVersion   uint64                  // counts the changes of list
+	fullList      []*wire.Upstream        // list, as it is sent to those who lack it; shared and never changed
+	checksummed   *checksummedList        // of list; nil: not made yet
+	packedSince   map[uint64][][]byte     // what followers with a count of listed lack, in packed parts
+	deltaSince    map[uint64]*wire.Update // the same as it is; shared and never changed
+	listIDs       []string                // the lives of list, sorted; shared and never changed
+	recentDeltas  []listDelta
+	cold          coldUpstreams
+	coldVersion   uint64            // counts the changes of colds
+	coldChangedAt map[string]uint64 // by life, at which count it changed last
+	dataCentres   dataCentreByController
+	listReadAt    time.Time
+	entries       entryCount
+	changed       chan struct{} // closed at each change, and replaced
+	reports       map[string]receivedReport
 }
 
-type account struct {
-	message *wire.Account
-	at      time.Time
-	fresh   bool // not relayed yet
+type receivedReport struct {
+	message     *wire.Account
+	receivedAt  time.Time
+	unforwarded bool // not relayed yet
 }
 
-func newHub(clock persimmoncross.Clock) *hub {
-	return &hub{
-		clock:    clock,
-		changed:  make(chan struct{}),
-		accounts: map[string]account{},
+func newPublisher(clock persimmoncross.Clock) *publisher {
+	return &publisher{
+		clock:   clock,
+		changed: make(chan struct{}),
+		reports: map[string]receivedReport{},
 	}
 }
 
-func (h *hub) wake() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+func (p *publisher) notify() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // setState takes the register's latest state.
-func (h *hub) setState(s *register.State) {
-	head := register.EncodeHead(s)
+func (p *publisher) setState(s *register.State) {
+	encoded := register.EncodeHead(s)
 	if len(s.Document) > 0 {
-		h.documents.put(s.Number, s.Document, s.Packed)
+		p.documents.add(s.Number, s.Document, s.Packed)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.state = s
-	h.head = head
-	h.wake()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.state = s
+	p.encodedState = encoded
+	p.notify()
 }
 
 // upstreams returns the list and when it was read.
-func (h *hub) upstreams() ([]persimmoncross.Upstream, time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.list, h.read
+func (p *publisher) upstreams() ([]persimmoncross.Upstream, time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.list, p.listReadAt
 }
 
-func (h *hub) setEntries(n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.entries.set(n, h.clock.Now())
+func (p *publisher) setEntries(n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.entries.update(n, p.clock.Now())
 }
 
-// take keeps a follower's account, which has the counts that changed.
-func (h *hub) take(a *wire.Account) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// receiveReport keeps a follower's account, which has the counts that changed.
+func (p *publisher) receiveReport(a *wire.Account) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var upgrades map[string]register.Upgrade
-	if h.state != nil {
-		upgrades = h.state.Upgrades
+	if p.state != nil {
+		upgrades = p.state.Upgrades
 	}
-	name := accountName(a)
-	h.accounts[name] = account{
-		message: merge(h.accounts[name].message, a, upgrades),
-		at:      h.clock.Now(),
-		fresh:   true,
+	id := reporterID(a)
+	p.reports[id] = receivedReport{
+		message:     mergeTrials(p.reports[id].message, a, upgrades),
+		receivedAt:  p.clock.Now(),
+		unforwarded: true,
 	}
 }
 
-// recent returns the accounts, and how many are of entries that are present.
+// currentReports returns the accounts, and how many are of entries that are present.
 // Counts of an entry that is gone stay valid for as long as its upgrade runs.
-func (h *hub) recent(now time.Time) (accounts []*wire.Account, entries int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for key, a := range h.accounts {
-		present := now.Sub(a.at) <= accountAge
-		if !present && (len(a.message.GetTrials()) == 0 || now.Sub(a.at) > trialAge) {
-			delete(h.accounts, key)
+func (p *publisher) currentReports(now time.Time) (reports []*wire.Account, entries int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for key, a := range p.reports {
+		present := now.Sub(a.receivedAt) <= presenceTimeout
+		if !present && (len(a.message.GetTrials()) == 0 || now.Sub(a.receivedAt) > trialRetention) {
+			delete(p.reports, key)
 			continue
 		}
 		if present && a.message.GetEntry() {
 			entries++
 		}
-		accounts = append(accounts, a.message)
+		reports = append(reports, a.message)
 	}
-	return accounts, entries
+	return reports, entries
 }
 
-// unrelayed returns the accounts that came since the call before.
-func (h *hub) unrelayed() []*wire.Account {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var accounts []*wire.Account
-	for key, a := range h.accounts {
-		if a.fresh {
-			a.fresh = false
-			h.accounts[key] = a
-			accounts = append(accounts, a.message)
+// takeUnforwardedReports returns the accounts that came since the call before.
+func (p *publisher) takeUnforwardedReports() []*wire.Account {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var reports []*wire.Account
+	for key, a := range p.reports {
+		if a.unforwarded {
+			a.unforwarded = false
+			p.reports[key] = a
+			reports = append(reports, a.message)
 		}
 	}
-	return accounts
+	return reports
 }
 
-// sent is what one follower has got.
-type sent struct {
-	asks   bool   // it has not chosen this controller: it gets no list and no document
-	entry  bool   // it needs documents
-	vm     string // the follower's name
-	colded uint64
-	limits uint64 // the version of the limits
-	// limitsMore tells that not all changes of limits fitted into the last update.
-	limitsMore bool
-	state      *register.State
-	listed     uint64
-	sums       []uint64     // of the list that it had before
-	packs      bool         // it reads packed upstreams
-	bitmaps    bool         // it reads by bitmaps which lives left the list
-	packed     [][]byte     // parts of the list that are still to be sent, after list
-	begun      bool         // what is sent goes on with a list
-	order      []string     // the lives of the list, sorted
-	loads      time.Time    // when the loads are sent next
-	list       *wire.Update // the list of which parts are still to be sent, nil: none
-	next       []string     // order, once list is sent
-	number     uint64       // of the document
-	sum        uint64       // of the document
-	holds      sentHolds
-	more       bool      // there are more holds to send
-	parts      *transfer // the document of which parts are still to be sent
+// followerState is what one follower has got.
+type followerState struct {
+	probing       bool   // it has not chosen this controller: it gets no list and no document
+	entry         bool   // it needs documents
+	vm            string // the follower's name
+	coldVersion   uint64
+	limitsVersion uint64 // the version of the limits
+	// hasMoreLimits tells that not all changes of limits fitted into the last update.
+	hasMoreLimits    bool
+	state            *register.State
+	listVersion      uint64
+	initialChecksums []uint64     // of the list that it had before
+	acceptsPacked    bool         // it reads packed upstreams
+	acceptsBitmaps   bool         // it reads by bitmaps which lives left the list
+	pendingPacked    [][]byte     // parts of the list that are still to be sent, after list
+	listStarted      bool         // what is sent goes on with a list
+	listIDs          []string     // the lives of the list, sorted
+	nextLoadsAt      time.Time    // when the loads are sent next
+	pendingList      *wire.Update // the list of which parts are still to be sent, nil: none
+	pendingListIDs   []string     // order, once list is sent
+	documentNumber   uint64       // of the document
+	documentChecksum uint64       // of the document
+	holds            sentHolds
+	hasMoreHolds     bool              // there are more holds to send
+	documentTransfer *documentTransfer // the document of which parts are still to be sent
 }
 
-// pending reports whether there is more to send at once.
-func (s *sent) pending() bool {
-	return s.list != nil || len(s.packed) > 0 || s.parts != nil || s.more || s.limitsMore
+// hasPending reports whether there is more to send at once.
+func (s *followerState) hasPending() bool {
+	return s.pendingList != nil || len(s.pendingPacked) > 0 || s.documentTransfer != nil || s.hasMoreHolds || s.hasMoreLimits
 }
 
-// next returns the update for a follower, and the channel that is closed at
-// the next change.
-func (h *hub) next(s *sent, leased bool, controllers []string) (*wire.Update, <-chan struct{}) {
+// nextUpdate returns the update for a follower, and the channel that is closed at
+// the nextUpdate change.
+func (p *publisher) nextUpdate(s *followerState, leased bool, controllers []string) (*wire.Update, <-chan struct{}) {
 	u := &wire.Update{
 		Age:         -1,
 		Leased:      leased,
 		Controllers: controllers,
 	}
-	u.Datacentres = h.placesOf(controllers)
-	if s.entry && !s.asks {
-		u.Part = h.nextPart(s)
+	u.Datacentres = p.dataCentresOf(controllers)
+	if s.entry && !s.probing {
+		u.Part = p.nextDocumentPart(s)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	u.Entries = uint32(h.entries.n)
-	if h.state != s.state && h.state != nil {
-		u.Index = h.state.Index
-		u.State = h.head
-		s.state = h.state
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	u.Entries = uint32(p.entries.count)
+	if p.state != s.state && p.state != nil {
+		u.Index = p.state.Index
+		u.State = p.encodedState
+		s.state = p.state
 	}
-	if s.asks {
-		return u, h.changed
+	if s.probing {
+		return u, p.changed
 	}
 	if s.entry {
-		s.more = !s.holds.next(u, h.state)
+		s.hasMoreHolds = !s.holds.addChanges(u, p.state)
 	}
-	h.tellColds(u, s) // before the list that cold lives come with
-	h.tellLimits(u, s)
-	if s.list == nil && len(s.packed) == 0 && h.listed != s.listed {
-		if s.listed == 0 {
-			s.list = h.lacking(s.sums)
+	p.addColdUpstreams(u, s) // before the list that cold lives come with
+	p.addLimits(u, s)
+	if s.pendingList == nil && len(s.pendingPacked) == 0 && p.listVersion != s.listVersion {
+		if s.listVersion == 0 {
+			s.pendingList = p.listDeltaFromChecksums(s.initialChecksums)
 		} else {
-			s.list = h.difference(s.listed)
-			s.encodeRemoved()
+			s.pendingList = p.listDeltaSince(s.listVersion)
+			s.encodeRemovedBitmap()
 		}
-		if s.packs && len(s.list.GetUpstreams()) > upstreamsAtOnce {
-			s.pack(h.packedList(s.listed, s.list))
+		if s.acceptsPacked && len(s.pendingList.GetUpstreams()) > maxUpstreamsPerUpdate {
+			s.setPendingPacked(p.packedParts(s.listVersion, s.pendingList))
 		}
-		s.listed = h.listed
-		s.next = h.order
+		s.listVersion = p.listVersion
+		s.pendingListIDs = p.listIDs
 	}
 	switch {
-	case s.list != nil:
-		s.listPart(u)
-	case len(s.packed) > 0:
-		s.packedPart(u)
+	case s.pendingList != nil:
+		s.addListPart(u)
+	case len(s.pendingPacked) > 0:
+		s.addPackedPart(u)
 	}
 	// The age is that of a list which the follower has whole.
-	if s.list == nil && len(s.packed) == 0 && h.listed == s.listed && !h.read.IsZero() {
-		u.Age = int64(h.clock.Now().Sub(h.read))
+	if s.pendingList == nil && len(s.pendingPacked) == 0 && p.listVersion == s.listVersion && !p.listReadAt.IsZero() {
+		u.Age = int64(p.clock.Now().Sub(p.listReadAt))
 	}
-	return u, h.changed
+	return u, p.changed
 }
 
-// place notes in which data centre a controller stands.
-func (h *hub) place(controller, dataCentre string) {
+// setDataCentre notes in which data centre a controller stands.
+func (p *publisher) setDataCentre(controller, dataCentre string) {
 	if dataCentre == "" {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.places == nil {
-		h.places = places{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.dataCentres == nil {
+		p.dataCentres = dataCentreByController{}
 	}
-	h.places[controller] = dataCentre
+	p.dataCentres[controller] = dataCentre
 }
 
-// placesOf returns the data centres of the controllers.
-func (h *hub) placesOf(controllers []string) []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	list := make([]string, len(controllers))
+// dataCentresOf returns the data centres of the controllers.
+func (p *publisher) dataCentresOf(controllers []string) []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	dataCentres := make([]string, len(controllers))
 	for i, name := range controllers {
-		list[i] = h.places[name]
+		dataCentres[i] = p.dataCentres[name]
 	}
-	return list
+	return dataCentres
 }
 
-// nextPart returns the next part of the document that the follower lacks, nil
+// nextDocumentPart returns the next part of the document that the follower lacks, nil
 // if it lacks none. A document that is under way is sent to its end first: so
 // each follower gets on however often documents change.
-func (h *hub) nextPart(s *sent) *wire.Part {
-	if s.parts == nil {
-		s.parts = h.documents.from(s.number, s.sum)
+func (p *publisher) nextDocumentPart(s *followerState) *wire.Part {
+	if s.documentTransfer == nil {
+		s.documentTransfer = p.documents.newTransfer(s.documentNumber, s.documentChecksum)
 	}
-	if s.parts == nil {
+	if s.documentTransfer == nil {
 		return nil
 	}
-	p, last := s.parts.part()
+	part, last := s.documentTransfer.nextPart()
 	if last {
-		s.number = s.parts.document.number
-		s.sum = s.parts.document.sum
+		s.documentNumber = s.documentTransfer.document.number
+		s.documentChecksum = s.documentTransfer.document.checksum
 		// A newer one may be there: what is pending is sent at once.
-		s.parts = h.documents.from(s.number, s.sum)
+		s.documentTransfer = p.documents.newTransfer(s.documentNumber, s.documentChecksum)
 	}
-	return p
+	return part
 }
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	identityName = "member"
+	identityFile = "member"
 	groupName    = "fleet"
-	originIndex  = 1 // the founders' logs begin behind a snapshot that holds only the voters
+	initialIndex = 1 // the founders' logs begin behind a snapshot that holds only the voters
 )
 
 // identity is the file that makes a data folder somebody's.
@@ -27,8 +27,8 @@
 	Member persimmoncross.MemberID `json:"member"`
 }
 
-// store is an opened data folder.
-type store struct {
+// memberStore is an opened data folder.
+type memberStore struct {
 	folder *disk.Folder
 	log    *disk.Log
 	member persimmoncross.MemberID
@@ -39,19 +39,19 @@
 // which follows until it is given a vote. So an empty disk never votes as the
 // member that it once was. A damaged folder is emptied first: what it had
 // promised is the other voters' to keep.
-func openStore(s *settings.Site, log zerolog.Logger) (*store, error) {
-	st, err := tryStore(s)
+func openStore(s *settings.Site, log zerolog.Logger) (*memberStore, error) {
+	store, err := openStoreOnce(s)
 	var damaged *disk.Error
 	if err == nil || !errors.As(err, &damaged) || damaged.Kind != disk.Damaged {
-		return st, err
+		return store, err
 	}
 	log.Error().Err(err).Msg("the data folder is damaged: it is emptied, and this VM joins as a new member")
 	if err := emptyFolder(s.Data); err != nil {
-		return nil, failure("empty data folder", Start, err)
+		return nil, newError("empty data folder", Start, err)
 	}
-	again := *s
-	again.Founding = false
-	return tryStore(&again)
+	rejoining := *s
+	rejoining.Founding = false
+	return openStoreOnce(&rejoining)
 }
 
 func emptyFolder(path string) error {
@@ -67,35 +67,35 @@
 	return nil
 }
 
-func tryStore(s *settings.Site) (*store, error) {
+func openStoreOnce(s *settings.Site) (*memberStore, error) {
 	folder, err := disk.OpenFolder(s.Data)
 	if err != nil {
 		return nil, err
 	}
-	st := &store{
+	store := &memberStore{
 		folder: folder,
 	}
-	if err := st.load(s); err != nil {
+	if err := store.load(s); err != nil {
 		folder.Close()
 		return nil, err
 	}
-	return st, nil
+	return store, nil
 }
 
-func (st *store) load(s *settings.Site) error {
-	data, err := st.folder.ReadFile(identityName)
+func (st *memberStore) load(s *settings.Site) error {
+	data, err := st.folder.ReadFile(identityFile)
 	if err != nil {
 		return err
 	}
 	if data == nil {
-		return st.begin(s)
+		return st.initialize(s)
 	}
 	id := identity{}
 	if err := json.Unmarshal(data, &id); err != nil || id.Member == 0 {
 		return &disk.Error{
 			Operation: "load",
 			Kind:      disk.Damaged,
-			Path:      filepath.Join(s.Data, identityName),
+			Path:      filepath.Join(s.Data, identityFile),
 			Err:       err,
 		}
 	}
@@ -103,8 +103,8 @@
 	if st.log, err = disk.OpenLog(st.folder, groupName); err != nil {
 		return err
 	}
-	found, err := filepath.Glob(filepath.Join(st.log.Path, "log-*"))
-	if err == nil && len(found) == 0 {
+	segments, err := filepath.Glob(filepath.Join(st.log.Path, "log-*"))
+	if err == nil && len(segments) == 0 {
 		err = os.ErrNotExist
 	}
 	if err != nil {
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// begin makes a new member. Its identity is written last: a folder without one
+// initialize makes a new member. Its identity is written last: a folder without one
 // has promised nothing and is begun again.
-func (st *store) begin(s *settings.Site) error {
+func (st *memberStore) initialize(s *settings.Site) error {
 	var err error
 	if err = emptyFolder(filepath.Join(s.Data, groupName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -133,13 +133,13 @@
 	}
 	st.member = persimmoncross.MemberID(rand.Uint64() | 1) // never 0
 	if s.Founding && s.Founder() {
-		set := founders(s)
-		st.member = founderID(s.Peer.String())
+		voters := initialVoters(s)
+		st.member = initialVoterID(s.Peer.String())
 		if err := st.log.Compact(persimmoncross.Snapshot{
-			Index: originIndex,
-			Term:  originIndex,
-			Set:   set,
-		}, originIndex); err != nil {
+			Index: initialIndex,
+			Term:  initialIndex,
+			Set:   voters,
+		}, initialIndex); err != nil {
 			return err
 		}
 	}
@@ -155,22 +155,22 @@
 	if err != nil {
 		return err
 	}
-	return st.folder.WriteFile(identityName, data)
+	return st.folder.WriteFile(identityFile, data)
 }
 
-// founders returns the first voters: every seed works out the same set.
-func founders(s *settings.Site) persimmoncross.Config {
-	set := persimmoncross.Config{}
+// initialVoters returns the first voters: every seed works out the same set.
+func initialVoters(s *settings.Site) persimmoncross.Config {
+	voters := persimmoncross.Config{}
 	for _, a := range s.Seeds {
 		name := s.PeerOf(a).String()
-		set.Voters = append(set.Voters, persimmoncross.Member{
-			ID: founderID(name),
+		voters.Voters = append(voters.Voters, persimmoncross.Member{
+			ID: initialVoterID(name),
 			VM: name,
 		})
 	}
-	return set
+	return voters
 }
 
-func founderID(name string) persimmoncross.MemberID {
+func initialVoterID(name string) persimmoncross.MemberID {
 	return persimmoncross.MemberID(xxhash.Sum64String("founder\x00"+name) | 1)
 }
--- a/internal/node/large_test.go
+++ b/internal/node/large_test.go
@@ -45,16 +45,16 @@
 // below failed on that code, each for one part of the cause. The whole record is in
 // docs/incidents/large-documents.md.
 
-// documentOf returns a document with so many routes. The first ones are the
+// testDocument returns a document with so many routes. The first ones are the
 // same in every document.
-func documentOf(number uint64, routes int) []byte {
-	names := rand.New(rand.NewPCG(1, 2))
+func testDocument(number uint64, routes int) []byte {
+	random := rand.New(rand.NewPCG(1, 2))
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "%d\n", number)
 	for range routes {
 		fmt.Fprintf(b, `{"name":"r-%08x","host":"h%x.example","prefix":"/%x/","repeat":"freely","timeout":"1000ms","objective":"150ms",`+
 			`"priority":0,"split":[{"service":"s","weight":1}],"attempts":3,"open":false,"sticky":false,"resumes":false,`+
-			`"longest pause between events":"0ms","models":[],"note":""},`+"\n", names.Uint32(), names.Uint32N(1<<16), names.Uint64())
+			`"longest pause between events":"0ms","models":[],"note":""},`+"\n", random.Uint32(), random.Uint32N(1<<16), random.Uint64())
 	}
 	return []byte(b.String())
 }
@@ -63,62 +63,62 @@
 // of the most bytes that callers' bodies may have holds.
 const (
 	manyRoutes = 1_400
-	mostRoutes = 15_000
+	maxRoutes  = 15_000
 )
 
 // slowLink is a VM's link: all connections over it share its bytes a second.
 type slowLink struct {
-	rate float64 // bytes a second towards the VM
+	bytesPerSecond float64 // bytes a second towards the VM
 
-	mu   sync.Mutex // guards free
-	free time.Time  // when the link has sent what was given to it
-	sent atomic.Int64
+	mu        sync.Mutex // guards free
+	freeAt    time.Time  // when the link has sent what was given to it
+	sentBytes atomic.Int64
 }
 
-// carry passes a connection on, one way at the link's rate.
-func (l *slowLink) carry(near net.Conn, to string) {
-	defer near.Close()
-	far, err := net.Dial("tcp", to)
+// forward passes a connection on, one way at the link's rate.
+func (l *slowLink) forward(client net.Conn, target string) {
+	defer client.Close()
+	server, err := net.Dial("tcp", target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer server.Close()
 	go func() {
-		io.Copy(far, near)
-		far.Close()
+		io.Copy(server, client)
+		server.Close()
 	}()
-	b := make([]byte, 4<<10)
+	buffer := make([]byte, 4<<10)
 	for {
-		n, err := far.Read(b)
+		n, err := server.Read(buffer)
 		if err != nil {
 			return
 		}
-		l.sent.Add(int64(n))
-		l.wait(n)
-		if _, err := near.Write(b[:n]); err != nil {
+		l.sentBytes.Add(int64(n))
+		l.waitToSend(n)
+		if _, err := client.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-func (l *slowLink) wait(bytes int) {
+func (l *slowLink) waitToSend(bytes int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
-	until := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
+	until := l.freeAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-// via opens a way over the link to each of the controllers.
-func (l *slowLink) via(t *testing.T, controllers []*Controller) map[string]netip.AddrPort {
+// proxyControllers opens a way over the link to each of the controllers.
+func (l *slowLink) proxyControllers(t *testing.T, controllers []*Controller) map[string]netip.AddrPort {
 	t.Helper()
-	ways := map[string]netip.AddrPort{}
+	proxies := map[string]netip.AddrPort{}
 	for _, c := range controllers {
-		to := c.Site.Peer.String()
+		target := c.Site.Peer.String()
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -126,30 +126,30 @@
 		t.Cleanup(func() { listener.Close() })
 		go func() {
 			for {
-				near, err := listener.Accept()
+				client, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				go l.carry(near, to)
+				go l.forward(client, target)
 			}
 		}()
-		ways[to] = listener.Addr().(*net.TCPAddr).AddrPort()
+		proxies[target] = listener.Addr().(*net.TCPAddr).AddrPort()
 	}
-	return ways
+	return proxies
 }
 
 // declareDocument offers a document until it is acknowledged.
 func (f *fleet) declareDocument(c *Controller, number uint64, document []byte) {
 	f.t.Helper()
-	f.await(fmt.Sprint("document ", number, " is kept"), func() bool {
+	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
 		return c.Declare(context.Background(), number, document) == nil
 	})
 }
 
-// inForce waits until the entry has the document.
-func (f *fleet) inForce(e *Entry, number uint64) {
+// waitForDocument waits until the entry has the document.
+func (f *fleet) waitForDocument(e *Entry, number uint64) {
 	f.t.Helper()
-	f.await(fmt.Sprint("document ", number, " is in force"), func() bool {
+	f.waitFor(fmt.Sprint("document ", number, " is in force"), func() bool {
 		v := e.view.Load()
 		return v != nil && v.Catalog != nil && v.Catalog.Number == number
 	})
@@ -159,56 +159,56 @@
 // a fifth of a small VM's, one after the other and at a start.
 func TestLargeDocumentsOverSlowLinks(t *testing.T) {
 	f := newFleet(t, 80)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 3; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	f.declareDocument(all[0], 1, documentOf(1, 10))
+	f.declareDocument(controllers[0], 1, testDocument(1, 10))
 	link := &slowLink{
-		rate: 250e3,
+		bytesPerSecond: 250e3,
 	}
-	e := f.entryVia(6, link.via(t, all))
-	f.inForce(e, 1)
-	f.declareDocument(all[1], 2, documentOf(2, manyRoutes))
-	f.declareDocument(all[2], 3, documentOf(3, manyRoutes+1))
-	f.inForce(e, 3)
-	f.declareDocument(all[0], 4, documentOf(4, mostRoutes))
-	f.inForce(e, 4)
-	late := f.entryVia(7, link.via(t, all))
-	f.inForce(late, 4)
+	e := f.startEntryVia(6, link.proxyControllers(t, controllers))
+	f.waitForDocument(e, 1)
+	f.declareDocument(controllers[1], 2, testDocument(2, manyRoutes))
+	f.declareDocument(controllers[2], 3, testDocument(3, manyRoutes+1))
+	f.waitForDocument(e, 3)
+	f.declareDocument(controllers[0], 4, testDocument(4, maxRoutes))
+	f.waitForDocument(e, 4)
+	lateEntry := f.startEntryVia(7, link.proxyControllers(t, controllers))
+	f.waitForDocument(lateEntry, 4)
 }
 
-// following counts the streams to followers that are under way here.
-func following() int {
-	b := make([]byte, 4<<20)
-	return strings.Count(string(b[:runtime.Stack(b, true)]), "node.(*calls).follow(")
+// followStreamCount counts the streams to followers that are under way here.
+func followStreamCount() int {
+	stacks := make([]byte, 4<<20)
+	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "node.(*peerHandler).follow(")
 }
 
 // A follower that leaves in the middle of a document leaves nothing behind.
-func TestFollowersThatLeaveAreForgotten(t *testing.T) {
+func TestDisconnectedFollowersAreReleased(t *testing.T) {
 	f := newFleet(t, 81)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 3; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	f.declareDocument(all[0], 1, documentOf(1, mostRoutes))
-	f.await("the others follow the leader", func() bool { return following() == 2 })
-	follower := &peer.Node{
+	f.declareDocument(controllers[0], 1, testDocument(1, maxRoutes))
+	f.waitFor("the others follow the leader", func() bool { return followStreamCount() == 2 })
+	followerNode := &peer.Node{
 		VM:      "127.0.0.1:1",
 		Open:    true,
 		Clock:   persimmoncross.SystemClock{},
 		Metrics: metrics.NewRegistry(),
 		Log:     zerolog.Nop(),
 	}
-	follower.Prepare()
+	followerNode.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go follower.Run(ctx)
+	go followerNode.Run(ctx)
 	for n := range 30 {
 		var s *peer.Stream
-		f.await("the controller answers", func() bool {
+		f.waitFor("the controller answers", func() bool {
 			var err error
-			s, err = follower.Call(ctx, all[0].Site.Peer.String(), &wire.Call{
+			s, err = followerNode.Call(ctx, controllers[0].Site.Peer.String(), &wire.Call{
 				Body: &wire.Call_Follow{
 					Follow: &wire.Follow{
 						Vm:    fmt.Sprint("left", n),
@@ -221,71 +221,71 @@
 		if err := s.Send(&wire.Account{}); err != nil {
 			t.Fatal(err)
 		}
-		f.await("it is followed", func() bool { return following() > 2 })
+		f.waitFor("it is followed", func() bool { return followStreamCount() > 2 })
 		// Until what may be under way is: nobody reads.
 		time.Sleep(10 * time.Millisecond)
 		s.Close()
 	}
-	f.await("those that left are forgotten", func() bool { return following() == 2 })
+	f.waitFor("those that left are forgotten", func() bool { return followStreamCount() == 2 })
 }
 
-// received returns the bytes that went over the link while something was done.
-func (l *slowLink) received(do func()) int64 {
-	before := l.sent.Load()
-	do()
-	return l.sent.Load() - before
+// bytesSentDuring returns the bytes that went over the link while something was done.
+func (l *slowLink) bytesSentDuring(operation func()) int64 {
+	before := l.sentBytes.Load()
+	operation()
+	return l.sentBytes.Load() - before
 }
 
 // What goes to an entry is what a change changes: not the document's other
 // routes, nor the document with a step of an upgrade, nor a copy from each
 // controller that is asked.
-func TestChangesCostTheirSize(t *testing.T) {
+func TestUpdatesSendOnlyChanges(t *testing.T) {
 	f := newFleet(t, 82)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 3; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	first := documentOf(1, manyRoutes)
-	f.declareDocument(all[0], 1, first)
-	whole := len(packed.Whole(first))
+	first := testDocument(1, manyRoutes)
+	f.declareDocument(controllers[0], 1, first)
+	packedSize := len(packed.Whole(first))
 	// Beside the document the stream tells that it lives, six bytes at least for
 	// each update and the names of the controllers: the bounds leave it 8 KB.
-	const life = 8 << 10
+	const maxOverheadBytes = 8 << 10
 	link := &slowLink{
-		rate: 10e6,
+		bytesPerSecond: 10e6,
 	}
 	var e *Entry
-	if got := link.received(func() {
-		e = f.entryVia(6, link.via(t, all))
-		f.inForce(e, 1)
-	}); got > int64(whole)+life {
-		t.Errorf("a start took %d bytes, the packed document has %d", got, whole)
+	if got := link.bytesSentDuring(func() {
+		e = f.startEntryVia(6, link.proxyControllers(t, controllers))
+		f.waitForDocument(e, 1)
+	}); got > int64(packedSize)+maxOverheadBytes {
+		t.Errorf("a start took %d bytes, the packed document has %d", got, packedSize)
 	}
-	if got := link.received(func() {
-		f.declareDocument(all[1], 2, documentOf(2, manyRoutes+1))
-		f.inForce(e, 2)
-	}); got > life {
+	if got := link.bytesSentDuring(func() {
+		f.declareDocument(controllers[1], 2, testDocument(2, manyRoutes+1))
+		f.waitForDocument(e, 2)
+	}); got > maxOverheadBytes {
 		t.Errorf("a change of one route took %d bytes", got)
 	}
-	if got := link.received(func() {
-		f.await("an upgrade begins", func() bool { return all[2].Begin(context.Background(), "s", "v2", time.Second) == nil })
-		f.await("it has ended", func() bool {
+	if got := link.bytesSentDuring(func() {
+		f.waitFor("an upgrade begins", func() bool { return controllers[2].Begin(context.Background(), "s", "v2", time.Second) == nil })
+		f.waitFor("it has ended", func() bool {
 			v := e.view.Load()
 			return v.Upgrades["s"].Stage.Ended()
 		})
-	}); got > 4*life {
+	}); got > 4*maxOverheadBytes {
 		t.Errorf("an upgrade took %d bytes", got)
 	}
-	if got := link.received(func() {
+	if got := link.bytesSentDuring(func() {
 		for _, name := range []string{"vm1", "vm2", "vm3"} {
 			f.stop(name)
 		}
 		for n := 1; n <= 3; n++ {
-			all[n-1] = f.controller(n, false)
+			controllers[n-1] = f.startController(n, false)
 		}
-		f.declareDocument(all[0], 3, documentOf(3, manyRoutes))
-		f.inForce(e, 3)
-	}); got > 4*life {
+		f.declareDocument(controllers[0], 3, testDocument(3, manyRoutes))
+		f.waitForDocument(e, 3)
+	}); got > 4*maxOverheadBytes {
 		t.Errorf("a restart of all controllers took %d bytes", got)
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -13,24 +13,24 @@
 // followers and to the leader, each without waiting for the next regular message. The latest
 // observation wins, so neither order nor repetition matters, and no leader is needed.
 
-// limitsAtOnce bounds the limits in one message to some KB.
-const limitsAtOnce = 100
+// maxLimitsPerMessage bounds the limits in one message to some KB.
+const maxLimitsPerMessage = 100
 
 // mergeLimits adds observations, and wakes the streams to followers if a limit changed.
-func (h *hub) mergeLimits(list []ratelimit.Observation) {
-	if len(list) == 0 || len(h.limits.Merge(list, h.clock.Now())) == 0 {
+func (p *publisher) mergeLimits(list []ratelimit.Observation) {
+	if len(list) == 0 || len(p.limits.Merge(list, p.clock.Now())) == 0 {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.wake()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.notify()
 }
 
-// tellLimits puts the limits that have changed into an update for a follower.
-func (h *hub) tellLimits(u *wire.Update, s *sent) {
+// addLimits puts the limits that have changed into an update for a follower.
+func (p *publisher) addLimits(u *wire.Update, s *followerState) {
 	var changes []ratelimit.Observation
-	changes, s.limits, s.limitsMore = h.limits.Since(s.limits, limitsAtOnce)
-	u.Limits = wireLimits(changes, h.clock.Now())
+	changes, s.limitsVersion, s.hasMoreLimits = p.limits.Since(s.limitsVersion, maxLimitsPerMessage)
+	u.Limits = toWireLimits(changes, p.clock.Now())
 }
 
 // sendLimits sends the followed controller the limits that have changed since the version,
@@ -38,18 +38,18 @@
 func (f *follower) sendLimits(s *peer.Stream, version uint64) (uint64, error) {
 	for more := true; more; {
 		var changes []ratelimit.Observation
-		changes, version, more = f.Limits.Since(version, limitsAtOnce)
+		changes, version, more = f.Limits.Since(version, maxLimitsPerMessage)
 		if len(changes) == 0 {
 			continue
 		}
-		if err := s.Send(&wire.Account{Limits: wireLimits(changes, f.Clock.Now())}); err != nil {
+		if err := s.Send(&wire.Account{Limits: toWireLimits(changes, f.Clock.Now())}); err != nil {
 			return version, err
 		}
 	}
 	return version, nil
 }
 
-func wireLimits(list []ratelimit.Observation, now time.Time) []*wire.Limit {
+func toWireLimits(list []ratelimit.Observation, now time.Time) []*wire.Limit {
 	var limits []*wire.Limit
 	for _, o := range list {
 		limits = append(limits, &wire.Limit{
@@ -61,7 +61,7 @@
 	return limits
 }
 
-func limitsOf(limits []*wire.Limit, now time.Time) []ratelimit.Observation {
+func fromWireLimits(limits []*wire.Limit, now time.Time) []ratelimit.Observation {
 	var list []ratelimit.Observation
 	for _, x := range limits {
 		list = append(list, ratelimit.Observation{
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -17,134 +17,134 @@
 // How the list of upstreams goes to followers: whole once, and then what changes,
 // in parts.
 
-// listChange is what one change of the list was: a list of thousands changes by
+// listDelta is what one change of the list was: a list of thousands changes by
 // a few.
-type listChange struct {
-	listed  uint64 // the count after it
+type listDelta struct {
+	version uint64 // the count after it
 	changed []persimmoncross.Upstream
-	gone    []string
+	removed []string
 }
 
-// keptChanges bounds the changes that a follower may lag behind before it is sent
+// maxRecentDeltas bounds the changes that a follower may lag behind before it is sent
 // the whole list.
-const keptChanges = 32
+const maxRecentDeltas = 32
 
-// difference returns how a list became another.
-func difference(from, to []persimmoncross.Upstream) (changed []persimmoncross.Upstream, gone []string) {
-	before := make(map[string]persimmoncross.Upstream, len(from))
+// diffLists returns how a list became another.
+func diffLists(from, to []persimmoncross.Upstream) (changed []persimmoncross.Upstream, removed []string) {
+	previous := make(map[string]persimmoncross.Upstream, len(from))
 	for _, u := range from {
-		before[u.Life()] = u
+		previous[u.Life()] = u
 	}
 	for _, u := range to {
-		life := u.Life()
-		if old, ok := before[life]; !ok || !sameUpstream(old, u) {
+		id := u.Life()
+		if old, ok := previous[id]; !ok || !equalUpstream(old, u) {
 			changed = append(changed, u)
 		}
-		delete(before, life)
+		delete(previous, id)
 	}
-	for id := range before {
-		gone = append(gone, id)
+	for id := range previous {
+		removed = append(removed, id)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
 // setList takes the list as it was at the time, unless a later one is held.
-func (h *hub) setList(list []persimmoncross.Upstream, read time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if read.Before(h.read) {
+func (p *publisher) setList(list []persimmoncross.Upstream, readAt time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if readAt.Before(p.listReadAt) {
 		return false
 	}
-	h.read = read
-	if !slices.EqualFunc(h.list, list, sameUpstream) {
-		h.listed++
-		changed, gone := difference(h.list, list)
-		h.changes = append(h.changes, listChange{
-			listed:  h.listed,
+	p.listReadAt = readAt
+	if !slices.EqualFunc(p.list, list, equalUpstream) {
+		p.listVersion++
+		changed, removed := diffLists(p.list, list)
+		p.recentDeltas = append(p.recentDeltas, listDelta{
+			version: p.listVersion,
 			changed: changed,
-			gone:    gone,
+			removed: removed,
 		})
-		if n := len(h.changes); n > keptChanges {
-			h.changes = slices.Clone(h.changes[n-keptChanges:])
+		if n := len(p.recentDeltas); n > maxRecentDeltas {
+			p.recentDeltas = slices.Clone(p.recentDeltas[n-maxRecentDeltas:])
 		}
-		h.list = list
-		h.whole = nil
-		h.packed = nil
-		h.lacks = nil
-		h.summed = nil
-		h.order = make([]string, 0, len(list))
+		p.list = list
+		p.fullList = nil
+		p.packedSince = nil
+		p.deltaSince = nil
+		p.checksummed = nil
+		p.listIDs = make([]string, 0, len(list))
 		for _, u := range list {
-			h.order = append(h.order, u.Life())
+			p.listIDs = append(p.listIDs, u.Life())
 		}
-		slices.Sort(h.order)
-		h.order = slices.Compact(h.order)
-		h.wake()
+		slices.Sort(p.listIDs)
+		p.listIDs = slices.Compact(p.listIDs)
+		p.notify()
 	}
 	return true
 }
 
-func sameUpstream(a, b persimmoncross.Upstream) bool {
+func equalUpstream(a, b persimmoncross.Upstream) bool {
 	return a.Incarnation == b.Incarnation && a.Started.Equal(b.Started) && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
 		a.Version == b.Version && a.Slots == b.Slots && a.Leaving == b.Leaving && slices.Equal(a.Models, b.Models)
 }
 
-// upstreamsAtOnce and goneAtOnce bound an update of a list of thousands: 10 KB
+// maxUpstreamsPerUpdate and maxRemovedPerUpdate bound an update of a list of thousands: 10 KB
 // of upstreams, and 7 KB of the lives that are over.
 const (
-	upstreamsAtOnce = 128
-	goneAtOnce      = 512
+	maxUpstreamsPerUpdate = 128
+	maxRemovedPerUpdate   = 512
 )
 
-// listPart moves the next part of the list into the update.
-func (s *sent) listPart(u *wire.Update) {
-	n := min(upstreamsAtOnce, len(s.list.Upstreams))
-	g := min(goneAtOnce, len(s.list.Gone))
+// addListPart moves the next part of the list into the update.
+func (s *followerState) addListPart(u *wire.Update) {
+	upstreamCount := min(maxUpstreamsPerUpdate, len(s.pendingList.Upstreams))
+	removedCount := min(maxRemovedPerUpdate, len(s.pendingList.Gone))
 	u.Listed = true
-	u.Partial = s.list.Partial
-	u.Parts = s.list.Parts
-	u.Removed = s.list.Removed
-	u.Gone = s.list.Gone[:g]
-	u.Upstreams = s.list.Upstreams[:n]
-	if n < len(s.list.Upstreams) || g < len(s.list.Gone) {
+	u.Partial = s.pendingList.Partial
+	u.Parts = s.pendingList.Parts
+	u.Removed = s.pendingList.Removed
+	u.Gone = s.pendingList.Gone[:removedCount]
+	u.Upstreams = s.pendingList.Upstreams[:upstreamCount]
+	if upstreamCount < len(s.pendingList.Upstreams) || removedCount < len(s.pendingList.Gone) {
 		u.More = true
-		s.list = &wire.Update{
+		s.pendingList = &wire.Update{
 			Partial:   true,
-			Upstreams: s.list.Upstreams[n:],
-			Gone:      s.list.Gone[g:],
+			Upstreams: s.pendingList.Upstreams[upstreamCount:],
+			Gone:      s.pendingList.Gone[removedCount:],
 		}
 		return
 	}
-	s.list = nil
-	if len(s.packed) > 0 {
+	s.pendingList = nil
+	if len(s.pendingPacked) > 0 {
 		u.More = true
 		return
 	}
-	s.order = s.next
+	s.listIDs = s.pendingListIDs
 }
 
-// packedAtOnce bounds a packed part of a whole list: 12 KB of upstreams that look like
+// maxUpstreamsPerPackedPart bounds a packed part of a whole list: 12 KB of upstreams that look like
 // each other.
-const packedAtOnce = 4 * upstreamsAtOnce
+const maxUpstreamsPerPackedPart = 4 * maxUpstreamsPerUpdate
 
-// packedList returns the upstreams of a part of the list in packed parts, a quarter of
+// packedParts returns the upstreams of a part of the list in packed parts, a quarter of
 // the bytes or less, made once for all followers that had the same count of changes.
 // One that had none has its own parts. The caller holds mu.
-func (h *hub) packedList(since uint64, u *wire.Update) [][]byte {
+func (p *publisher) packedParts(since uint64, u *wire.Update) [][]byte {
 	if since == 0 && u.GetPartial() {
 		return packUpstreams(u.GetUpstreams())
 	}
-	if h.packed[since] == nil {
-		if h.packed == nil {
-			h.packed = map[uint64][][]byte{}
+	if p.packedSince[since] == nil {
+		if p.packedSince == nil {
+			p.packedSince = map[uint64][][]byte{}
 		}
-		h.packed[since] = packUpstreams(u.GetUpstreams())
+		p.packedSince[since] = packUpstreams(u.GetUpstreams())
 	}
-	return h.packed[since]
+	return p.packedSince[since]
 }
 
 func packUpstreams(list []*wire.Upstream) (parts [][]byte) {
-	for part := range slices.Chunk(list, packedAtOnce) {
+	for part := range slices.Chunk(list, maxUpstreamsPerPackedPart) {
 		data, err := proto.Marshal(&wire.Update{
 			Upstreams: part,
 		})
@@ -156,31 +156,31 @@
 	return parts
 }
 
-// pack lets the upstreams of the list that is to be sent go in packed parts, after what
+// setPendingPacked lets the upstreams of the list that is to be sent go in packed parts, after what
 // else there is to tell of it.
-func (s *sent) pack(parts [][]byte) {
-	s.packed = parts
-	s.begun = s.list.GetPartial()
-	s.list.Upstreams = nil
-	if !s.begun || len(s.list.GetGone())+len(s.list.GetParts())+len(s.list.GetRemoved()) == 0 {
-		s.list = nil
+func (s *followerState) setPendingPacked(parts [][]byte) {
+	s.pendingPacked = parts
+	s.listStarted = s.pendingList.GetPartial()
+	s.pendingList.Upstreams = nil
+	if !s.listStarted || len(s.pendingList.GetGone())+len(s.pendingList.GetParts())+len(s.pendingList.GetRemoved()) == 0 {
+		s.pendingList = nil
 	}
 }
 
-// packedPart moves the next packed part into the update.
-func (s *sent) packedPart(u *wire.Update) {
+// addPackedPart moves the next packed part into the update.
+func (s *followerState) addPackedPart(u *wire.Update) {
 	u.Listed = true
-	u.Partial = s.begun
-	u.Packed = s.packed[0]
-	s.packed = s.packed[1:]
-	s.begun = true
-	if u.More = len(s.packed) > 0; !u.More {
-		s.order = s.next
+	u.Partial = s.listStarted
+	u.Packed = s.pendingPacked[0]
+	s.pendingPacked = s.pendingPacked[1:]
+	s.listStarted = true
+	if u.More = len(s.pendingPacked) > 0; !u.More {
+		s.listIDs = s.pendingListIDs
 	}
 }
 
-// openPacked puts the packed upstreams of an update among the others.
-func openPacked(u *wire.Update) error {
+// unpackUpstreams puts the packed upstreams of an update among the others.
+func unpackUpstreams(u *wire.Update) error {
 	if len(u.GetPacked()) == 0 {
 		return nil
 	}
@@ -188,68 +188,68 @@
 	if err != nil {
 		return err
 	}
-	inner := &wire.Update{}
-	if err := proto.Unmarshal(data, inner); err != nil {
+	unpacked := &wire.Update{}
+	if err := proto.Unmarshal(data, unpacked); err != nil {
 		return err
 	}
-	u.Upstreams = append(u.Upstreams, inner.GetUpstreams()...)
+	u.Upstreams = append(u.Upstreams, unpacked.GetUpstreams()...)
 	return nil
 }
 
-// encodeRemoved replaces the names of removed lives by a bitmap over the list that the
+// encodeRemovedBitmap replaces the names of removed lives by a bitmap over the list that the
 // follower holds, where that is shorter: hundreds of lives end at once when a data centre
 // is lost.
-func (s *sent) encodeRemoved() {
-	gone := s.list.GetGone()
-	bytes := 0
-	for _, life := range gone {
-		bytes += len(life)
+func (s *followerState) encodeRemovedBitmap() {
+	removed := s.pendingList.GetGone()
+	idBytes := 0
+	for _, id := range removed {
+		idBytes += len(id)
 	}
-	if !s.bitmaps || !s.list.GetPartial() || 8*bytes <= len(s.order) {
+	if !s.acceptsBitmaps || !s.pendingList.GetPartial() || 8*idBytes <= len(s.listIDs) {
 		return
 	}
-	removed := make([]byte, (len(s.order)+7)/8)
-	for _, life := range gone {
-		i, found := slices.BinarySearch(s.order, life)
+	bitmap := make([]byte, (len(s.listIDs)+7)/8)
+	for _, id := range removed {
+		i, found := slices.BinarySearch(s.listIDs, id)
 		if !found {
 			return // the follower does not hold it
 		}
-		removed[i/8] |= 1 << (i % 8)
+		bitmap[i/8] |= 1 << (i % 8)
 	}
-	s.list.Gone = nil
-	s.list.Removed = removed
+	s.pendingList.Gone = nil
+	s.pendingList.Removed = bitmap
 }
 
-// applyRemoved removes the lives of an update's bitmap from the list.
-func (a *found) applyRemoved(u *wire.Update) error {
-	removed := u.GetRemoved()
-	if len(removed) == 0 {
+// applyRemovedBitmap removes the lives of an update's bitmap from the list.
+func (c *controllerStream) applyRemovedBitmap(u *wire.Update) error {
+	bitmap := u.GetRemoved()
+	if len(bitmap) == 0 {
 		return nil
 	}
-	if len(removed) != (len(a.order)+7)/8 {
-		return failure("follow", Unavailable, errBitmap)
+	if len(bitmap) != (len(c.listIDs)+7)/8 {
+		return newError("follow", Unavailable, errBitmapLength)
 	}
-	for i, life := range a.order {
-		if removed[i/8]&(1<<(i%8)) != 0 {
-			delete(a.list, life)
+	for i, id := range c.listIDs {
+		if bitmap[i/8]&(1<<(i%8)) != 0 {
+			delete(c.upstreams, id)
 		}
 	}
 	return nil
 }
 
-var errBitmap = errors.New("a bitmap over a list of another length")
+var errBitmapLength = errors.New("a bitmap over a list of another length")
 
-// difference returns the list as a follower with the count lacks it: what
+// listDeltaSince returns the list as a follower with the count lacks it: what
 // changed, or all of it where that is not known any more. It is made once for all of
 // them; a follower's own copy shares what it holds. The caller holds mu.
-func (h *hub) difference(since uint64) *wire.Update {
-	u := h.lacks[since]
+func (p *publisher) listDeltaSince(since uint64) *wire.Update {
+	u := p.deltaSince[since]
 	if u == nil {
-		u = h.makeDifference(since)
-		if h.lacks == nil {
-			h.lacks = map[uint64]*wire.Update{}
+		u = p.buildListDelta(since)
+		if p.deltaSince == nil {
+			p.deltaSince = map[uint64]*wire.Update{}
 		}
-		h.lacks[since] = u
+		p.deltaSince[since] = u
 	}
 	return &wire.Update{
 		Partial:   u.GetPartial(),
@@ -258,45 +258,45 @@
 	}
 }
 
-func (h *hub) makeDifference(since uint64) *wire.Update {
-	if since == 0 || len(h.changes) == 0 || h.changes[0].listed > since+1 {
-		if h.whole == nil {
-			h.whole = make([]*wire.Upstream, 0, len(h.list))
-			for _, x := range h.list {
-				h.whole = append(h.whole, fromUpstream(x))
+func (p *publisher) buildListDelta(since uint64) *wire.Update {
+	if since == 0 || len(p.recentDeltas) == 0 || p.recentDeltas[0].version > since+1 {
+		if p.fullList == nil {
+			p.fullList = make([]*wire.Upstream, 0, len(p.list))
+			for _, x := range p.list {
+				p.fullList = append(p.fullList, toWireUpstream(x))
 			}
 		}
 		return &wire.Update{
-			Upstreams: h.whole,
+			Upstreams: p.fullList,
 		}
 	}
 	changed := map[string]persimmoncross.Upstream{}
-	gone := map[string]bool{}
-	for _, c := range h.changes {
-		if c.listed <= since {
+	removed := map[string]bool{}
+	for _, c := range p.recentDeltas {
+		if c.version <= since {
 			continue
 		}
 		for _, x := range c.changed {
-			life := x.Life()
-			changed[life] = x
-			delete(gone, life)
+			id := x.Life()
+			changed[id] = x
+			delete(removed, id)
 		}
-		for _, id := range c.gone {
-			gone[id] = true
+		for _, id := range c.removed {
+			removed[id] = true
 			delete(changed, id)
 		}
 	}
 	u := &wire.Update{
 		Partial: true,
-		Gone:    slices.Sorted(maps.Keys(gone)),
+		Gone:    slices.Sorted(maps.Keys(removed)),
 	}
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
-		u.Upstreams = append(u.Upstreams, fromUpstream(changed[id]))
+		u.Upstreams = append(u.Upstreams, toWireUpstream(changed[id]))
 	}
 	return u
 }
 
-func fromUpstream(u persimmoncross.Upstream) *wire.Upstream {
+func toWireUpstream(u persimmoncross.Upstream) *wire.Upstream {
 	started := int64(0)
 	if !u.Started.IsZero() {
 		started = u.Started.UnixMilli()
@@ -319,14 +319,14 @@
 func upstreamsOf(m *wire.Update) []persimmoncross.Upstream {
 	var list []persimmoncross.Upstream
 	for _, x := range m.GetUpstreams() {
-		if u, ok := toUpstream(x); ok {
+		if u, ok := fromWireUpstream(x); ok {
 			list = append(list, u)
 		}
 	}
 	return list
 }
 
-func toUpstream(x *wire.Upstream) (u persimmoncross.Upstream, ok bool) {
+func fromWireUpstream(x *wire.Upstream) (u persimmoncross.Upstream, ok bool) {
 	address, err := netip.ParseAddrPort(x.GetAddress())
 	if err != nil {
 		return u, false
--- a/internal/node/listsums.go
+++ b/internal/node/listsums.go
@@ -14,28 +14,28 @@
 // parts of its own, and is sent the parts that differ. Without it each follower that
 // goes to another controller is sent a list of thousands, which is the same.
 
-// listParts is into how many parts lives fall: 47 upstreams each of 3,000.
-const listParts = 64
+// listPartitionCount is into how many parts lives fall: 47 upstreams each of 3,000.
+const listPartitionCount = 64
 
-// listPartOf returns the part of the list that a life falls into.
-func listPartOf(life string) uint32 { return uint32(xxhash.Sum64String(life) % listParts) }
+// listPartition returns the part of the list that a life falls into.
+func listPartition(id string) uint32 { return uint32(xxhash.Sum64String(id) % listPartitionCount) }
 
-// listSums returns the sums of a list's parts, nil for none.
-func listSums(list map[string]*wire.Upstream) []uint64 {
+// partitionChecksums returns the sums of a list's parts, nil for none.
+func partitionChecksums(list map[string]*wire.Upstream) []uint64 {
 	if len(list) == 0 {
 		return nil
 	}
-	sums := make([]uint64, listParts)
-	for life, x := range list {
-		sums[listPartOf(life)] += upstreamSum(life, x)
+	checksums := make([]uint64, listPartitionCount)
+	for id, x := range list {
+		checksums[listPartition(id)] += upstreamChecksum(id, x)
 	}
-	return sums
+	return checksums
 }
 
-// upstreamSum tells facts of an upstream apart.
-func upstreamSum(life string, x *wire.Upstream) uint64 {
+// upstreamChecksum tells facts of an upstream apart.
+func upstreamChecksum(id string, x *wire.Upstream) uint64 {
 	return xxhash.Sum64String(strings.Join([]string{
-		life,
+		id,
 		x.GetService(),
 		x.GetAddress(),
 		x.GetDatacentre(),
@@ -46,59 +46,59 @@
 	}, "\x00"))
 }
 
-// summed is the list by life with the sums of its parts, made once for all followers
+// checksummedList is the list by life with the sums of its parts, made once for all followers
 // that come. It never changes.
-type summed struct {
-	byLife map[string]*wire.Upstream
-	sums   []uint64
+type checksummedList struct {
+	byID      map[string]*wire.Upstream
+	checksums []uint64
 }
 
-// summary returns it. The caller holds mu.
-func (h *hub) summary() *summed {
-	if h.summed == nil {
-		list := make(map[string]*wire.Upstream, len(h.list))
-		for _, u := range h.list {
-			list[u.Life()] = fromUpstream(u)
+// listWithChecksums returns it. The caller holds mu.
+func (p *publisher) listWithChecksums() *checksummedList {
+	if p.checksummed == nil {
+		list := make(map[string]*wire.Upstream, len(p.list))
+		for _, u := range p.list {
+			list[u.Life()] = toWireUpstream(u)
 		}
-		h.summed = &summed{
-			byLife: list,
-			sums:   listSums(list),
+		p.checksummed = &checksummedList{
+			byID:      list,
+			checksums: partitionChecksums(list),
 		}
 	}
-	return h.summed
+	return p.checksummed
 }
 
-// lacking returns what of the list a follower lacks that holds one with the sums. The
+// listDeltaFromChecksums returns what of the list a follower lacks that holds one with the sums. The
 // caller holds mu.
-func (h *hub) lacking(sums []uint64) *wire.Update {
-	if len(sums) != listParts || len(h.list) == 0 {
-		return h.difference(0)
+func (p *publisher) listDeltaFromChecksums(checksums []uint64) *wire.Update {
+	if len(checksums) != listPartitionCount || len(p.list) == 0 {
+		return p.listDeltaSince(0)
 	}
-	own := h.summary()
+	current := p.listWithChecksums()
 	u := &wire.Update{
 		Partial: true,
 	}
-	for i := range sums {
-		if own.sums[i] != sums[i] {
+	for i := range checksums {
+		if current.checksums[i] != checksums[i] {
 			u.Parts = append(u.Parts, uint32(i))
 		}
 	}
-	for life, x := range own.byLife {
-		if i := listPartOf(life); own.sums[i] != sums[i] {
+	for id, x := range current.byID {
+		if i := listPartition(id); current.checksums[i] != checksums[i] {
 			u.Upstreams = append(u.Upstreams, x)
 		}
 	}
 	return u
 }
 
-// dropParts takes parts out of a list that are about to be replaced.
-func dropParts(list map[string]*wire.Upstream, parts []uint32) {
-	if len(parts) == 0 {
+// removePartitions takes parts out of a list that are about to be replaced.
+func removePartitions(list map[string]*wire.Upstream, partitions []uint32) {
+	if len(partitions) == 0 {
 		return
 	}
-	drop := map[uint32]bool{}
-	for _, p := range parts {
-		drop[p] = true
+	dropped := map[uint32]bool{}
+	for _, p := range partitions {
+		dropped[p] = true
 	}
-	maps.DeleteFunc(list, func(life string, _ *wire.Upstream) bool { return drop[listPartOf(life)] })
+	maps.DeleteFunc(list, func(life string, _ *wire.Upstream) bool { return dropped[listPartition(life)] })
 }
