--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -14,342 +14,342 @@
 
 // Of the loads that controllers send to entries.
 const (
-	loadBytes   = 6 // for each upstream: silence, age, running, waiting, work, doubters
-	loadUnknown = 255
-	loadMost    = 254
-	loadUnit    = 20 * time.Millisecond // of ages and work
-	// loadAge is how long an upstream's word, or a sender's account of its work,
+	loadRecordBytes = 6 // for each upstream: silence, age, running, waiting, work, doubters
+	unknownLoad     = 255
+	maxLoadValue    = 254
+	loadTimeUnit    = 20 * time.Millisecond // of ages and work
+	// maxLoadAge is how long an upstream's word, or a sender's account of its work,
 	// is used.
-	loadAge = 1500 * time.Millisecond
-	// loadRate bounds the bytes a second of loads to one follower; with thousands
+	maxLoadAge = 1500 * time.Millisecond
+	// maxLoadBytesPerSecond bounds the bytes a second of loads to one follower; with thousands
 	// of upstreams they are sent less often.
-	loadRate = 10_000
-	// loadWork is the pause for each upstream: a follower goes through all of them, a
+	maxLoadBytesPerSecond = 10_000
+	// minLoadIntervalPerUpstream is the pause for each upstream: a follower goes through all of them, a
 	// percent of an entry's core with thousands.
-	loadWork = 300 * time.Microsecond
+	minLoadIntervalPerUpstream = 300 * time.Microsecond
 )
 
-// loadBoard adds up what the entries know of the upstreams' loads. One of many
+// loadAggregator adds up what the entries know of the upstreams' loads. One of many
 // entries hears an upstream seldom and makes a small part of its work; together
 // they know all of it. The leader's board has the whole; the others send it their
 // entries' part, and pass on what it sends.
-type loadBoard struct {
+type loadAggregator struct {
 	clock persimmoncross.Clock
 
-	mu    sync.Mutex // guards all below
-	words map[string]boardWord
-	heard map[string]boardHeard // when bytes came from an upstream
-	work  map[string]senderWork // by sender
-	whole map[string]partOf     // by upstream, as the leader sent it
-	at    time.Time             // of whole
-	told  toldLoads
+	mu             sync.Mutex // guards all below
+	reported       map[string]reportedLoad
+	received       map[string]lastReceived // when bytes came from an upstream
+	workByReporter map[string]reporterWork // by sender
+	fleetWork      map[string]upstreamWork // by upstream, as the leader sent it
+	fleetWorkAt    time.Time               // of whole
+	cached         encodedLoads
 }
 
-// toldLoads are the loads as followers of one list are told of them.
-type toldLoads struct {
-	lives []string // the list's, shared by all who have it
-	at    time.Time
-	dense []byte
-	known []byte
+// encodedLoads are the loads as followers of one list are told of them.
+type encodedLoads struct {
+	ids       []string // the list's, shared by all who have it
+	encodedAt time.Time
+	dense     []byte
+	sparse    []byte
 }
 
-// toldWork is for how long followers are told the same, for each upstream: with thousands
+// maxEncodedAgePerUpstream is for how long followers are told the same, for each upstream: with thousands
 // it takes longer to put together than to send to hundreds, and with a hundred each is
 // told what is newest.
-const toldWork = 30 * time.Microsecond
+const maxEncodedAgePerUpstream = 30 * time.Microsecond
 
-// tell returns the loads of the upstreams for followers that have the list, of all and
+// encoded returns the loads of the upstreams for followers that have the list, of all and
 // of those of which anything is known. They are shared and never changed.
-func (b *loadBoard) tell(lives []string) (dense, known []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	same := len(lives) == len(b.told.lives) && (len(lives) == 0 || &lives[0] == &b.told.lives[0])
-	if !same || now.Sub(b.told.at) > toldWork*time.Duration(len(lives)) {
-		dense := b.pack(lives, now)
-		b.told = toldLoads{
-			lives: lives,
-			at:    now,
-			dense: dense,
-			known: sparse(dense),
+func (a *loadAggregator) encoded(ids []string) (dense, sparse []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.clock.Now()
+	same := len(ids) == len(a.cached.ids) && (len(ids) == 0 || &ids[0] == &a.cached.ids[0])
+	if !same || now.Sub(a.cached.encodedAt) > maxEncodedAgePerUpstream*time.Duration(len(ids)) {
+		dense := a.encodeDense(ids, now)
+		a.cached = encodedLoads{
+			ids:       ids,
+			encodedAt: now,
+			dense:     dense,
+			sparse:    encodeSparse(dense),
 		}
 	}
-	return b.told.dense, b.told.known
+	return a.cached.dense, a.cached.sparse
 }
 
-// boardWord is what an upstream told of itself.
-type boardWord struct {
-	running byte
-	waiting byte
-	at      time.Time
-	fresh   bool // came from an entry and was not relayed yet
+// reportedLoad is what an upstream told of itself.
+type reportedLoad struct {
+	running     byte
+	waiting     byte
+	reportedAt  time.Time
+	unforwarded bool // came from an entry and was not relayed yet
 }
 
-// boardHeard tells when bytes came from an upstream.
-type boardHeard struct {
-	at    time.Time
-	fresh bool // came from an entry and was not relayed yet
+// lastReceived tells when bytes came from an upstream.
+type lastReceived struct {
+	receivedAt  time.Time
+	unforwarded bool // came from an entry and was not relayed yet
 }
 
-// partOf is what one sender, or all, have to tell of an upstream.
-type partOf struct {
-	work     time.Duration // the reading that is awaited
-	doubters int           // entries
+// upstreamWork is what one sender, or all, have to tell of an upstream.
+type upstreamWork struct {
+	work              time.Duration // the reading that is awaited
+	suspectingEntries int           // entries
 }
 
-// senderWork is what one sender has to tell, by upstream.
-type senderWork struct {
-	by map[string]partOf
-	at time.Time
+// reporterWork is what one sender has to tell, by upstream.
+type reporterWork struct {
+	byUpstream map[string]upstreamWork
+	receivedAt time.Time
 }
 
-// take keeps an account of an entry, or of another controller. It replaces the
+// receive keeps an account of an entry, or of another controller. It replaces the
 // one before.
-func (b *loadBoard) take(sender string, loads []*wire.UpstreamLoad) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	if b.work == nil {
-		b.work = map[string]senderWork{}
+func (a *loadAggregator) receive(reporter string, loads []*wire.UpstreamLoad) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.clock.Now()
+	if a.workByReporter == nil {
+		a.workByReporter = map[string]reporterWork{}
 	}
-	w := senderWork{
-		by: make(map[string]partOf, len(loads)),
-		at: now,
+	w := reporterWork{
+		byUpstream: make(map[string]upstreamWork, len(loads)),
+		receivedAt: now,
 	}
 	for _, l := range loads {
 		if l.GetWork() > 0 || l.GetDoubters() > 0 {
-			w.by[l.GetLife()] = partOf{
-				work:     time.Duration(l.GetWork()) * time.Millisecond,
-				doubters: int(l.GetDoubters()),
+			w.byUpstream[l.GetLife()] = upstreamWork{
+				work:              time.Duration(l.GetWork()) * time.Millisecond,
+				suspectingEntries: int(l.GetDoubters()),
 			}
 		}
 		if l.GetHeard() {
-			b.hear(l.GetLife(), boardHeard{
-				at:    now.Add(-time.Duration(l.GetSilence()) * time.Millisecond),
-				fresh: true,
+			a.updateReceived(l.GetLife(), lastReceived{
+				receivedAt:  now.Add(-time.Duration(l.GetSilence()) * time.Millisecond),
+				unforwarded: true,
 			})
 		}
 		if l.GetTold() {
-			b.keep(l.GetLife(), boardWord{
-				running: byte(min(l.GetRunning(), loadMost)),
-				waiting: byte(min(l.GetWaiting(), loadMost)),
-				at:      now.Add(-time.Duration(l.GetAge()) * time.Millisecond),
-				fresh:   true,
+			a.updateReported(l.GetLife(), reportedLoad{
+				running:     byte(min(l.GetRunning(), maxLoadValue)),
+				waiting:     byte(min(l.GetWaiting(), maxLoadValue)),
+				reportedAt:  now.Add(-time.Duration(l.GetAge()) * time.Millisecond),
+				unforwarded: true,
 			})
 		}
 	}
-	b.work[sender] = w
+	a.workByReporter[reporter] = w
 }
 
-// keep takes a word that is newer than the one kept.
-func (b *loadBoard) keep(id string, w boardWord) {
-	if b.words == nil {
-		b.words = map[string]boardWord{}
+// updateReported takes a word that is newer than the one kept.
+func (a *loadAggregator) updateReported(id string, w reportedLoad) {
+	if a.reported == nil {
+		a.reported = map[string]reportedLoad{}
 	}
-	if old, ok := b.words[id]; !ok || w.at.After(old.at) {
-		b.words[id] = w
+	if old, ok := a.reported[id]; !ok || w.reportedAt.After(old.reportedAt) {
+		a.reported[id] = w
 	}
 }
 
-// hear takes a sign of life that is later than the one kept.
-func (b *loadBoard) hear(id string, h boardHeard) {
-	if b.heard == nil {
-		b.heard = map[string]boardHeard{}
+// updateReceived takes a sign of life that is later than the one kept.
+func (a *loadAggregator) updateReceived(id string, h lastReceived) {
+	if a.received == nil {
+		a.received = map[string]lastReceived{}
 	}
-	if h.at.After(b.heard[id].at) {
-		b.heard[id] = h
+	if h.receivedAt.After(a.received[id].receivedAt) {
+		a.received[id] = h
 	}
 }
 
-// learn takes the loads that the leader sent.
-func (b *loadBoard) learn(lives []string, loads []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.at = b.clock.Now()
-	b.whole = make(map[string]partOf, len(lives))
-	for _, l := range unpack(lives, loads) {
-		b.whole[l.Life] = partOf{
-			work:     l.Work,
-			doubters: l.Doubters,
+// applyFleetLoads takes the loads that the leader sent.
+func (a *loadAggregator) applyFleetLoads(ids []string, loads []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.fleetWorkAt = a.clock.Now()
+	a.fleetWork = make(map[string]upstreamWork, len(ids))
+	for _, l := range decodeLoads(ids, loads) {
+		a.fleetWork[l.Life] = upstreamWork{
+			work:              l.Work,
+			suspectingEntries: l.Doubters,
 		}
 		if l.Heard {
-			b.hear(l.Life, boardHeard{
-				at: b.at.Add(-l.Silence),
+			a.updateReceived(l.Life, lastReceived{
+				receivedAt: a.fleetWorkAt.Add(-l.Silence),
 			})
 		}
 		if l.Told != nil {
-			b.keep(l.Life, boardWord{
-				running: byte(l.Told.Running),
-				waiting: byte(l.Told.Waiting),
-				at:      b.at.Add(-l.Age),
+			a.updateReported(l.Life, reportedLoad{
+				running:    byte(l.Told.Running),
+				waiting:    byte(l.Told.Waiting),
+				reportedAt: a.fleetWorkAt.Add(-l.Age),
 			})
 		}
 	}
 }
 
-// sum adds up what the senders tell, and forgets those that are silent. The
+// sumWork adds up what the senders tell, and forgets those that are silent. The
 // caller holds mu.
-func (b *loadBoard) sum(now time.Time) map[string]partOf {
-	sum := map[string]partOf{}
-	for sender, w := range b.work {
-		if now.Sub(w.at) > loadAge {
-			delete(b.work, sender)
+func (a *loadAggregator) sumWork(now time.Time) map[string]upstreamWork {
+	sum := map[string]upstreamWork{}
+	for reporter, w := range a.workByReporter {
+		if now.Sub(w.receivedAt) > maxLoadAge {
+			delete(a.workByReporter, reporter)
 			continue
 		}
-		for id, p := range w.by {
-			all := sum[id]
-			all.work += p.work
-			all.doubters += p.doubters
-			sum[id] = all
+		for id, part := range w.byUpstream {
+			total := sum[id]
+			total.work += part.work
+			total.suspectingEntries += part.suspectingEntries
+			sum[id] = total
 		}
 	}
 	return sum
 }
 
-// account returns this controller's part for the leader: what its entries tell,
+// report returns this controller's part for the leader: what its entries tell,
 // and the upstreams' words that came since the call before.
-func (b *loadBoard) account() []*wire.UpstreamLoad {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	list := map[string]*wire.UpstreamLoad{}
-	of := func(id string) *wire.UpstreamLoad {
-		if list[id] == nil {
-			list[id] = &wire.UpstreamLoad{
+func (a *loadAggregator) report() []*wire.UpstreamLoad {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.clock.Now()
+	loads := map[string]*wire.UpstreamLoad{}
+	loadOf := func(id string) *wire.UpstreamLoad {
+		if loads[id] == nil {
+			loads[id] = &wire.UpstreamLoad{
 				Life: id,
 			}
 		}
-		return list[id]
+		return loads[id]
 	}
-	for id, p := range b.sum(now) {
-		l := of(id)
+	for id, p := range a.sumWork(now) {
+		l := loadOf(id)
 		l.Work = uint32(p.work / time.Millisecond)
-		l.Doubters = uint32(p.doubters)
+		l.Doubters = uint32(p.suspectingEntries)
 	}
-	for id, h := range b.heard {
-		silence := now.Sub(h.at)
+	for id, h := range a.received {
+		silence := now.Sub(h.receivedAt)
 		switch {
-		case silence > loadAge:
-			delete(b.heard, id)
-		case h.fresh:
-			h.fresh = false
-			b.heard[id] = h
-			l := of(id)
+		case silence > maxLoadAge:
+			delete(a.received, id)
+		case h.unforwarded:
+			h.unforwarded = false
+			a.received[id] = h
+			l := loadOf(id)
 			l.Heard = true
 			l.Silence = uint32(max(silence, 0) / time.Millisecond)
 		}
 	}
-	for id, w := range b.words {
-		age := now.Sub(w.at)
+	for id, w := range a.reported {
+		age := now.Sub(w.reportedAt)
 		switch {
-		case age > loadAge:
-			delete(b.words, id)
-		case w.fresh:
-			w.fresh = false
-			b.words[id] = w
-			l := of(id)
+		case age > maxLoadAge:
+			delete(a.reported, id)
+		case w.unforwarded:
+			w.unforwarded = false
+			a.reported[id] = w
+			l := loadOf(id)
 			l.Told = true
 			l.Running = uint32(w.running)
 			l.Waiting = uint32(w.waiting)
 			l.Age = uint32(max(age, 0) / time.Millisecond)
 		}
 	}
-	return slices.Collect(maps.Values(list))
+	return slices.Collect(maps.Values(loads))
 }
 
-// pack returns the loads of the upstreams. The caller holds mu.
-func (b *loadBoard) pack(lives []string, now time.Time) []byte {
-	parts := b.whole
-	if now.Sub(b.at) > loadAge {
-		parts = b.sum(now) // there is no leader but this controller
+// encodeDense returns the loads of the upstreams. The caller holds mu.
+func (a *loadAggregator) encodeDense(ids []string, now time.Time) []byte {
+	work := a.fleetWork
+	if now.Sub(a.fleetWorkAt) > maxLoadAge {
+		work = a.sumWork(now) // there is no leader but this controller
 	}
-	packed := make([]byte, 0, loadBytes*len(lives))
-	for _, id := range lives {
-		w, ok := b.words[id]
-		age := now.Sub(w.at)
-		if !ok || age > loadAge {
-			w.running, w.waiting, age = 0, 0, loadUnknown*loadUnit
+	encoded := make([]byte, 0, loadRecordBytes*len(ids))
+	for _, id := range ids {
+		w, ok := a.reported[id]
+		age := now.Sub(w.reportedAt)
+		if !ok || age > maxLoadAge {
+			w.running, w.waiting, age = 0, 0, unknownLoad*loadTimeUnit
 		}
-		silence := time.Duration(loadUnknown * loadUnit)
-		if h, ok := b.heard[id]; ok && now.Sub(h.at) <= loadAge {
-			silence = now.Sub(h.at)
+		silence := time.Duration(unknownLoad * loadTimeUnit)
+		if h, ok := a.received[id]; ok && now.Sub(h.receivedAt) <= maxLoadAge {
+			silence = now.Sub(h.receivedAt)
 		}
-		p := parts[id]
-		packed = append(packed, units(silence), units(age), w.running, w.waiting, units(p.work), byte(min(p.doubters, loadMost)))
+		p := work[id]
+		encoded = append(encoded, encodeDuration(silence), encodeDuration(age), w.running, w.waiting, encodeDuration(p.work), byte(min(p.suspectingEntries, maxLoadValue)))
 	}
-	return packed
+	return encoded
 }
 
-// nothingKnown are the bytes of an upstream of which nothing is known.
-var nothingKnown = []byte{loadUnknown, loadUnknown, 0, 0, 0, 0}
+// unknownLoadRecord are the bytes of an upstream of which nothing is known.
+var unknownLoadRecord = []byte{unknownLoad, unknownLoad, 0, 0, 0, 0}
 
-// sparse leaves the upstreams out of which nothing is known: of thousands most are, where
+// encodeSparse leaves the upstreams out of which nothing is known: of thousands most are, where
 // callers are few.
-func sparse(loads []byte) []byte {
-	n := len(loads) / loadBytes
-	known := make([]byte, (n+7)/8, (n+7)/8+len(loads))
+func encodeSparse(loads []byte) []byte {
+	n := len(loads) / loadRecordBytes
+	encoded := make([]byte, (n+7)/8, (n+7)/8+len(loads))
 	for i := range n {
-		l := loads[loadBytes*i : loadBytes*(i+1)]
-		if !bytes.Equal(l, nothingKnown) {
-			known[i/8] |= 1 << (i % 8)
-			known = append(known, l...)
+		l := loads[loadRecordBytes*i : loadRecordBytes*(i+1)]
+		if !bytes.Equal(l, unknownLoadRecord) {
+			encoded[i/8] |= 1 << (i % 8)
+			encoded = append(encoded, l...)
 		}
 	}
-	return known
+	return encoded
 }
 
-// dense returns the loads of so many upstreams, nil if they are of another number.
-func dense(known []byte, n int) []byte {
-	head := (n + 7) / 8
-	if n == 0 || len(known) < head {
+// decodeSparse returns the loads of so many upstreams, nil if they are of another number.
+func decodeSparse(encoded []byte, n int) []byte {
+	bitmapSize := (n + 7) / 8
+	if n == 0 || len(encoded) < bitmapSize {
 		return nil
 	}
-	rest := known[head:]
-	loads := make([]byte, 0, loadBytes*n)
+	records := encoded[bitmapSize:]
+	loads := make([]byte, 0, loadRecordBytes*n)
 	for i := range n {
-		if known[i/8]&(1<<(i%8)) == 0 {
-			loads = append(loads, nothingKnown...)
+		if encoded[i/8]&(1<<(i%8)) == 0 {
+			loads = append(loads, unknownLoadRecord...)
 			continue
 		}
-		if len(rest) < loadBytes {
+		if len(records) < loadRecordBytes {
 			return nil
 		}
-		loads = append(loads, rest[:loadBytes]...)
-		rest = rest[loadBytes:]
+		loads = append(loads, records[:loadRecordBytes]...)
+		records = records[loadRecordBytes:]
 	}
-	if len(rest) > 0 {
+	if len(records) > 0 {
 		return nil
 	}
 	return loads
 }
 
-// units returns a duration as a byte: loadUnknown only for what is no less.
-func units(d time.Duration) byte {
-	if d >= loadUnknown*loadUnit {
-		return loadUnknown
+// encodeDuration returns a duration as a byte: loadUnknown only for what is no less.
+func encodeDuration(d time.Duration) byte {
+	if d >= unknownLoad*loadTimeUnit {
+		return unknownLoad
 	}
-	return byte(max(d+loadUnit/2, 0) / loadUnit)
+	return byte(max(d+loadTimeUnit/2, 0) / loadTimeUnit)
 }
 
-// loadPause returns the pause after so many bytes of loads of so many upstreams.
-func loadPause(sent, upstreams int) time.Duration {
-	return max(loadEvery, time.Duration(sent)*time.Second/loadRate, time.Duration(upstreams)*loadWork)
+// loadSendInterval returns the pause after so many bytes of loads of so many upstreams.
+func loadSendInterval(sentBytes, upstreams int) time.Duration {
+	return max(loadInterval, time.Duration(sentBytes)*time.Second/maxLoadBytesPerSecond, time.Duration(upstreams)*minLoadIntervalPerUpstream)
 }
 
-// unpack returns what an update says of the upstreams.
-func unpack(lives []string, loads []byte) []relay.FleetLoad {
-	list := make([]relay.FleetLoad, 0, len(lives))
-	for i, id := range lives {
-		l := loads[loadBytes*i : loadBytes*(i+1)]
+// decodeLoads returns what an update says of the upstreams.
+func decodeLoads(ids []string, loads []byte) []relay.FleetLoad {
+	list := make([]relay.FleetLoad, 0, len(ids))
+	for i, id := range ids {
+		l := loads[loadRecordBytes*i : loadRecordBytes*(i+1)]
 		x := relay.FleetLoad{
 			Life:     id,
-			Heard:    l[0] != loadUnknown,
-			Silence:  time.Duration(l[0]) * loadUnit,
-			Work:     time.Duration(l[4]) * loadUnit,
+			Heard:    l[0] != unknownLoad,
+			Silence:  time.Duration(l[0]) * loadTimeUnit,
+			Work:     time.Duration(l[4]) * loadTimeUnit,
 			Doubters: int(l[5]),
 		}
-		if l[1] != loadUnknown {
-			x.Age = time.Duration(l[1]) * loadUnit
+		if l[1] != unknownLoad {
+			x.Age = time.Duration(l[1]) * loadTimeUnit
 			x.Told = &persimmoncross.Load{
 				Running: int(l[2]),
 				Waiting: int(l[3]),
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -12,48 +12,48 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// handClock is a clock that is moved by hand.
-type handClock struct{ now time.Time }
+// manualClock is a clock that is moved by hand.
+type manualClock struct{ now time.Time }
 
-func (c *handClock) Now() time.Time                       { return c.now }
-func (c *handClock) After(time.Duration) <-chan time.Time { return nil }
+func (c *manualClock) Now() time.Time                       { return c.now }
+func (c *manualClock) After(time.Duration) <-chan time.Time { return nil }
 
-func work(id string, ms uint32) *wire.UpstreamLoad {
+func loadWithWork(life string, milliseconds uint32) *wire.UpstreamLoad {
 	return &wire.UpstreamLoad{
-		Life: id,
-		Work: ms,
+		Life: life,
+		Work: milliseconds,
 	}
 }
 
-// workOf returns what the board would tell a follower, by upstream.
-func workOf(b *loadBoard, order []string) map[string]relay.FleetLoad {
-	list := map[string]relay.FleetLoad{}
-	for _, l := range unpack(order, packNow(b, order)) {
-		list[l.Life] = l
+// packedLoads returns what the board would tell a follower, by upstream.
+func packedLoads(b *loadAggregator, order []string) map[string]relay.FleetLoad {
+	loads := map[string]relay.FleetLoad{}
+	for _, l := range decodeLoads(order, packLoads(b, order)) {
+		loads[l.Life] = l
 	}
-	return list
+	return loads
 }
 
 // The work of entries that follow different controllers is added up at the leader
 // and comes to the followers of each.
-func TestWorkIsAddedUp(t *testing.T) {
-	clock := &handClock{
+func TestWorkIsSummedAcrossControllers(t *testing.T) {
+	clock := &manualClock{
 		now: time.Unix(100, 0),
 	}
 	order := []string{"u1", "u2"}
-	board := func() *loadBoard {
-		return &loadBoard{
+	newBoard := func() *loadAggregator {
+		return &loadAggregator{
 			clock: clock,
 		}
 	}
-	leader, other := board(), board()
-	round := func() {
-		leader.take("other", other.account())
-		other.learn(order, packNow(leader, order))
+	leader, nonLeader := newBoard(), newBoard()
+	exchange := func() {
+		leader.receive("other", nonLeader.report())
+		nonLeader.applyFleetLoads(order, packLoads(leader, order))
 	}
-	leader.take("e1", []*wire.UpstreamLoad{work("u1", 1000)})
-	other.take("e2", []*wire.UpstreamLoad{work("u1", 400), work("u2", 200)})
-	other.take("e3", []*wire.UpstreamLoad{
+	leader.receive("e1", []*wire.UpstreamLoad{loadWithWork("u1", 1000)})
+	nonLeader.receive("e2", []*wire.UpstreamLoad{loadWithWork("u1", 400), loadWithWork("u2", 200)})
+	nonLeader.receive("e3", []*wire.UpstreamLoad{
 		{
 			Life:     "u2",
 			Told:     true,
@@ -65,80 +65,80 @@
 			Silence:  40,
 		},
 	})
-	leader.take("e4", []*wire.UpstreamLoad{
+	leader.receive("e4", []*wire.UpstreamLoad{
 		{
 			Life:     "u2",
 			Doubters: 1,
 		},
 	})
-	round()
-	for name, b := range map[string]*loadBoard{"leader": leader, "other": other} {
-		got := workOf(b, order)
+	exchange()
+	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
+		got := packedLoads(b, order)
 		if got["u1"].Work != 1400*time.Millisecond || got["u2"].Work != 200*time.Millisecond {
 			t.Errorf("%s tells of work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].Work, got["u2"].Work)
 		}
-		if got["u1"].Told != nil || got["u2"].Told == nil || got["u2"].Told.Running != 7 || got["u2"].Told.Waiting != loadMost || got["u2"].Age != 60*time.Millisecond {
+		if got["u1"].Told != nil || got["u2"].Told == nil || got["u2"].Told.Running != 7 || got["u2"].Told.Waiting != maxLoadValue || got["u2"].Age != 60*time.Millisecond {
 			t.Errorf("%s tells of %+v and %+v", name, got["u1"].Told, got["u2"].Told)
 		}
 	}
-	if got := workOf(other, order); got["u1"].Doubters != 0 || got["u2"].Doubters != 2 {
+	if got := packedLoads(nonLeader, order); got["u1"].Doubters != 0 || got["u2"].Doubters != 2 {
 		t.Errorf("doubters: %+v", got)
 	}
-	for name, b := range map[string]*loadBoard{"leader": leader, "other": other} {
-		if got := workOf(b, order); got["u1"].Heard || !got["u2"].Heard || got["u2"].Silence != 40*time.Millisecond {
+	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
+		if got := packedLoads(b, order); got["u1"].Heard || !got["u2"].Heard || got["u2"].Silence != 40*time.Millisecond {
 			t.Errorf("%s heard %+v", name, got)
 		}
 	}
 	// An account replaces the one before.
-	other.take("e2", nil)
-	round()
-	if got := workOf(other, order); got["u1"].Work != time.Second || got["u2"].Work != 0 {
+	nonLeader.receive("e2", nil)
+	exchange()
+	if got := packedLoads(nonLeader, order); got["u1"].Work != time.Second || got["u2"].Work != 0 {
 		t.Errorf("after e2's answers began: %v", got)
 	}
 	// A leader that is gone, and entries that are silent, are forgotten.
-	clock.now = clock.now.Add(loadAge / 2)
-	other.take("e3", []*wire.UpstreamLoad{work("u2", 100)})
-	clock.now = clock.now.Add(loadAge/2 + time.Millisecond)
-	if got := workOf(other, order); got["u1"].Work != 0 || got["u2"].Work != 100*time.Millisecond || got["u2"].Told != nil {
+	clock.now = clock.now.Add(maxLoadAge / 2)
+	nonLeader.receive("e3", []*wire.UpstreamLoad{loadWithWork("u2", 100)})
+	clock.now = clock.now.Add(maxLoadAge/2 + time.Millisecond)
+	if got := packedLoads(nonLeader, order); got["u1"].Work != 0 || got["u2"].Work != 100*time.Millisecond || got["u2"].Told != nil {
 		t.Errorf("without a leader: %+v", got)
 	}
 }
 
 // With thousands of upstreams the loads are sent less often.
-func TestLoadsAreBounded(t *testing.T) {
+func TestLoadTransferRateIsBounded(t *testing.T) {
 	for _, n := range []int{1, 100, 500, 4100} {
-		if rate := float64(loadBytes*n) / loadPause(loadBytes*n, n).Seconds(); rate > loadRate {
+		if rate := float64(loadRecordBytes*n) / loadSendInterval(loadRecordBytes*n, n).Seconds(); rate > maxLoadBytesPerSecond {
 			t.Errorf("%d upstreams take %.0f bytes a second", n, rate)
 		}
-		if loadPause(loadBytes*n, n) < loadEvery {
-			t.Errorf("%d upstreams are told every %v", n, loadPause(loadBytes*n, n))
+		if loadSendInterval(loadRecordBytes*n, n) < loadInterval {
+			t.Errorf("%d upstreams are told every %v", n, loadSendInterval(loadRecordBytes*n, n))
 		}
 	}
 }
 
 // Of thousands of upstreams only those take bytes of which something is known; the
 // follower gets the same.
-func TestLoadsOfThoseKnown(t *testing.T) {
-	for _, tt := range []struct{ upstreams, known, most int }{
+func TestSparseLoads(t *testing.T) {
+	for _, tt := range []struct{ upstreams, known, maxBytes int }{
 		{0, 0, 0},
 		{1, 0, 1},
-		{9, 9, 9*loadBytes + 2},
+		{9, 9, 9*loadRecordBytes + 2},
 		{3000, 0, 375},
-		{3000, 100, 375 + 100*loadBytes},
+		{3000, 100, 375 + 100*loadRecordBytes},
 	} {
-		loads := bytes.Repeat(nothingKnown, tt.upstreams)
+		loads := bytes.Repeat(unknownLoadRecord, tt.upstreams)
 		for i := range tt.known {
-			loads[loadBytes*(i*tt.upstreams/tt.known)+i%loadBytes] = 7
+			loads[loadRecordBytes*(i*tt.upstreams/tt.known)+i%loadRecordBytes] = 7
 		}
-		sent := sparse(loads)
-		if len(sent) > tt.most {
-			t.Errorf("%d of %d known: %d bytes", tt.known, tt.upstreams, len(sent))
+		encoded := encodeSparse(loads)
+		if len(encoded) > tt.maxBytes {
+			t.Errorf("%d of %d known: %d bytes", tt.known, tt.upstreams, len(encoded))
 		}
-		if got := dense(sent, tt.upstreams); !bytes.Equal(got, loads) {
+		if got := decodeSparse(encoded, tt.upstreams); !bytes.Equal(got, loads) {
 			t.Errorf("%d of %d known: the follower has something else", tt.known, tt.upstreams)
 		}
-		for _, damaged := range [][]byte{append(slices.Clone(sent), 1), sent[:len(sent)/2], {0xff}} {
-			if got := dense(damaged, tt.upstreams); got != nil && len(got) != loadBytes*tt.upstreams {
+		for _, damaged := range [][]byte{append(slices.Clone(encoded), 1), encoded[:len(encoded)/2], {0xff}} {
+			if got := decodeSparse(damaged, tt.upstreams); got != nil && len(got) != loadRecordBytes*tt.upstreams {
 				t.Errorf("%d bytes of what is damaged", len(got))
 			}
 		}
@@ -147,7 +147,7 @@
 
 func lifeOf(t *testing.T, x *wire.Upstream) string {
 	t.Helper()
-	u, ok := toUpstream(x)
+	u, ok := fromWireUpstream(x)
 	if !ok {
 		t.Fatalf("%v is no upstream", x)
 	}
@@ -155,20 +155,20 @@
 }
 
 // A stream's loads are read in the order of the list that the stream has told.
-func TestLoadsFollowTheList(t *testing.T) {
+func TestLoadsUseListOrder(t *testing.T) {
 	var got map[string]time.Duration
 	f := &follower{
 		Take: func(*wire.Update) bool { return true },
 		TakeLoads: func(order []string, loads []byte) {
 			got = map[string]time.Duration{}
-			for _, l := range unpack(order, loads) {
+			for _, l := range decodeLoads(order, loads) {
 				name, _, _ := strings.Cut(l.Life, "~")
 				got[name] = l.Work
 			}
 		},
 	}
-	a := &found{}
-	upstreams := func(ids ...string) (list []*wire.Upstream) {
+	a := &controllerStream{}
+	newUpstreams := func(ids ...string) (list []*wire.Upstream) {
 		for _, id := range ids {
 			list = append(list, &wire.Upstream{
 				Incarnation: id,
@@ -177,26 +177,26 @@
 		}
 		return list
 	}
-	a.take(f, &wire.Update{
+	a.handleUpdate(f, &wire.Update{
 		Listed:    true,
-		Upstreams: upstreams("c", "a"),
-		Loads:     []byte{loadUnknown, loadUnknown, 0, 0, 1, 0, loadUnknown, loadUnknown, 0, 0, 3, 0},
+		Upstreams: newUpstreams("c", "a"),
+		Loads:     []byte{unknownLoad, unknownLoad, 0, 0, 1, 0, unknownLoad, unknownLoad, 0, 0, 3, 0},
 	})
-	if got["a"] != loadUnit || got["c"] != 3*loadUnit {
+	if got["a"] != loadTimeUnit || got["c"] != 3*loadTimeUnit {
 		t.Errorf("loads: %v", got)
 	}
-	a.take(f, &wire.Update{
+	a.handleUpdate(f, &wire.Update{
 		Listed:    true,
 		Partial:   true,
-		Upstreams: upstreams("b"),
-		Gone:      []string{lifeOf(t, upstreams("a")[0])},
+		Upstreams: newUpstreams("b"),
+		Gone:      []string{lifeOf(t, newUpstreams("a")[0])},
 		Loads:     []byte{0, 0, 0, 0, 2, 0, 0, 0, 0, 0, 3, 0},
 	})
-	if len(got) != 2 || got["b"] != 2*loadUnit || got["c"] != 3*loadUnit {
+	if len(got) != 2 || got["b"] != 2*loadTimeUnit || got["c"] != 3*loadTimeUnit {
 		t.Errorf("loads after a change: %v", got)
 	}
 	got = nil
-	a.take(f, &wire.Update{
+	a.handleUpdate(f, &wire.Update{
 		Loads: []byte{1, 2, 3},
 	})
 	if got != nil {
@@ -204,46 +204,46 @@
 	}
 }
 
-func packNow(b *loadBoard, lives []string) []byte {
+func packLoads(b *loadAggregator, order []string) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.pack(lives, b.clock.Now())
+	return b.encodeDense(order, b.clock.Now())
 }
 
 // Followers of one list are told the same for a moment: it is put together once.
 // 3,000 upstreams for 75 followers, four times a second, took a controller a tenth of a
 // core.
-func TestLoadsArePutTogetherOnce(t *testing.T) {
-	clock := &leapClock{
+func TestPackedLoadsAreCached(t *testing.T) {
+	clock := &manualNowClock{
 		now: time.Unix(1000, 0),
 	}
-	b := &loadBoard{
+	b := &loadAggregator{
 		clock: clock,
 	}
-	one, two := []string{"a", "b"}, []string{"a", "b", "c"}
-	first, _ := b.tell(one)
-	if again, known := b.tell(one); &again[0] != &first[0] || len(known) != 1 {
+	shortList, longList := []string{"a", "b"}, []string{"a", "b", "c"}
+	first, _ := b.encoded(shortList)
+	if again, known := b.encoded(shortList); &again[0] != &first[0] || len(known) != 1 {
 		t.Error("the same list is put together again at once")
 	}
-	if other, _ := b.tell(two); len(other) != loadBytes*len(two) {
+	if other, _ := b.encoded(longList); len(other) != loadRecordBytes*len(longList) {
 		t.Errorf("another list is told %d bytes", len(other))
 	}
-	first, _ = b.tell(one)
-	b.take("e", []*wire.UpstreamLoad{
+	first, _ = b.encoded(shortList)
+	b.receive("e", []*wire.UpstreamLoad{
 		{Life: "b", Work: 1000},
 	})
 	clock.now = clock.now.Add(time.Millisecond)
-	if later, known := b.tell(one); bytes.Equal(later, first) || len(known) != 1+loadBytes {
+	if later, known := b.encoded(shortList); bytes.Equal(later, first) || len(known) != 1+loadRecordBytes {
 		t.Error("news is not told")
 	}
-	if none, known := b.tell(nil); len(none)+len(known) != 0 {
+	if none, known := b.encoded(nil); len(none)+len(known) != 0 {
 		t.Error("without a list something is told")
 	}
 }
 
-type leapClock struct {
+type manualNowClock struct {
 	persimmoncross.SystemClock
 	now time.Time
 }
 
-func (c *leapClock) Now() time.Time { return c.now }
+func (c *manualNowClock) Now() time.Time { return c.now }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -65,20 +65,20 @@
 }
 
 func serveMetrics(ctx context.Context, address string, registry metrics.Registry) error {
-	l, err := socket.Listen().Listen(ctx, "tcp", address)
+	listener, err := socket.Listen().Listen(ctx, "tcp", address)
 	if err != nil {
-		return failure("serve metrics", Start, err)
+		return newError("serve metrics", Start, err)
 	}
-	m := http.NewServeMux()
-	m.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) { WriteMetrics(w, registry) })
-	s := &http.Server{
-		Handler:           m,
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) { WriteMetrics(w, registry) })
+	server := &http.Server{
+		Handler:           mux,
 		ReadHeaderTimeout: headerTimeout,
 	}
-	stop := context.AfterFunc(ctx, func() { s.Close() })
+	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := s.Serve(l); ctx.Err() == nil {
-		return failure("serve metrics", Start, err)
+	if err := server.Serve(listener); ctx.Err() == nil {
+		return newError("serve metrics", Start, err)
 	}
 	return nil
 }
--- a/internal/node/near.go
+++ b/internal/node/near.go
@@ -13,23 +13,23 @@
 
 // Of a follower that follows a controller elsewhere.
 const (
-	// nearEvery is the pause between two questions to a near controller, half of it by
+	// localProbeInterval is the pause between two questions to a near controller, half of it by
 	// chance: a controller that is back is not asked by all at once.
-	nearEvery = 4 * time.Second
-	// nearFirst bounds the pause before the first: who has just found a controller that
+	localProbeInterval = 4 * time.Second
+	// maxFirstProbeDelay bounds the pause before the first: who has just found a controller that
 	// has a lease is served by it meanwhile.
-	nearFirst = 500 * time.Millisecond
+	maxFirstProbeDelay = 500 * time.Millisecond
 )
 
-// places are the data centres of controllers, by address.
-type places map[string]string
+// dataCentreByController are the data centres of controllers, by address.
+type dataCentreByController map[string]string
 
-// learnPlaces takes where the controllers are.
-func (f *follower) learnPlaces(controllers, dataCentres []string) {
+// setDataCentres takes where the controllers are.
+func (f *follower) setDataCentres(controllers, dataCentres []string) {
 	if len(controllers) != len(dataCentres) {
 		return
 	}
-	next := places{}
+	next := dataCentreByController{}
 	for i, name := range controllers {
 		if dataCentres[i] != "" {
 			next[name] = dataCentres[i]
@@ -40,86 +40,86 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.places = next
+	f.dataCentres = next
 }
 
-// near reports whether the controller stands in this VM's data centre.
-func (f *follower) near(controller string) bool {
+// isLocal reports whether the controller stands in this VM's data centre.
+func (f *follower) isLocal(controller string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.DataCentre != "" && f.places[controller] == f.DataCentre
+	return f.DataCentre != "" && f.dataCentres[controller] == f.DataCentre
 }
 
-// nearer asks a near controller now and then while one elsewhere is followed, and
+// localProber asks a near controller now and then while one elsewhere is followed, and
 // returns it once its state is recent.
-type nearer struct {
-	follower *follower
-	life     context.Context // of what it returns
-	at       time.Time       // of the next question; zero: none was planned yet
-	asked    int             // questions
-	answer   chan *found
+type localProber struct {
+	follower    *follower
+	streamCtx   context.Context // of what it returns
+	nextProbeAt time.Time       // of the next question; zero: none was planned yet
+	probes      int             // questions
+	answer      chan *controllerStream
 }
 
-// look returns a near controller that has answered, nil if none has. It is called at
+// poll returns a near controller that has answered, nil if none has. It is called at
 // each update.
-func (n *nearer) look(target string, now time.Time) *found {
-	f := n.follower
-	if n.answer != nil {
+func (p *localProber) poll(followed string, now time.Time) *controllerStream {
+	f := p.follower
+	if p.answer != nil {
 		select {
-		case a := <-n.answer:
-			n.answer = nil
+		case a := <-p.answer:
+			p.answer = nil
 			if a != nil && a.leased {
 				return a
 			}
 			if a != nil {
-				a.end()
+				a.cancel()
 			}
 		default:
 		}
 		return nil
 	}
-	if f.Only != nil || f.near(target) {
+	if f.Only != nil || f.isLocal(followed) {
 		return nil
 	}
-	if n.at.IsZero() {
-		n.at = now.Add(time.Duration(rand.Int64N(int64(nearFirst))))
+	if p.nextProbeAt.IsZero() {
+		p.nextProbeAt = now.Add(time.Duration(rand.Int64N(int64(maxFirstProbeDelay))))
 	}
-	if now.Before(n.at) {
+	if now.Before(p.nextProbeAt) {
 		return nil
 	}
-	n.at = now.Add(nearPause())
-	one := n.next()
-	if one == "" {
+	p.nextProbeAt = now.Add(localProbeDelay())
+	controller := p.nextController()
+	if controller == "" {
 		return nil
 	}
-	n.answer = make(chan *found, 1)
-	over := &atomic.Bool{}
-	over.Store(true)
-	f.count("follow.asked-near")
+	p.answer = make(chan *controllerStream, 1)
+	acceptUnleased := &atomic.Bool{}
+	acceptUnleased.Store(true)
+	f.incrementCounter("follow.asked-near")
 	// It answers with what it has, a lease or not, as soon as it can.
-	go f.ask(n.life, one, over, n.answer)
+	go f.query(p.streamCtx, controller, acceptUnleased, p.answer)
 	return nil
 }
 
-// next returns the near controller to ask, "" if none is known: each in its turn, as one
+// nextController returns the near controller to ask, "" if none is known: each in its turn, as one
 // may be gone for good.
-func (n *nearer) next() string {
-	f := n.follower
-	ones := slices.DeleteFunc(f.targets(), func(name string) bool { return !f.near(name) })
-	if len(ones) == 0 {
+func (p *localProber) nextController() string {
+	f := p.follower
+	controllers := slices.DeleteFunc(f.candidates(), func(name string) bool { return !f.isLocal(name) })
+	if len(controllers) == 0 {
 		return ""
 	}
-	n.asked++
-	return ones[n.asked%len(ones)]
+	p.probes++
+	return controllers[p.probes%len(controllers)]
 }
 
 // stop ends a question that is under way.
-func (n *nearer) stop() {
-	if n.answer != nil {
-		go discard(n.answer, 1)
+func (p *localProber) stop() {
+	if p.answer != nil {
+		go closeLateStreams(p.answer, 1)
 	}
 }
 
-func nearPause() time.Duration {
-	return nearEvery/2 + time.Duration(rand.Int64N(int64(nearEvery/2)))
+func localProbeDelay() time.Duration {
+	return localProbeInterval/2 + time.Duration(rand.Int64N(int64(localProbeInterval/2)))
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -13,131 +13,131 @@
 
 // Three addresses found the fleet; the other controllers vote soon, entries
 // follow, and what was acknowledged is in force on them.
-func TestFleetFindsItself(t *testing.T) {
+func TestFleetBootstrap(t *testing.T) {
 	f := newFleet(t, 71)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 5; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	e := f.entry(6)
-	f.declare(all[4], 7)
-	for _, c := range all {
-		f.voters(c, 5)
-		if got := f.read(c); got != 7 {
+	e := f.startEntry(6)
+	f.declare(controllers[4], 7)
+	for _, c := range controllers {
+		f.waitForVoters(c, 5)
+		if got := f.readDocumentNumber(c); got != 7 {
 			t.Errorf("%s reads %d", c.Site.Name, got)
 		}
 	}
-	f.await("the entry has document and list", e.Ready)
+	f.waitFor("the entry has document and list", e.Ready)
 	if n := e.view.Load().Catalog.Number; n != 7 {
 		t.Errorf("the entry has document %d", n)
 	}
-	f.declare(all[0], 5) // acknowledged, and overtaken
-	if got := f.read(all[1]); got != 7 {
+	f.declare(controllers[0], 5) // acknowledged, and overtaken
+	if got := f.readDocumentNumber(controllers[1]); got != 7 {
 		t.Errorf("an older document is in force: %d", got)
 	}
-	f.declare(all[2], 9)
-	f.await("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
+	f.declare(controllers[2], 9)
+	f.waitFor("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
 }
 
 // A controller that lost its disk comes back under a new identity, and one that
 // is gone for good is replaced by one at another address.
-func TestLostDisksAreReplaced(t *testing.T) {
+func TestControllersWithLostDisksAreReplaced(t *testing.T) {
 	f := newFleet(t, 72)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 5; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	f.declare(all[0], 3)
-	f.voters(all[0], 5)
-	old := all[1].store.member
+	f.declare(controllers[0], 3)
+	f.waitForVoters(controllers[0], 5)
+	oldMember := controllers[1].store.member
 	f.stop("vm2")
-	f.wipe(2)
-	back := f.controller(2, false)
-	if back.store.member == old {
+	f.deleteData(2)
+	restarted := f.startController(2, false)
+	if restarted.store.member == oldMember {
 		t.Fatal("an empty disk has the identity of its former self")
 	}
-	f.await("the new identity votes in place of the old one", func() bool {
-		set := all[0].group.View().Set
-		return set.Has(back.store.member) && !set.Has(old) && len(set.Voters) == 5
+	f.waitFor("the new identity votes in place of the old one", func() bool {
+		set := controllers[0].group.View().Set
+		return set.Has(restarted.store.member) && !set.Has(oldMember) && len(set.Voters) == 5
 	})
-	if got := f.read(back); got != 3 {
+	if got := f.readDocumentNumber(restarted); got != 3 {
 		t.Errorf("the wiped controller reads %d", got)
 	}
-	gone := all[4].store.member
+	lostMember := controllers[4].store.member
 	f.stop("vm5")
-	other := f.controller(7, false)
-	f.await("the successor votes in place of the lost one", func() bool {
-		set := all[0].group.View().Set
-		return set.Has(other.store.member) && !set.Has(gone) && len(set.Voters) == 5
+	successor := f.startController(7, false)
+	f.waitFor("the successor votes in place of the lost one", func() bool {
+		set := controllers[0].group.View().Set
+		return set.Has(successor.store.member) && !set.Has(lostMember) && len(set.Voters) == 5
 	})
 }
 
 // All controllers stop at once and start again: nothing acknowledged is lost,
 // and an entry that was there all the while never goes back.
-func TestRestartOfAll(t *testing.T) {
+func TestRestartOfAllControllers(t *testing.T) {
 	f := newFleet(t, 73)
-	first := f.controller(1, true)
+	first := f.startController(1, true)
 	for n := 2; n <= 5; n++ {
-		f.controller(n, true)
+		f.startController(n, true)
 	}
-	e := f.entry(6)
+	e := f.startEntry(6)
 	f.declare(first, 3)
-	f.voters(first, 5)
+	f.waitForVoters(first, 5)
 	f.declare(first, 8)
-	f.await("the entry has document 8", func() bool { v := e.view.Load(); return v != nil && v.Catalog != nil && v.Catalog.Number == 8 })
+	f.waitFor("the entry has document 8", func() bool { v := e.view.Load(); return v != nil && v.Catalog != nil && v.Catalog.Number == 8 })
 	for _, name := range []string{"vm1", "vm2", "vm3", "vm4", "vm5"} {
 		f.stop(name)
 	}
-	var again *Controller
+	var restarted *Controller
 	for n := 1; n <= 5; n++ {
-		again = f.controller(n, false)
+		restarted = f.startController(n, false)
 	}
-	if got := f.read(again); got != 8 {
+	if got := f.readDocumentNumber(restarted); got != 8 {
 		t.Errorf("read %d after the restart", got)
 	}
 	if got := e.view.Load().Catalog.Number; got != 8 {
 		t.Errorf("the entry went back to %d", got)
 	}
-	f.declare(again, 9)
-	f.await("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
+	f.declare(restarted, 9)
+	f.waitFor("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
 }
 
 // An entry moves to another controller when its own goes, and an entry that
 // starts late has the list though it does not change any more.
-func TestEntriesFollowAnother(t *testing.T) {
+func TestEntriesSwitchControllers(t *testing.T) {
 	f := newFleet(t, 74)
-	var all []*Controller
+	var controllers []*Controller
 	for n := 1; n <= 3; n++ {
-		all = append(all, f.controller(n, true))
+		controllers = append(controllers, f.startController(n, true))
 	}
-	f.declare(all[0], 1)
-	e := f.entry(6)
-	f.await("the entry is ready", e.Ready)
-	late := f.entry(7)
-	f.await("the late entry is ready", late.Ready)
+	f.declare(controllers[0], 1)
+	e := f.startEntry(6)
+	f.waitFor("the entry is ready", e.Ready)
+	lateEntry := f.startEntry(7)
+	f.waitFor("the late entry is ready", lateEntry.Ready)
 	f.stop("vm1")
-	f.declare(all[1], 2)
-	for _, x := range []*Entry{e, late} {
-		f.await("document 2 is in force", func() bool { return x.view.Load().Catalog.Number == 2 })
+	f.declare(controllers[1], 2)
+	for _, entry := range []*Entry{e, lateEntry} {
+		f.waitFor("document 2 is in force", func() bool { return entry.view.Load().Catalog.Number == 2 })
 	}
-	f.list.set(persimmoncross.Upstream{
+	f.lister.setUpstreams(persimmoncross.Upstream{
 		Incarnation: "u1",
 		Service:     "s",
 		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
 		Leaving:     true,
 	})
-	f.await("the upstream leaves", func() bool { return late.view.Load().Targets["s"][0].Leaves(time.Now()) })
+	f.waitFor("the upstream leaves", func() bool { return lateEntry.view.Load().Targets["s"][0].Leaves(time.Now()) })
 }
 
 // A list that is older than the one in force is not taken, and is not lost:
 // the controller sends it once only.
-func TestOldListIsKept(t *testing.T) {
-	e := newFleet(t, 75).entryAlone()
-	e.listRead = e.Clock.Now().Add(-time.Minute)
+func TestOlderListIsDeferred(t *testing.T) {
+	e := newFleet(t, 75).stoppedEntry()
+	e.listReadAt = e.Clock.Now().Add(-time.Minute)
 	f := &follower{
-		Take: e.take,
+		Take: e.applyUpdate,
 	}
-	a := &found{}
+	a := &controllerStream{}
 	list := []*wire.Upstream{
 		{
 			Incarnation: "u1",
@@ -145,7 +145,7 @@
 			Address:     "127.0.0.1:1",
 		},
 	}
-	a.take(f, &wire.Update{
+	a.handleUpdate(f, &wire.Update{
 		Listed:    true,
 		Upstreams: list,
 		Age:       int64(time.Hour),
@@ -153,27 +153,27 @@
 	if e.targets != nil {
 		t.Fatal("a list was taken that is older than the one in force")
 	}
-	a.take(f, &wire.Update{}) // read again just now, and unchanged
+	a.handleUpdate(f, &wire.Update{}) // read again just now, and unchanged
 	if len(e.targets["s"]) != 1 {
 		t.Error("the list was lost")
 	}
-	if a.waits {
+	if a.listUnapplied {
 		t.Error("a list that was taken is handed on again")
 	}
 }
 
-// entryAlone returns an entry that does not run.
-func (f *fleet) entryAlone() *Entry {
-	e := f.entry(6)
+// stoppedEntry returns an entry that does not run.
+func (f *fleet) stoppedEntry() *Entry {
+	e := f.startEntry(6)
 	f.stop("vm6")
 	return e
 }
 
 // A state from a controller that lags changes nothing.
-func TestStatesNeverGoBack(t *testing.T) {
-	e := newFleet(t, 76).entryAlone()
-	update := func(index, number uint64) {
-		e.take(&wire.Update{
+func TestOlderStateIsIgnored(t *testing.T) {
+	e := newFleet(t, 76).stoppedEntry()
+	sendUpdate := func(index, number uint64) {
+		e.applyUpdate(&wire.Update{
 			Index: index,
 			State: register.EncodeHead(&register.State{
 				Index:  index,
@@ -181,41 +181,41 @@
 			}),
 			Age: -1,
 		})
-		e.takeDocument(number, []byte{byte('0' + number)})
+		e.applyDocument(number, []byte{byte('0' + number)})
 	}
-	update(10, 5)
-	update(9, 4)
-	update(12, 3) // of a fleet that lost what it had
+	sendUpdate(10, 5)
+	sendUpdate(9, 4)
+	sendUpdate(12, 3) // of a fleet that lost what it had
 	if got := e.view.Load().Catalog.Number; got != 5 {
 		t.Errorf("document %d is in force", got)
 	}
-	update(13, 6)
+	sendUpdate(13, 6)
 	if got := e.view.Load().Catalog.Number; got != 6 {
 		t.Errorf("document %d is in force", got)
 	}
 }
 
 // Followers spread over the controllers, and the one that failed comes last.
-func TestTargets(t *testing.T) {
+func TestFollowerTargets(t *testing.T) {
 	controllers := []string{"a", "b", "c"}
-	firsts := map[string]int{}
+	firstTargetCounts := map[string]int{}
 	for i := range 300 {
 		f := &follower{
 			Name:        "entry" + string(rune('a'+i%26)) + string(rune('a'+i/26)),
 			Seeds:       func() []string { return []string{"c", "d"} },
 			controllers: controllers,
 		}
-		names := f.targets()
-		if len(names) != 4 {
-			t.Fatalf("targets %v", names)
+		targets := f.candidates()
+		if len(targets) != 4 {
+			t.Fatalf("targets %v", targets)
 		}
-		firsts[names[0]]++
-		f.blame(names[0])
-		if again := f.targets(); again[3] != names[0] || !slices.Equal(again[:3], names[1:]) {
-			t.Fatalf("targets %v, after the first failed %v", names, again)
+		firstTargetCounts[targets[0]]++
+		f.setFailed(targets[0])
+		if retried := f.candidates(); retried[3] != targets[0] || !slices.Equal(retried[:3], targets[1:]) {
+			t.Fatalf("targets %v, after the first failed %v", targets, retried)
 		}
 	}
-	for name, n := range firsts {
+	for name, n := range firstTargetCounts {
 		if n < 30 {
 			t.Errorf("%s is followed first by %d of 300", name, n)
 		}
@@ -223,9 +223,9 @@
 }
 
 // The evidence of an entry that is gone still counts, and its presence does not.
-func TestAccounts(t *testing.T) {
-	h := newHub(persimmoncross.SystemClock{})
-	h.take(&wire.Account{
+func TestRecentAccounts(t *testing.T) {
+	h := newPublisher(persimmoncross.SystemClock{})
+	h.receiveReport(&wire.Account{
 		Vm:    "a",
 		Entry: true,
 		Trials: []*wire.Trial{
@@ -239,19 +239,19 @@
 			},
 		},
 	})
-	h.take(&wire.Account{
+	h.receiveReport(&wire.Account{
 		Vm:    "b",
 		Entry: true,
 	})
 	now := h.clock.Now()
-	if _, n := h.recent(now); n != 2 {
+	if _, n := h.currentReports(now); n != 2 {
 		t.Errorf("%d entries, want 2", n)
 	}
-	accounts, n := h.recent(now.Add(2 * accountAge))
+	accounts, n := h.currentReports(now.Add(2 * presenceTimeout))
 	if n != 0 {
 		t.Errorf("%d entries, want none", n)
 	}
-	p := pool(register.Upgrade{
+	p := sumTrials(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
@@ -259,52 +259,52 @@
 	if c := p.New["r"]; c.Runs != 10 || c.Failed != 6 {
 		t.Errorf("counted: %+v", c)
 	}
-	if accounts, _ := h.recent(now.Add(2 * trialAge)); len(accounts) != 0 {
+	if accounts, _ := h.currentReports(now.Add(2 * trialRetention)); len(accounts) != 0 {
 		t.Error("counts are kept for ever")
 	}
 }
 
 // A jump of the time of day does not move an upgrade that this process saw
 // begin; after a gap the time of day is all there is.
-func TestElapsedOfUpgrades(t *testing.T) {
+func TestUpgradeElapsedTime(t *testing.T) {
 	now := time.Now()
 	u := register.Upgrade{
 		Order:    3,
 		Duration: 20 * time.Second,
 		Began:    now.Add(-7 * time.Second).UnixMilli(), // by a clock that was set back
 	}
-	live := &upgradeWatch{
-		current: true,
+	watchedFromStart := &upgradeTracker{
+		hasFollowedLog: true,
 	}
-	if got := live.elapsed(u, now); got != 0 {
+	if got := watchedFromStart.elapsed(u, now); got != 0 {
 		t.Errorf("%v have passed of an upgrade that has just begun", got)
 	}
-	if got := live.elapsed(u, now.Add(4*time.Second)); got != 4*time.Second {
+	if got := watchedFromStart.elapsed(u, now.Add(4*time.Second)); got != 4*time.Second {
 		t.Errorf("%v have passed, want 4 s", got)
 	}
 	u.Order = 5
 	u.Began = now.Add(-150 * time.Millisecond).UnixMilli()
-	if got := live.elapsed(u, now); got < 149*time.Millisecond || got > 151*time.Millisecond {
+	if got := watchedFromStart.elapsed(u, now); got < 149*time.Millisecond || got > 151*time.Millisecond {
 		t.Errorf("%v have passed at the first look at an order of 150 ms before", got)
 	}
 	u.Order = 3
 	u.Began = now.Add(-7 * time.Second).UnixMilli()
-	late := &upgradeWatch{}
-	if got := late.elapsed(u, now); got < 6*time.Second || got > 8*time.Second {
+	watchedLate := &upgradeTracker{}
+	if got := watchedLate.elapsed(u, now); got < 6*time.Second || got > 8*time.Second {
 		t.Errorf("%v have passed of an upgrade that was found after a start", got)
 	}
 	u.Order = 4
 	u.Began = now.Add(time.Hour).UnixMilli()
-	if got := late.elapsed(u, now); got != 0 {
+	if got := watchedLate.elapsed(u, now); got != 0 {
 		t.Errorf("%v have passed by a clock that makes no sense", got)
 	}
 }
 
 // A follower that has the list is sent only what changed, and ends up with the
 // same list; one that lags too far behind is sent all of it.
-func TestListChanges(t *testing.T) {
-	h := newHub(persimmoncross.SystemClock{})
-	upstream := func(id string, leaving bool) persimmoncross.Upstream {
+func TestListDeltas(t *testing.T) {
+	h := newPublisher(persimmoncross.SystemClock{})
+	newUpstream := func(id string, leaving bool) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
 			Incarnation: id,
 			Service:     "s",
@@ -321,76 +321,76 @@
 			return true
 		},
 	}
-	a := &found{}
-	s := &sent{}
-	var last *wire.Update
-	tell := func() {
-		last, _ = h.next(s, true, nil)
-		a.take(f, last)
+	a := &controllerStream{}
+	s := &followerState{}
+	var update *wire.Update
+	sendUpdate := func() {
+		update, _ = h.nextUpdate(s, true, nil)
+		a.handleUpdate(f, update)
 	}
-	list := []persimmoncross.Upstream{upstream("a", false), upstream("b", false), upstream("c", false)}
+	list := []persimmoncross.Upstream{newUpstream("a", false), newUpstream("b", false), newUpstream("c", false)}
 	h.setList(list, time.Now())
-	tell()
+	sendUpdate()
 	for _, next := range [][]persimmoncross.Upstream{
-		{upstream("a", true), upstream("b", false), upstream("c", false)},
-		{upstream("b", false), upstream("c", false), upstream("d", false)},
-		{upstream("a", false), upstream("d", true)},
+		{newUpstream("a", true), newUpstream("b", false), newUpstream("c", false)},
+		{newUpstream("b", false), newUpstream("c", false), newUpstream("d", false)},
+		{newUpstream("a", false), newUpstream("d", true)},
 	} {
 		h.setList(next, time.Now())
-		u, _ := h.next(s, true, nil)
+		u, _ := h.nextUpdate(s, true, nil)
 		if !u.GetPartial() || len(u.GetUpstreams()) >= 3 {
 			t.Errorf("the whole list was sent: %v", u)
 		}
-		a.take(f, u)
-		if !slices.EqualFunc(got, next, sameUpstream) {
+		a.handleUpdate(f, u)
+		if !slices.EqualFunc(got, next, equalUpstream) {
 			t.Fatalf("the follower has %v, want %v", got, next)
 		}
 	}
-	h.setList([]persimmoncross.Upstream{upstream("a", false), upstream("e", false)}, time.Now())
-	h.setList([]persimmoncross.Upstream{upstream("a", true), upstream("f", false)}, time.Now())
-	h.setList([]persimmoncross.Upstream{upstream("a", true), upstream("e", true)}, time.Now())
-	h.setList([]persimmoncross.Upstream{upstream("a", true), upstream("f", false)}, time.Now())
-	tell() // several changes at once, of one that comes, goes and comes again
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{upstream("a", true), upstream("f", false)}, sameUpstream) {
+	h.setList([]persimmoncross.Upstream{newUpstream("a", false), newUpstream("e", false)}, time.Now())
+	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
+	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("e", true)}, time.Now())
+	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
+	sendUpdate() // several changes at once, of one that comes, goes and comes again
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, equalUpstream) {
 		t.Fatalf("after two changes the follower has %v", got)
 	}
-	for i := range 2 * keptChanges {
-		h.setList([]persimmoncross.Upstream{upstream("a", i%2 == 0), upstream("g", false)}, time.Now())
+	for i := range 2 * maxRecentDeltas {
+		h.setList([]persimmoncross.Upstream{newUpstream("a", i%2 == 0), newUpstream("g", false)}, time.Now())
 	}
-	u, _ := h.next(s, true, nil)
+	u, _ := h.nextUpdate(s, true, nil)
 	if u.GetPartial() {
 		t.Error("changes were sent that are not kept any more")
 	}
-	a.take(f, u)
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{upstream("a", false), upstream("g", false)}, sameUpstream) {
+	a.handleUpdate(f, u)
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", false), newUpstream("g", false)}, equalUpstream) {
 		t.Fatalf("after the whole list the follower has %v", got)
 	}
 }
 
 // An entry reads the list itself soon where no controller's state is recent, and
 // later where one is: the leader is about to.
-func TestOwnListIsLastResort(t *testing.T) {
-	e := newFleet(t, 78).entryAlone()
+func TestOwnListIsReadAsLastResort(t *testing.T) {
+	e := newFleet(t, 78).stoppedEntry()
 	now := e.Clock.Now()
-	e.started = now
-	e.listRead = time.Time{}
+	e.startedAt = now
+	e.listReadAt = time.Time{}
 	drain := e.Site.Bounds.Drain
-	if e.listIsOld(now.Add(drain / 4)) {
+	if e.isListStale(now.Add(drain / 4)) {
 		t.Error("the list is read at once after a start")
 	}
-	if !e.listIsOld(now.Add(drain / 2)) {
+	if !e.isListStale(now.Add(drain / 2)) {
 		t.Error("without controllers the list is not read")
 	}
-	e.leased = now.Add(drain / 2)
-	if e.listIsOld(now.Add(drain / 2)) {
+	e.leasedAt = now.Add(drain / 2)
+	if e.isListStale(now.Add(drain / 2)) {
 		t.Error("the list is read though a controller is about to send it")
 	}
-	e.leased = now.Add(drain * 3 / 4)
-	if !e.listIsOld(now.Add(drain * 3 / 4)) {
+	e.leasedAt = now.Add(drain * 3 / 4)
+	if !e.isListStale(now.Add(drain * 3 / 4)) {
 		t.Error("the list is not read though the controllers do not")
 	}
-	e.listRead = now.Add(drain * 3 / 4)
-	if e.listIsOld(now.Add(drain)) {
+	e.listReadAt = now.Add(drain * 3 / 4)
+	if e.isListStale(now.Add(drain)) {
 		t.Error("a fresh list is read")
 	}
 }
@@ -399,22 +399,22 @@
 // one finds a leader as soon as it is elected.
 func TestSearchWithoutTargets(t *testing.T) {
 	f := &follower{
-		Clock: noWaits{
+		Clock: noWaitClock{
 			t: t,
 		},
 		Only: func() string { return "" },
 	}
-	if got := f.find(t.Context()); got != nil {
+	if got := f.findController(t.Context()); got != nil {
 		t.Errorf("found %v", got)
 	}
 }
 
-// noWaits is a clock on which nobody may wait.
-type noWaits struct{ t *testing.T }
+// noWaitClock is a clock on which nobody may wait.
+type noWaitClock struct{ t *testing.T }
 
-func (c noWaits) Now() time.Time { return time.Unix(0, 0) }
+func (c noWaitClock) Now() time.Time { return time.Unix(0, 0) }
 
-func (c noWaits) After(d time.Duration) <-chan time.Time {
+func (c noWaitClock) After(d time.Duration) <-chan time.Time {
 	c.t.Errorf("waits for %v", d)
 	fired := make(chan time.Time, 1)
 	fired <- c.Now()
@@ -430,32 +430,32 @@
 //
 // However large the fleet, its entries leave most of the calls to the leader; where all
 // can read the list in time, nothing is changed.
-func TestEntriesLeaveCallsToTheLeader(t *testing.T) {
+func TestOwnListReadsAreRateLimited(t *testing.T) {
 	const drain = 4 * time.Second
 	for _, tt := range []struct {
 		entries, upstreams int
-		rate               float64
-		none               bool
+		maxCallsPerSecond  float64
+		unlimited          bool
 	}{
-		{entries: 8, upstreams: 16, rate: 44, none: true},
-		{entries: 74, upstreams: 116, rate: 310, none: true},
-		{entries: 195, upstreams: 123, rate: 680, none: true},
-		{entries: 293, upstreams: 2997, rate: 680},
-		{entries: 380, upstreams: 4100, rate: 680},
-		{entries: 380, upstreams: 0, rate: 44}, // not known yet
-		{entries: 0, upstreams: 0, rate: 44, none: true},
-		{entries: 8, upstreams: 16, rate: 0, none: true}, // no bound is told
+		{entries: 8, upstreams: 16, maxCallsPerSecond: 44, unlimited: true},
+		{entries: 74, upstreams: 116, maxCallsPerSecond: 310, unlimited: true},
+		{entries: 195, upstreams: 123, maxCallsPerSecond: 680, unlimited: true},
+		{entries: 293, upstreams: 2997, maxCallsPerSecond: 680},
+		{entries: 380, upstreams: 4100, maxCallsPerSecond: 680},
+		{entries: 380, upstreams: 0, maxCallsPerSecond: 44}, // not known yet
+		{entries: 0, upstreams: 0, maxCallsPerSecond: 44, unlimited: true},
+		{entries: 8, upstreams: 16, maxCallsPerSecond: 0, unlimited: true}, // no bound is told
 	} {
-		pause := ownListPause(tt.entries, tt.upstreams, tt.rate, drain)
-		if (pause == 0) != tt.none {
+		pause := fallbackReadInterval(tt.entries, tt.upstreams, tt.maxCallsPerSecond, drain)
+		if (pause == 0) != tt.unlimited {
 			t.Errorf("%+v: %v", tt, pause)
 		}
-		if tt.none {
+		if tt.unlimited {
 			continue
 		}
-		calls := float64(tt.entries*max((tt.upstreams+ownListPage-1)/ownListPage, 1)) / pause.Seconds()
-		if calls > ownListPart*tt.rate+1 {
-			t.Errorf("%+v: %.0f calls a second", tt, calls)
+		callsPerSecond := float64(tt.entries*max((tt.upstreams+listPageSize-1)/listPageSize, 1)) / pause.Seconds()
+		if callsPerSecond > fallbackRateFraction*tt.maxCallsPerSecond+1 {
+			t.Errorf("%+v: %.0f calls a second", tt, callsPerSecond)
 		}
 	}
 }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -12,13 +12,13 @@
 
 // A planned stop: not ready at once, requests are still served, a long answer
 // ends whole, and then the process is gone.
-func TestPlannedStop(t *testing.T) {
-	e := newFleet(t, 77).entryAlone()
+func TestGracefulShutdown(t *testing.T) {
+	e := newFleet(t, 77).stoppedEntry()
 	e.Site.Caller = new(freeAddress(t))
 	e.Site.Ready = new(freeAddress(t))
 	e.Site.Bounds.Grace = 20 * time.Second
 	release := make(chan struct{})
-	callers := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	callerHandler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			io.WriteString(w, "begin ")
 			http.NewResponseController(w).Flush()
@@ -26,23 +26,23 @@
 		}
 		io.WriteString(w, "end")
 	})
-	ready := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	readyHandler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if e.Leaving() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- e.Serve(ctx, callers, ready) }()
+	go func() { done <- e.Serve(ctx, callerHandler, readyHandler) }()
 	get := func(a netip.AddrPort, path string) (*http.Response, error) {
 		return http.Get("http://" + a.String() + path)
 	}
-	long, err := get(*e.Site.Caller, "/long")
+	longResponse, err := get(*e.Site.Caller, "/long")
 	for err != nil { // it does not listen yet
 		time.Sleep(10 * time.Millisecond)
-		long, err = get(*e.Site.Caller, "/long")
+		longResponse, err = get(*e.Site.Caller, "/long")
 	}
-	defer long.Body.Close()
+	defer longResponse.Body.Close()
 	stop()
 	for !e.Leaving() {
 		time.Sleep(10 * time.Millisecond)
@@ -83,7 +83,7 @@
 	default:
 	}
 	close(release)
-	body, err := io.ReadAll(long.Body)
+	body, err := io.ReadAll(longResponse.Body)
 	if err != nil || string(body) != "begin end" {
 		t.Errorf("the long answer is %q, %v", body, err)
 	}
@@ -105,18 +105,18 @@
 
 // A controller that stops while an operator's call hangs ends in time and without
 // an error.
-func TestControllerStopsOverACall(t *testing.T) {
+func TestControllerStopsDuringCall(t *testing.T) {
 	f := newFleet(t, 78)
-	c := f.prepared(1, true)
+	c := f.prepareController(1, true)
 	c.Site.Operator = new(freeAddress(t))
-	entered := make(chan struct{})
-	calls := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(entered)
+	callReceived := make(chan struct{})
+	operatorHandler := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		close(callReceived)
 		<-r.Context().Done()
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- c.ServeOperators(ctx, calls) }()
+	go func() { done <- c.ServeOperators(ctx, operatorHandler) }()
 	go func() {
 		for {
 			r, err := http.Get("http://" + c.Site.Operator.String() + "/")
@@ -125,14 +125,14 @@
 				return
 			}
 			select {
-			case <-entered:
+			case <-callReceived:
 				return // the call was cut off
 			default:
 				time.Sleep(10 * time.Millisecond) // it does not listen yet
 			}
 		}
 	}()
-	<-entered
+	<-callReceived
 	stop()
 	if err := <-done; err != nil {
 		t.Errorf("the stop failed: %v", err)
