--- a/core/coordination/cascade/cascade.go
+++ b/core/coordination/cascade/cascade.go
@@ -27,8 +27,8 @@
 	Price float64 // of its tokens
 }
 
-// Kind groups requests of about the same length.
-func Kind(bodySize int) int { return bits.Len(uint(bodySize)) }
+// SizeClass groups requests of about the same length.
+func SizeClass(bodySize int) int { return bits.Len(uint(bodySize)) }
 
 // Estimator learns from past requests.
 type Estimator struct {
@@ -51,9 +51,9 @@
 	rated    float64
 }
 
-// Start returns the step to begin with: the one of least expected cost, among
+// FirstStep returns the step to begin with: the one of least expected cost, among
 // those after which there would still be time for the steps that follow.
-func (e *Estimator) Start(organisation string, sizeClass int, steps []Step, remaining time.Duration) int {
+func (e *Estimator) FirstStep(organisation string, sizeClass int, steps []Step, remaining time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	last := len(steps) - 1
@@ -107,8 +107,8 @@
 	return (c.accepted + priorAccepted) / (c.rated + priorRated)
 }
 
-// Rated notes whether a step's answer was good enough.
-func (e *Estimator) Rated(organisation string, sizeClass int, model string, accepted bool) {
+// RecordRating notes whether a step's answer was good enough.
+func (e *Estimator) RecordRating(organisation string, sizeClass int, model string, accepted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.raterFailures = 0
@@ -133,15 +133,15 @@
 	}
 }
 
-// Unrated notes that the rater gave no rating.
-func (e *Estimator) Unrated() {
+// RecordRaterFailure notes that the rater gave no rating.
+func (e *Estimator) RecordRaterFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.raterFailures++
 }
 
-// Took notes how long a step took.
-func (e *Estimator) Took(model string, d time.Duration) {
+// RecordDuration notes how long a step took.
+func (e *Estimator) RecordDuration(model string, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.meanDurations == nil {
--- a/core/coordination/cascade/cascade_test.go
+++ b/core/coordination/cascade/cascade_test.go
@@ -33,7 +33,7 @@
 			name: "cheap answers are never good enough",
 			setup: func(e *Estimator) {
 				for range 100 {
-					e.Rated("a", 5, "small", false)
+					e.RecordRating("a", 5, "small", false)
 				}
 			},
 			remaining: time.Minute,
@@ -43,7 +43,7 @@
 			name: "only another organisation's are not",
 			setup: func(e *Estimator) {
 				for range 100 {
-					e.Rated("b", 5, "small", false)
+					e.RecordRating("b", 5, "small", false)
 				}
 			},
 			remaining: time.Minute,
@@ -52,8 +52,8 @@
 		{
 			name: "no time for two steps",
 			setup: func(e *Estimator) {
-				e.Took("small", 2*time.Second)
-				e.Took("large", 6*time.Second)
+				e.RecordDuration("small", 2*time.Second)
+				e.RecordDuration("large", 6*time.Second)
 			},
 			remaining: 10 * time.Second,
 			want:      1,
@@ -61,8 +61,8 @@
 		{
 			name: "time for two steps",
 			setup: func(e *Estimator) {
-				e.Took("small", 2*time.Second)
-				e.Took("large", 6*time.Second)
+				e.RecordDuration("small", 2*time.Second)
+				e.RecordDuration("large", 6*time.Second)
 			},
 			remaining: 13 * time.Second,
 			want:      0,
@@ -71,7 +71,7 @@
 			name: "the rater is down",
 			setup: func(e *Estimator) {
 				for range maxRaterFailures {
-					e.Unrated()
+					e.RecordRaterFailure()
 				}
 			},
 			remaining: time.Minute,
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := &Estimator{}
 			c.setup(e)
-			if got := e.Start("a", 5, steps, c.remaining); got != c.want {
+			if got := e.FirstStep("a", 5, steps, c.remaining); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
@@ -91,19 +91,19 @@
 func TestFailedRaterIsRetried(t *testing.T) {
 	e := &Estimator{}
 	for range maxRaterFailures {
-		e.Unrated()
+		e.RecordRaterFailure()
 	}
 	retries := 0
 	for range 10 * raterRetryInterval {
-		if e.Start("a", 5, steps, time.Minute) == 0 {
+		if e.FirstStep("a", 5, steps, time.Minute) == 0 {
 			retries++
 		}
 	}
 	if retries != 10 {
 		t.Errorf("tried %d times in %d requests", retries, 10*raterRetryInterval)
 	}
-	e.Rated("a", 5, "small", true)
-	if e.Start("a", 5, steps, time.Minute) != 0 {
+	e.RecordRating("a", 5, "small", true)
+	if e.FirstStep("a", 5, steps, time.Minute) != 0 {
 		t.Error("the rater is up again and not used")
 	}
 }
--- a/core/coordination/cascade/opinions.go
+++ b/core/coordination/cascade/confidence_stats.go
@@ -11,15 +11,15 @@
 	priorAnswers    = 4
 )
 
-// Opinions keeps how often a model's opinion of its answers fell short of what
+// ConfidenceStats keeps how often a model's opinion of its answers fell short of what
 // operators ask of it. It has no lock; the zero value knows nothing.
-type Opinions struct {
+type ConfidenceStats struct {
 	answers           float64
 	lowConfidenceRate float64 // share of them
 }
 
-// Take adds an answer.
-func (s *Opinions) Take(lowConfidence bool) {
+// Record adds an answer.
+func (s *ConfidenceStats) Record(lowConfidence bool) {
 	if s.answers == 0 {
 		s.answers, s.lowConfidenceRate = priorAnswers, priorLowConfidenceRate
 	}
@@ -31,8 +31,8 @@
 	s.lowConfidenceRate += max(minAnswerWeight, 1/s.answers) * (sample - s.lowConfidenceRate)
 }
 
-// Doubted returns the share of answers that fell short.
-func (s *Opinions) Doubted() float64 {
+// LowConfidenceRate returns the share of answers that fell short.
+func (s *ConfidenceStats) LowConfidenceRate() float64 {
 	if s.answers == 0 {
 		return priorLowConfidenceRate
 	}
--- a/core/coordination/cascade/confidence.go
+++ b/core/coordination/cascade/escalation.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Confidence decides with which model of a route to begin and whether an answer
+// EscalationPolicy decides with which model of a route to begin and whether an answer
 // is good enough, from the model's own opinion in the head of its answer.
-type Confidence struct {
-	Start      int   // index among the route's models, smallest first; past the end: the largest
+type EscalationPolicy struct {
+	StartModel int   // index among the route's models, smallest first; past the end: the largest
 	Thresholds []int // by model: least confidence, 0 to 100, that an answer needs; none for the largest
 }
 
@@ -59,71 +59,71 @@
 // smaller model, and it is seen when it answers better.
 const maxLowConfidenceRate = 0.8
 
-// Outset is what is known before a request's first attempt.
-type Outset struct {
-	Doubted   float64       // part of the smaller model's answers that the larger one was to make
-	Begin     time.Duration // that the largest model takes to begin an answer now
-	Reading   time.Duration // of that, to read this prompt; 0: not known
-	Crowd     float64       // part of the upstreams' slots that are taken
-	Objective time.Duration // in which the route's answers should begin
-	Retries   float64       // part of those that a window allows that are left
+// StartConditions is what is known before a request's first attempt.
+type StartConditions struct {
+	LowConfidenceRate float64       // part of the smaller model's answers that the larger one was to make
+	TimeToFirstToken  time.Duration // that the largest model takes to begin an answer now
+	PrefillTime       time.Duration // of that, to read this prompt; 0: not known
+	SlotUtilization   float64       // part of the upstreams' slots that are taken
+	Objective         time.Duration // in which the route's answers should begin
+	RetryBudgetLeft   float64       // part of those that a window allows that are left
 }
 
 // loadHeadroom is 1 where nobody waits for the largest model, 0 from where thresholds are
 // relieved for the load: a fleet short of upstreams has no reading to spare.
-func (c Outset) loadHeadroom() float64 {
-	return 1 - min(relativeLoad(c.Begin, c.Reading, c.Crowd, c.Objective)/minReliefLoad, 1)
+func (c StartConditions) loadHeadroom() float64 {
+	return 1 - min(relativeLoad(c.TimeToFirstToken, c.PrefillTime, c.SlotUtilization, c.Objective)/minReliefLoad, 1)
 }
 
-// Doubt is what is known when an answer's head has come.
-type Doubt struct {
-	Model      int           // index of the one that answers
-	Confidence int           // 0 to 100, negative if not told
-	Begin      time.Duration // that the largest model takes to begin an answer now
-	Reading    time.Duration // of that, to read this prompt
-	Crowd      float64       // part of the upstreams' slots that are taken
-	Left       time.Duration // in which it should begin
-	Objective  time.Duration // that the route has for that
-	End        time.Duration // to the deadline
-	Retries    float64       // part of those that a window allows that are left
+// EscalationConditions is what is known when an answer's head has come.
+type EscalationConditions struct {
+	Model            int           // index of the one that answers
+	Confidence       int           // 0 to 100, negative if not told
+	TimeToFirstToken time.Duration // that the largest model takes to begin an answer now
+	PrefillTime      time.Duration // of that, to read this prompt
+	SlotUtilization  float64       // part of the upstreams' slots that are taken
+	ObjectiveLeft    time.Duration // in which it should begin
+	Objective        time.Duration // that the route has for that
+	TimeToDeadline   time.Duration // to the deadline
+	RetryBudgetLeft  float64       // part of those that a window allows that are left
 }
 
-// Doubted reports whether the model's answer falls short of what operators ask of
+// IsLowConfidence reports whether the model's answer falls short of what operators ask of
 // it, whatever the load.
-func (p Confidence) Doubted(models []string, model, confidence int) bool {
+func (p EscalationPolicy) IsLowConfidence(models []string, model, confidence int) bool {
 	return model < len(models)-1 && model < len(p.Thresholds) && confidence >= 0 && confidence < p.Thresholds[model]
 }
 
-// First returns the model to begin with: the smallest that operators allow, or the
+// FirstModel returns the model to begin with: the smallest that operators allow, or the
 // largest where retries run short and it has room. Beginning small saves the largest
 // model's reading for the answers that are taken, and costs a retry for each that is
 // not; the reading that is saved is held against the retries.
-func (p Confidence) First(models []string, conditions Outset) int {
+func (p EscalationPolicy) FirstModel(models []string, conditions StartConditions) int {
 	last := len(models) - 1
-	first := max(min(p.Start, last), 0)
-	cost := retryCost(conditions.Retries) * conditions.loadHeadroom()
-	if first >= last || conditions.Reading <= 0 || cost <= 0 {
+	first := max(min(p.StartModel, last), 0)
+	cost := retryCost(conditions.RetryBudgetLeft) * conditions.loadHeadroom()
+	if first >= last || conditions.PrefillTime <= 0 || cost <= 0 {
 		return first
 	}
-	lowConfidenceRate := min(conditions.Doubted, maxLowConfidenceRate)
-	if (1-lowConfidenceRate)*conditions.Reading.Seconds() <= lowConfidenceRate*cost*conditions.Objective.Seconds() {
+	lowConfidenceRate := min(conditions.LowConfidenceRate, maxLowConfidenceRate)
+	if (1-lowConfidenceRate)*conditions.PrefillTime.Seconds() <= lowConfidenceRate*cost*conditions.Objective.Seconds() {
 		return last
 	}
 	return first
 }
 
-// Larger returns the model to ask in place of the one that answers, or false if
+// Escalate returns the model to ask in place of the one that answers, or false if
 // its answer is taken. It is the largest that is asked: a request that one model
 // finds hard is seldom easy for the next, and each step costs a prefill.
-func (p Confidence) Larger(models []string, conditions Doubt) (int, bool) {
+func (p EscalationPolicy) Escalate(models []string, conditions EscalationConditions) (int, bool) {
 	last := len(models) - 1
-	if conditions.Model >= last || conditions.Confidence < 0 || conditions.Model >= len(p.Thresholds) || float64(conditions.Begin) > maxDeadlineFraction*float64(conditions.End) {
+	if conditions.Model >= last || conditions.Confidence < 0 || conditions.Model >= len(p.Thresholds) || float64(conditions.TimeToFirstToken) > maxDeadlineFraction*float64(conditions.TimeToDeadline) {
 		return conditions.Model, false
 	}
-	if !conditions.meetsObjective() && float64(conditions.Reading) > maxLatePrefillFraction*float64(conditions.Objective) {
+	if !conditions.meetsObjective() && float64(conditions.PrefillTime) > maxLatePrefillFraction*float64(conditions.Objective) {
 		return conditions.Model, false
 	}
-	if float64(conditions.Confidence) >= float64(p.Thresholds[conditions.Model])*conditions.loadThresholdFactor()*retryThresholdFactor(conditions.Retries) {
+	if float64(conditions.Confidence) >= float64(p.Thresholds[conditions.Model])*conditions.loadThresholdFactor()*retryThresholdFactor(conditions.RetryBudgetLeft) {
 		return conditions.Model, false
 	}
 	return last, true
@@ -140,17 +140,17 @@
 }
 
 // meetsObjective reports whether the larger model is expected to begin in time.
-func (c Doubt) meetsObjective() bool { return c.Begin <= c.Left }
+func (c EscalationConditions) meetsObjective() bool { return c.TimeToFirstToken <= c.ObjectiveLeft }
 
 // loadThresholdFactor is the factor of the thresholds.
-func (c Doubt) loadThresholdFactor() float64 {
-	if c.Begin <= 0 {
+func (c EscalationConditions) loadThresholdFactor() float64 {
+	if c.TimeToFirstToken <= 0 {
 		return 1
 	}
 	if !c.meetsObjective() {
 		return minThresholdFactor
 	}
-	load := relativeLoad(c.Begin, c.Reading, c.Crowd, c.Left)
+	load := relativeLoad(c.TimeToFirstToken, c.PrefillTime, c.SlotUtilization, c.ObjectiveLeft)
 	return 1 - (1-minThresholdFactor)*min(max((load-minReliefLoad)/(1-minReliefLoad), 0), 1)
 }
 
--- a/core/coordination/cascade/confidence_test.go
+++ b/core/coordination/cascade/escalation_test.go
@@ -33,11 +33,11 @@
 		{"late already", time.Second, 0, 0, -time.Second, minThresholdFactor},
 	}
 	for _, tt := range tests {
-		conditions := Doubt{
-			Begin:   tt.timeToFirstToken,
-			Reading: tt.prefillTime,
-			Crowd:   tt.slotUtilization,
-			Left:    tt.objectiveLeft,
+		conditions := EscalationConditions{
+			TimeToFirstToken: tt.timeToFirstToken,
+			PrefillTime:      tt.prefillTime,
+			SlotUtilization:  tt.slotUtilization,
+			ObjectiveLeft:    tt.objectiveLeft,
 		}
 		if got := conditions.loadThresholdFactor(); math.Abs(got-tt.want) > 0.01 {
 			t.Errorf("%s: relief is %.2f, want %.2f", tt.name, got, tt.want)
@@ -48,7 +48,7 @@
 // What would come late is asked of the largest model only where it is read soon:
 // everybody at the upstream stands meanwhile.
 func TestNoEscalationForLongPrefillPastObjective(t *testing.T) {
-	c := Confidence{
+	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
@@ -67,14 +67,14 @@
 		{"long and late already", 2 * time.Second, 2 * time.Second, -9 * time.Second, false},
 	}
 	for _, tt := range tests {
-		_, got := c.Larger(models, Doubt{
-			Confidence: 5,
-			Begin:      tt.timeToFirstToken,
-			Reading:    tt.prefillTime,
-			Left:       tt.objectiveLeft,
-			Objective:  objective,
-			End:        15 * time.Second,
-			Retries:    1,
+		_, got := c.Escalate(models, EscalationConditions{
+			Confidence:       5,
+			TimeToFirstToken: tt.timeToFirstToken,
+			PrefillTime:      tt.prefillTime,
+			ObjectiveLeft:    tt.objectiveLeft,
+			Objective:        objective,
+			TimeToDeadline:   15 * time.Second,
+			RetryBudgetLeft:  1,
 		})
 		if got != tt.want {
 			t.Errorf("%s: asked %v", tt.name, got)
@@ -84,7 +84,7 @@
 
 // What the largest model can't answer before the deadline is not asked of it.
 func TestNoEscalationPastDeadline(t *testing.T) {
-	c := Confidence{
+	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
@@ -99,12 +99,12 @@
 		{0, -time.Second, false},
 	}
 	for _, tt := range tests {
-		if _, got := c.Larger(models, Doubt{
-			Confidence: 5,
-			Begin:      tt.timeToFirstToken,
-			Left:       time.Second,
-			End:        tt.timeToDeadline,
-			Retries:    1,
+		if _, got := c.Escalate(models, EscalationConditions{
+			Confidence:       5,
+			TimeToFirstToken: tt.timeToFirstToken,
+			ObjectiveLeft:    time.Second,
+			TimeToDeadline:   tt.timeToDeadline,
+			RetryBudgetLeft:  1,
 		}); got != tt.want {
 			t.Errorf("asked in %v, %v before the end: %v", tt.timeToFirstToken, tt.timeToDeadline, got)
 		}
@@ -116,21 +116,21 @@
 	models := []string{"small", "middle", "large"}
 	tests := []struct {
 		name       string
-		policy     Confidence
+		policy     EscalationPolicy
 		models     []string
-		conditions Doubt
+		conditions EscalationConditions
 		firstModel int
 		want       bool
 	}{
 		{
 			name: "no models",
-			policy: Confidence{
+			policy: EscalationPolicy{
 				Thresholds: []int{55},
 			},
 		},
 		{
 			name: "one model",
-			policy: Confidence{
+			policy: EscalationPolicy{
 				Thresholds: []int{55},
 			},
 			models: models[:1],
@@ -141,46 +141,46 @@
 		},
 		{
 			name: "a start past the end",
-			policy: Confidence{
-				Start:      7,
+			policy: EscalationPolicy{
+				StartModel: 7,
 				Thresholds: []int{55, 55},
 			},
 			models: models,
-			conditions: Doubt{
+			conditions: EscalationConditions{
 				Model: 2,
 			},
 			firstModel: 2,
 		},
 		{
 			name: "no opinion",
-			policy: Confidence{
+			policy: EscalationPolicy{
 				Thresholds: []int{55, 55},
 			},
 			models: models,
-			conditions: Doubt{
-				Confidence: -1,
-				End:        time.Minute,
-				Retries:    1,
+			conditions: EscalationConditions{
+				Confidence:      -1,
+				TimeToDeadline:  time.Minute,
+				RetryBudgetLeft: 1,
 			},
 		},
 		{
 			name: "no objective, no token counts, nothing known",
-			policy: Confidence{
+			policy: EscalationPolicy{
 				Thresholds: []int{55, 55},
 			},
 			models: models,
-			conditions: Doubt{
-				End:     time.Minute,
-				Retries: 1,
+			conditions: EscalationConditions{
+				TimeToDeadline:  time.Minute,
+				RetryBudgetLeft: 1,
 			},
 			want: true,
 		},
 	}
 	for _, tt := range tests {
-		if got := tt.policy.First(tt.models, Outset{}); got != tt.firstModel {
+		if got := tt.policy.FirstModel(tt.models, StartConditions{}); got != tt.firstModel {
 			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.firstModel)
 		}
-		if _, got := tt.policy.Larger(tt.models, tt.conditions); got != tt.want {
+		if _, got := tt.policy.Escalate(tt.models, tt.conditions); got != tt.want {
 			t.Errorf("%s: asked %v", tt.name, got)
 		}
 	}
@@ -189,7 +189,7 @@
 // The last retries go to the answers that are doubted most, and those for failures
 // stay.
 func TestEscalationReservesRetries(t *testing.T) {
-	c := Confidence{
+	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
@@ -210,11 +210,11 @@
 		{60, 1, false},
 	}
 	for _, tt := range tests {
-		if _, got := c.Larger(models, Doubt{
-			Confidence: tt.confidence,
-			Left:       time.Second,
-			End:        time.Minute,
-			Retries:    tt.retryBudgetLeft,
+		if _, got := c.Escalate(models, EscalationConditions{
+			Confidence:      tt.confidence,
+			ObjectiveLeft:   time.Second,
+			TimeToDeadline:  time.Minute,
+			RetryBudgetLeft: tt.retryBudgetLeft,
 		}); got != tt.want {
 			t.Errorf("an opinion of %d with %.2f of the retries left: asked %v", tt.confidence, tt.retryBudgetLeft, got)
 		}
@@ -224,7 +224,7 @@
 // The largest model is begun with where retries run short, its reading is short and
 // nobody waits for it.
 func TestFirstModel(t *testing.T) {
-	c := Confidence{
+	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
 	}
 	models := []string{"small", "middle", "large"}
@@ -232,81 +232,81 @@
 	const large = 2
 	tests := []struct {
 		name       string
-		conditions Outset
+		conditions StartConditions
 		want       int
 	}{
 		{
 			name: "nothing is known",
-			conditions: Outset{
-				Doubted: 0.6,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
 			},
 		},
 		{
 			name: "all retries are left",
-			conditions: Outset{
-				Doubted: 0.6,
-				Reading: time.Millisecond,
-				Retries: 1,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
+				PrefillTime:       time.Millisecond,
+				RetryBudgetLeft:   1,
 			},
 		},
 		{
 			name: "enough retries",
-			conditions: Outset{
-				Doubted: 0.6,
-				Reading: time.Millisecond,
-				Retries: ampleRetryFraction,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
+				PrefillTime:       time.Millisecond,
+				RetryBudgetLeft:   ampleRetryFraction,
 			},
 		},
 		{
 			name: "few retries and a short prompt",
-			conditions: Outset{
-				Doubted: 0.6,
-				Reading: 50 * time.Millisecond,
-				Begin:   100 * time.Millisecond,
-				Retries: reservedRetryFraction,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
+				PrefillTime:       50 * time.Millisecond,
+				TimeToFirstToken:  100 * time.Millisecond,
+				RetryBudgetLeft:   reservedRetryFraction,
 			},
 			want: large,
 		},
 		{
 			name: "few retries and a long prompt",
-			conditions: Outset{
-				Doubted: 0.6,
-				Reading: 900 * time.Millisecond,
-				Begin:   900 * time.Millisecond,
-				Retries: reservedRetryFraction,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
+				PrefillTime:       900 * time.Millisecond,
+				TimeToFirstToken:  900 * time.Millisecond,
+				RetryBudgetLeft:   reservedRetryFraction,
 			},
 		},
 		{
 			name: "few retries and a queue",
-			conditions: Outset{
-				Doubted: 0.6,
-				Reading: 50 * time.Millisecond,
-				Begin:   time.Second,
-				Retries: reservedRetryFraction,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.6,
+				PrefillTime:       50 * time.Millisecond,
+				TimeToFirstToken:  time.Second,
+				RetryBudgetLeft:   reservedRetryFraction,
 			},
 		},
 		{
 			name: "few retries and a model that is seldom doubted",
-			conditions: Outset{
-				Doubted: 0.05,
-				Reading: 50 * time.Millisecond,
-				Begin:   50 * time.Millisecond,
-				Retries: reservedRetryFraction,
+			conditions: StartConditions{
+				LowConfidenceRate: 0.05,
+				PrefillTime:       50 * time.Millisecond,
+				TimeToFirstToken:  50 * time.Millisecond,
+				RetryBudgetLeft:   reservedRetryFraction,
 			},
 		},
 	}
 	for _, tt := range tests {
 		tt.conditions.Objective = objective
-		if got := c.First(models, tt.conditions); got != tt.want {
+		if got := c.FirstModel(models, tt.conditions); got != tt.want {
 			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.want)
 		}
 	}
-	singleModel := Outset{
-		Doubted:   0.8,
-		Reading:   time.Millisecond,
-		Objective: objective,
+	singleModel := StartConditions{
+		LowConfidenceRate: 0.8,
+		PrefillTime:       time.Millisecond,
+		Objective:         objective,
 	}
-	if got := c.First(models[:1], singleModel); got != 0 {
+	if got := c.FirstModel(models[:1], singleModel); got != 0 {
 		t.Errorf("one model: begins with %d", got)
 	}
 }
@@ -314,18 +314,18 @@
 // A model that was never heard is taken to be doubted half the time, and one answer
 // does not change that for good.
 func TestConfidenceStats(t *testing.T) {
-	stats := &Opinions{}
-	if got := stats.Doubted(); got != priorLowConfidenceRate {
+	stats := &ConfidenceStats{}
+	if got := stats.LowConfidenceRate(); got != priorLowConfidenceRate {
 		t.Errorf("an unknown model is doubted in %.2f", got)
 	}
-	stats.Take(true)
-	if got := stats.Doubted(); got < 0.5 || got > 0.65 {
+	stats.Record(true)
+	if got := stats.LowConfidenceRate(); got < 0.5 || got > 0.65 {
 		t.Errorf("after one doubt %.2f", got)
 	}
 	for range 1000 {
-		stats.Take(false)
+		stats.Record(false)
 	}
-	if got := stats.Doubted(); got > 0.01 {
+	if got := stats.LowConfidenceRate(); got > 0.01 {
 		t.Errorf("after a thousand good answers %.2f", got)
 	}
 }
--- a/core/coordination/consensus/cluster_test.go
+++ b/core/coordination/consensus/cluster_test.go
@@ -108,9 +108,9 @@
 		}
 		if i < voters {
 			m.disk.snapshot = persimmoncross.Snapshot{
-				Index: 1,
-				Term:  1,
-				Set:   config,
+				Index:  1,
+				Term:   1,
+				Config: config,
 			}
 		}
 		c.members = append(c.members, m)
@@ -122,14 +122,14 @@
 // start starts a member from what it had synced.
 func (c *cluster) start(m *member) {
 	m.core = &Core{
-		Group:     "test",
-		ID:        m.id,
-		VM:        m.vm,
-		Heartbeat: testHeartbeatInterval,
-		Election:  testElectionTimeout,
-		Lease:     testLeaseDuration,
-		Random:    c.random,
-		Announce:  c.broadcastCommits,
+		Group:             "test",
+		ID:                m.id,
+		VM:                m.vm,
+		HeartbeatInterval: testHeartbeatInterval,
+		ElectionTimeout:   testElectionTimeout,
+		LeaseDuration:     testLeaseDuration,
+		Random:            c.random,
+		BroadcastCommits:  c.broadcastCommits,
 	}
 	m.applied = decodeApplied(m.disk.snapshot.Data)
 	m.core.Start(c.now, m.disk.hardState, m.disk.snapshot, m.disk.entries)
@@ -169,27 +169,27 @@
 // the sync.
 func (c *cluster) processActions(m *member, crashAfter int) {
 	for m.core != nil {
-		a := m.core.Take()
-		c.enqueue(a.Eager)
+		a := m.core.TakeActions()
+		c.enqueue(a.MessagesBeforeSync)
 		if crashAfter == 1 {
 			c.crash(m)
 			return
 		}
-		if a.Install != nil {
-			m.disk.install(*a.Install)
-			m.applied = decodeApplied(a.Install.Data)
+		if a.Snapshot != nil {
+			m.disk.install(*a.Snapshot)
+			m.applied = decodeApplied(a.Snapshot.Data)
 		}
-		m.disk.append(a.Hard, a.Entries)
+		m.disk.append(a.HardState, a.Entries)
 		if n := len(a.Entries); n > 0 {
-			m.core.Synced(a.Entries[n-1].Index)
+			m.core.MarkSynced(a.Entries[n-1].Index)
 		}
 		if crashAfter == 2 {
 			c.crash(m)
 			return
 		}
-		c.enqueue(a.Messages)
-		c.apply(m, a.Committed)
-		if len(a.Committed) == 0 && len(a.Entries) == 0 && a.Install == nil {
+		c.enqueue(a.MessagesAfterSync)
+		c.apply(m, a.CommittedEntries)
+		if len(a.CommittedEntries) == 0 && len(a.Entries) == 0 && a.Snapshot == nil {
 			break
 		}
 	}
@@ -198,13 +198,13 @@
 
 func (c *cluster) enqueue(messages []persimmoncross.Message) {
 	for _, msg := range messages {
-		if msg.Dest != "" {
+		if msg.ToVM != "" {
 			c.inflight = append(c.inflight, msg)
 			continue
 		}
 		for _, m := range c.members {
-			if m.vm != msg.VM {
-				msg.Dest = m.vm
+			if m.vm != msg.FromVM {
+				msg.ToVM = m.vm
 				c.inflight = append(c.inflight, msg)
 			}
 		}
@@ -217,7 +217,7 @@
 		if e.Kind == persimmoncross.EntryCommand {
 			m.applied = append(m.applied, string(e.Data))
 		}
-		m.core.Applied(e.Index)
+		m.core.MarkApplied(e.Index)
 	}
 	for i, s := range m.applied {
 		if i < len(c.committed) && c.committed[i] != s {
@@ -247,7 +247,7 @@
 	if m.core == nil {
 		return
 	}
-	expiry, requiredIndex := m.core.LeaseUntil()
+	expiry, requiredIndex := m.core.LeaseExpiry()
 	if !c.now.Before(expiry) || m.core.appliedIndex < requiredIndex {
 		return
 	}
@@ -262,11 +262,11 @@
 func (c *cluster) deliver(i int) {
 	msg := c.inflight[i]
 	c.inflight = slices.Delete(c.inflight, i, i+1)
-	if c.blockedLinks[[2]string{msg.VM, msg.Dest}] {
+	if c.blockedLinks[[2]string{msg.FromVM, msg.ToVM}] {
 		return
 	}
 	for _, m := range c.members {
-		if m.vm == msg.Dest && m.core != nil {
+		if m.vm == msg.ToVM && m.core != nil {
 			m.core.Step(c.now, msg)
 			c.processActions(m, 0)
 		}
@@ -341,7 +341,7 @@
 	if m.core == nil || m.core.appliedIndex <= m.core.snapshot.Index {
 		return
 	}
-	s := m.core.Snapshot(m.core.appliedIndex)
+	s := m.core.SnapshotMetadata(m.core.appliedIndex)
 	s.Data = encodeApplied(m.applied)
 	compactIndex := s.Index - min(2, s.Index)
 	m.disk.compact(s, compactIndex)
@@ -414,7 +414,7 @@
 				c.changeRandomVoter(t)
 			case action < 98:
 				if m := c.leader(); m != nil {
-					m.core.Transfer(c.now)
+					m.core.TransferLeadership(c.now)
 					c.processActions(m, 0)
 				}
 			default:
@@ -433,7 +433,7 @@
 		return
 	}
 	for _, m := range c.members {
-		if !l.core.Set().Has(m.id) && rapid.Bool().Draw(t, "add") {
+		if !l.core.Config().HasVoter(m.id) && rapid.Bool().Draw(t, "add") {
 			l.core.AddVoter(c.now, persimmoncross.Member{
 				ID: m.id,
 				VM: m.vm,
@@ -442,7 +442,7 @@
 			return
 		}
 	}
-	for _, v := range l.core.Set().Voters {
+	for _, v := range l.core.Config().Voters {
 		gone := !slices.ContainsFunc(c.members, func(m *member) bool { return m.id == v.ID })
 		if gone {
 			l.core.RemoveVoter(c.now, v.ID)
--- a/core/coordination/consensus/consensus_test.go
+++ b/core/coordination/consensus/consensus_test.go
@@ -100,12 +100,12 @@
 	if m.core == nil {
 		return time.Time{}, 0
 	}
-	return m.core.LeaseUntil()
+	return m.core.LeaseExpiry()
 }
 
 func TestLease(t *testing.T) {
 	hasLease := func(c *cluster, m *member) bool {
-		expiry, requiredIndex := m.core.LeaseUntil()
+		expiry, requiredIndex := m.core.LeaseExpiry()
 		return c.now.Before(expiry) && m.core.appliedIndex >= requiredIndex
 	}
 	c := newElectedCluster(t, 3, 1)
@@ -146,7 +146,7 @@
 	// A process that is stopped finds old heartbeats in its buffers when it
 	// goes on; they must not give it a lease.
 	t.Run("frozen", func(t *testing.T) {
-		withheld := c.runWithholding(2*time.Second, learner, func(w persimmoncross.Message) bool { return w.Dest == learner.vm })
+		withheld := c.runWithholding(2*time.Second, learner, func(w persimmoncross.Message) bool { return w.ToVM == learner.vm })
 		if len(withheld) == 0 {
 			t.Fatal("no messages to hold back")
 		}
@@ -169,12 +169,12 @@
 	command := c.propose(c.leader())
 	c.processActions(c.leader(), 0)
 	c.runWithholding(testLeaseDuration+testHeartbeatInterval, nil, func(w persimmoncross.Message) bool {
-		return w.Dest == learner.vm && len(w.Entries) > 0
+		return w.ToVM == learner.vm && len(w.Entries) > 0
 	})
 	if !c.leader().hasApplied(command) || learner.hasApplied(command) {
 		t.Fatal("the command is not committed, or reached the learner")
 	}
-	expiry, requiredIndex := learner.core.LeaseUntil()
+	expiry, requiredIndex := learner.core.LeaseExpiry()
 	if c.now.Before(expiry) && learner.core.appliedIndex >= requiredIndex {
 		t.Error("the learner keeps a valid lease without what was committed for 4 s")
 	}
@@ -196,7 +196,7 @@
 	}
 	c.processActions(l, 0)
 	c.run(2 * time.Second)
-	s := l.core.Snapshot(l.core.appliedIndex)
+	s := l.core.SnapshotMetadata(l.core.appliedIndex)
 	s.Data = encodeApplied(l.applied)
 	if len(s.Data) < 2*maxChunkBytes {
 		t.Fatalf("the snapshot has only %d bytes", len(s.Data))
@@ -232,7 +232,7 @@
 	if !replaced.hasApplied(committed) {
 		t.Fatal("the new member did not catch up")
 	}
-	if replaced.core.Role() != Follower || l.core.Set().Has(replaced.id) {
+	if replaced.core.Role() != Follower || l.core.Config().HasVoter(replaced.id) {
 		t.Fatal("the new member counts before it was added")
 	}
 	if _, _, err := l.core.AddVoter(c.now, newVoter); err != nil {
@@ -282,7 +282,7 @@
 func TestLeadershipTransfer(t *testing.T) {
 	c := newElectedCluster(t, 3, 0)
 	old := c.leader()
-	if !old.core.Transfer(c.now) {
+	if !old.core.TransferLeadership(c.now) {
 		t.Fatal("nobody takes over")
 	}
 	c.processActions(old, 0)
@@ -306,13 +306,13 @@
 	}
 	c.processActions(old, 0)
 	for len(c.inflight) > 0 {
-		if c.inflight[0].Dest != learner.vm {
+		if c.inflight[0].ToVM != learner.vm {
 			c.inflight = c.inflight[1:]
 			continue
 		}
 		c.deliver(0)
 	}
-	if !learner.core.Set().Has(learner.id) {
+	if !learner.core.Config().HasVoter(learner.id) {
 		t.Fatal("the learner did not get the entry")
 	}
 	c.inflight = nil
@@ -334,27 +334,27 @@
 	learner := c.members[3]
 	chunk := func(from persimmoncross.MemberID, term, offset uint64, data string) persimmoncross.Message {
 		return persimmoncross.Message{
-			Kind:    persimmoncross.MessageChunk,
-			From:    from,
-			To:      learner.id,
-			VM:      c.members[from-1].vm,
-			Term:    term,
-			Index:   50,
-			LogTerm: 1,
-			Offset:  offset,
-			Total:   8,
-			Data:    []byte(data),
+			Kind:           persimmoncross.MessageSnapshotChunk,
+			From:           from,
+			To:             learner.id,
+			FromVM:         c.members[from-1].vm,
+			Term:           term,
+			Index:          50,
+			LogTerm:        1,
+			SnapshotOffset: offset,
+			SnapshotSize:   8,
+			Data:           []byte(data),
 		}
 	}
 	learner.core.Step(c.now, chunk(1, 2, 0, "AAAA"))
 	learner.core.Step(c.now, chunk(2, 3, 4, "BBBB"))
-	if a := learner.core.Take(); a.Install != nil {
-		t.Fatalf("installed %q", a.Install.Data)
+	if a := learner.core.TakeActions(); a.Snapshot != nil {
+		t.Fatalf("installed %q", a.Snapshot.Data)
 	}
 	learner.core.Step(c.now, chunk(2, 3, 0, "BBBB"))
 	learner.core.Step(c.now, chunk(2, 3, 4, "BBBB"))
-	if a := learner.core.Take(); a.Install == nil || string(a.Install.Data) != "BBBBBBBB" {
-		t.Errorf("installed %+v", a.Install)
+	if a := learner.core.TakeActions(); a.Snapshot == nil || string(a.Snapshot.Data) != "BBBBBBBB" {
+		t.Errorf("installed %+v", a.Snapshot)
 	}
 }
 
@@ -387,15 +387,15 @@
 		c.processActions(l, 0)
 		c.runWithholding(testHeartbeatInterval, follower, withhold)
 	}
-	if c.leader() != l || l.core.Commit() != l.core.Last() {
+	if c.leader() != l || l.core.CommitIndex() != l.core.LastIndex() {
 		t.Fatal("the others did not commit")
 	}
 	if maxBytes := maxInflightBytes + maxBatchBytes; sentBytes > maxBytes {
 		t.Errorf("%d MB are under way to who does not answer, want %d", sentBytes>>20, maxBytes>>20)
 	}
 	c.run(2 * time.Second)
-	if follower.core.Commit() != l.core.Commit() {
-		t.Errorf("the follower has %d entries of %d", follower.core.Commit(), l.core.Commit())
+	if follower.core.CommitIndex() != l.core.CommitIndex() {
+		t.Errorf("the follower has %d entries of %d", follower.core.CommitIndex(), l.core.CommitIndex())
 	}
 }
 
--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -39,14 +39,14 @@
 // Core is one member of one replicated log. The exported fields are set before
 // [Core.Start]. One goroutine owns it.
 type Core struct {
-	Group     string
-	ID        persimmoncross.MemberID
-	VM        string
-	Heartbeat time.Duration // between a leader's messages
-	Election  time.Duration // least silence before an election; the most is twice it
-	Lease     time.Duration // how long a confirmed probe lets an entry take work
-	Random    *rand.Rand
-	Announce  bool // followers learn of each commit at once, not with the next append or heartbeat
+	Group             string
+	ID                persimmoncross.MemberID
+	VM                string
+	HeartbeatInterval time.Duration // between a leader's messages
+	ElectionTimeout   time.Duration // least silence before an election; the most is twice it
+	LeaseDuration     time.Duration // how long a confirmed probe lets an entry take work
+	Random            *rand.Rand
+	BroadcastCommits  bool // followers learn of each commit at once, not with the next append or heartbeat
 
 	role            Role
 	leader          persimmoncross.MemberID
@@ -90,14 +90,14 @@
 
 // Actions is what the owner of a Core must do, in this order: send Eager,
 // install Snapshot, sync Hard and Entries, send Messages, apply Committed.
-// Then it calls [Core.Synced] and [Core.Applied].
+// Then it calls [Core.MarkSynced] and [Core.MarkApplied].
 type Actions struct {
-	Eager     []persimmoncross.Message
-	Install   *persimmoncross.Snapshot
-	Hard      *persimmoncross.HardState
-	Entries   []persimmoncross.Entry
-	Messages  []persimmoncross.Message
-	Committed []persimmoncross.Entry
+	MessagesBeforeSync []persimmoncross.Message
+	Snapshot           *persimmoncross.Snapshot
+	HardState          *persimmoncross.HardState
+	Entries            []persimmoncross.Entry
+	MessagesAfterSync  []persimmoncross.Message
+	CommittedEntries   []persimmoncross.Entry
 }
 
 // Start gives the Core what its disk held.
@@ -107,7 +107,7 @@
 	c.wireTimeOffset = time.Duration(c.Random.Int64N(1 << 60))
 	c.hardState = hardState
 	c.snapshot = snapshot
-	c.config = snapshot.Set
+	c.config = snapshot.Config
 	c.configIndex = snapshot.Index
 	c.log.reset(snapshot.Index, snapshot.Term)
 	for _, e := range entries {
@@ -122,10 +122,10 @@
 	c.appliedIndex = snapshot.Index
 	c.syncedIndex = c.log.lastIndex()
 	c.role = Follower
-	c.lastLeaderContact = now.Add(-c.Election)
+	c.lastLeaderContact = now.Add(-c.ElectionTimeout)
 	// After a restart of all members at once nobody has a leader to wait for. A
 	// leader that exists is heard within a heartbeat, and pre-votes leave it alone.
-	c.electionDeadline = now.Add(c.Heartbeat + time.Duration(c.Random.Int64N(int64(c.Election)/2+1)))
+	c.electionDeadline = now.Add(c.HeartbeatInterval + time.Duration(c.Random.Int64N(int64(c.ElectionTimeout)/2+1)))
 }
 
 // Role returns the member's role.
@@ -134,45 +134,45 @@
 // Term returns the current term.
 func (c *Core) Term() uint64 { return c.hardState.Term }
 
-// Commit returns the last committed index known.
-func (c *Core) Commit() uint64 { return c.commitIndex }
+// CommitIndex returns the last committed index known.
+func (c *Core) CommitIndex() uint64 { return c.commitIndex }
 
-// Set returns the voters in force.
-func (c *Core) Set() persimmoncross.Config { return c.config }
+// Config returns the voters in force.
+func (c *Core) Config() persimmoncross.Config { return c.config }
 
-// Last returns the index of the last entry of the log.
-func (c *Core) Last() uint64 { return c.log.lastIndex() }
+// LastIndex returns the index of the last entry of the log.
+func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
-// Leader returns the leader's VM, or "" if none is known.
-func (c *Core) Leader() string {
+// LeaderVM returns the leader's VM, or "" if none is known.
+func (c *Core) LeaderVM() string {
 	if c.role == Leader {
 		return c.VM
 	}
-	if m, ok := c.config.Find(c.leader); ok {
+	if m, ok := c.config.FindVoter(c.leader); ok {
 		return m.VM
 	}
 	return ""
 }
 
-// Take returns what is to be done, and forgets it.
-func (c *Core) Take() Actions {
+// TakeActions returns what is to be done, and forgets it.
+func (c *Core) TakeActions() Actions {
 	if c.role == Leader {
 		c.replicate()
 	}
 	c.commitAdvanced = false
 	a := Actions{
-		Eager:    c.messagesBeforeSync,
-		Install:  c.snapshotToInstall,
-		Entries:  c.unsyncedEntries,
-		Messages: c.messagesAfterSync,
+		MessagesBeforeSync: c.messagesBeforeSync,
+		Snapshot:           c.snapshotToInstall,
+		Entries:            c.unsyncedEntries,
+		MessagesAfterSync:  c.messagesAfterSync,
 	}
 	if c.hardStateChanged {
 		hardState := c.hardState
-		a.Hard = &hardState
+		a.HardState = &hardState
 	}
-	a.Committed = c.log.entriesBetween(c.deliveredIndex, c.commitIndex)
-	if n := len(a.Committed); n > 0 {
-		c.deliveredIndex = a.Committed[n-1].Index
+	a.CommittedEntries = c.log.entriesBetween(c.deliveredIndex, c.commitIndex)
+	if n := len(a.CommittedEntries); n > 0 {
+		c.deliveredIndex = a.CommittedEntries[n-1].Index
 	}
 	c.messagesBeforeSync, c.messagesAfterSync, c.unsyncedEntries = nil, nil, nil
 	c.snapshotToInstall = nil
@@ -180,16 +180,16 @@
 	return a
 }
 
-// Synced tells that the entries up to index are on disk.
-func (c *Core) Synced(index uint64) {
+// MarkSynced tells that the entries up to index are on disk.
+func (c *Core) MarkSynced(index uint64) {
 	c.syncedIndex = min(index, c.log.lastIndex())
 	if c.role == Leader {
 		c.advanceCommitIndex()
 	}
 }
 
-// Applied tells that the state machine holds the entries up to index.
-func (c *Core) Applied(index uint64) { c.appliedIndex = max(c.appliedIndex, index) }
+// MarkApplied tells that the state machine holds the entries up to index.
+func (c *Core) MarkApplied(index uint64) { c.appliedIndex = max(c.appliedIndex, index) }
 
 // Compact drops the log up to keep; snapshot must cover at least that.
 func (c *Core) Compact(snapshot persimmoncross.Snapshot, compactIndex uint64) {
@@ -197,18 +197,18 @@
 	c.log.compact(min(compactIndex, snapshot.Index))
 }
 
-// Snapshot returns the index, term and voters at an applied index, for the
+// SnapshotMetadata returns the index, term and voters at an applied index, for the
 // owner to add the state machine's bytes to.
-func (c *Core) Snapshot(index uint64) persimmoncross.Snapshot {
+func (c *Core) SnapshotMetadata(index uint64) persimmoncross.Snapshot {
 	term, _ := c.log.term(index)
 	config := c.config
 	if c.configIndex > index {
 		config = c.configAt(index)
 	}
 	return persimmoncross.Snapshot{
-		Index: index,
-		Term:  term,
-		Set:   config,
+		Index:  index,
+		Term:   term,
+		Config: config,
 	}
 }
 
@@ -219,7 +219,7 @@
 		c.tickLeader()
 		return
 	}
-	if !c.config.Has(c.ID) {
+	if !c.config.HasVoter(c.ID) {
 		c.sendHelloIfDue()
 		return
 	}
@@ -234,7 +234,7 @@
 // Step takes a message of a peer.
 func (c *Core) Step(now time.Time, m persimmoncross.Message) {
 	c.now = now
-	if m.Kind == persimmoncross.MessageHello {
+	if m.Kind == persimmoncross.MessageLearnerJoin {
 		c.onHello(m)
 		return
 	}
@@ -259,12 +259,12 @@
 		c.onAppend(m)
 	case persimmoncross.MessageAppendReply:
 		c.onAppendReply(m)
-	case persimmoncross.MessageChunk:
+	case persimmoncross.MessageSnapshotChunk:
 		c.onChunk(m)
-	case persimmoncross.MessageChunkReply:
+	case persimmoncross.MessageSnapshotChunkReply:
 		c.onChunkReply(m)
 	case persimmoncross.MessageTimeoutNow:
-		if c.config.Has(c.ID) {
+		if c.config.HasVoter(c.ID) {
 			c.campaign(Candidate, true)
 		}
 	}
@@ -281,7 +281,7 @@
 		}
 	case persimmoncross.MessageVote:
 		// Check-quorum: while a leader is heard, nobody else is helped to unseat it.
-		if !m.Transfer && c.hasRecentLeaderContact() {
+		if !m.LeadershipTransfer && c.hasRecentLeaderContact() {
 			return false
 		}
 	}
@@ -293,11 +293,11 @@
 // member that was cut off rejoins. Pre-votes get a refusal.
 func (c *Core) replyToStaleTerm(m persimmoncross.Message) {
 	switch m.Kind {
-	case persimmoncross.MessageAppend, persimmoncross.MessageChunk:
+	case persimmoncross.MessageAppend, persimmoncross.MessageSnapshotChunk:
 		c.replyAfterSync(m, persimmoncross.Message{
-			Kind:   persimmoncross.MessageAppendReply,
-			Reject: true,
-			Hint:   c.log.lastIndex(),
+			Kind:          persimmoncross.MessageAppendReply,
+			Reject:        true,
+			LastIndexHint: c.log.lastIndex(),
 		})
 	case persimmoncross.MessagePreVote:
 		c.replyAfterSync(m, persimmoncross.Message{
@@ -324,7 +324,7 @@
 }
 
 func (c *Core) resetElectionTimer() {
-	c.electionDeadline = c.now.Add(c.Election + time.Duration(c.Random.Int64N(int64(c.Election))))
+	c.electionDeadline = c.now.Add(c.ElectionTimeout + time.Duration(c.Random.Int64N(int64(c.ElectionTimeout))))
 }
 
 // toWireTime returns the process's time as it goes into messages.
@@ -337,8 +337,8 @@
 	m.Group = c.Group
 	m.From = c.ID
 	m.To = to
-	m.VM = c.VM
-	m.Dest = targetVM
+	m.FromVM = c.VM
+	m.ToVM = targetVM
 	if m.Term == 0 {
 		m.Term = c.hardState.Term
 	}
@@ -347,7 +347,7 @@
 
 // replyAfterSync queues a message that may go only after what came before is synced.
 func (c *Core) replyAfterSync(request, m persimmoncross.Message) {
-	c.messagesAfterSync = append(c.messagesAfterSync, c.withHeader(request.From, request.VM, m))
+	c.messagesAfterSync = append(c.messagesAfterSync, c.withHeader(request.From, request.FromVM, m))
 }
 
 // sendBeforeSync queues a leader's message, which needs no sync.
@@ -364,7 +364,7 @@
 		index:  c.configIndex,
 		config: c.config,
 	})
-	c.config = e.Set
+	c.config = e.Config
 	c.configIndex = e.Index
 }
 
@@ -385,5 +385,5 @@
 			return c.previousConfigs[i].config
 		}
 	}
-	return c.snapshot.Set
+	return c.snapshot.Config
 }
--- a/core/coordination/consensus/election.go
+++ b/core/coordination/consensus/election.go
@@ -16,11 +16,11 @@
 	}
 	c.resetElectionTimer()
 	m := persimmoncross.Message{
-		Kind:     persimmoncross.MessagePreVote,
-		Term:     c.hardState.Term + 1,
-		Index:    c.log.lastIndex(),
-		LogTerm:  c.log.lastTerm(),
-		Transfer: transferred,
+		Kind:               persimmoncross.MessagePreVote,
+		Term:               c.hardState.Term + 1,
+		Index:              c.log.lastIndex(),
+		LogTerm:            c.log.lastTerm(),
+		LeadershipTransfer: transferred,
 	}
 	if role == Candidate {
 		c.hardState = persimmoncross.HardState{
@@ -43,7 +43,7 @@
 	if c.role == Leader {
 		return true
 	}
-	return c.leader != 0 && c.now.Sub(c.lastLeaderContact) < c.Election
+	return c.leader != 0 && c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout
 }
 
 // isCandidateUpToDate reports whether the candidate's log holds all that this one does.
--- a/core/coordination/consensus/error.go
+++ b/core/coordination/consensus/error.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// Kind classifies an [Error].
-type Kind uint8
+// ErrorKind classifies an [Error].
+type ErrorKind uint8
 
 // The kinds of error.
 const (
-	NotLeader   Kind = iota + 1 // another member leads, or none does
-	Busy                        // a limit or an earlier change stands in the way
-	Unsafe                      // the change could lose the quorum
-	NotCaughtUp                 // the member lacks too much of the log to vote
+	NotLeader     ErrorKind = iota + 1 // another member leads, or none does
+	ChangePending                      // a limit or an earlier change stands in the way
+	InvalidChange                      // the change could lose the quorum
+	NotCaughtUp                        // the member lacks too much of the log to vote
 )
 
 // Error is what the package's operations return.
 type Error struct {
 	Operation string
-	Kind      Kind
+	Kind      ErrorKind
 	Detail    string
 }
 
@@ -29,7 +29,7 @@
 	return ok && e.Kind == NotLeader
 }
 
-func newError(operation string, kind Kind, format string, args ...any) *Error {
+func newError(operation string, kind ErrorKind, format string, args ...any) *Error {
 	return &Error{
 		Operation: operation,
 		Kind:      kind,
--- a/core/coordination/consensus/lease.go
+++ b/core/coordination/consensus/lease.go
@@ -34,24 +34,24 @@
 // renew takes a confirmed probe. One that this process never wrote since the
 // leader was found is older than its time origin or newer than the last asked.
 func (l *leaseState) renew(c *Core, m persimmoncross.Message) {
-	if m.Probe == 0 {
+	if m.LeaseRequestedAt == 0 {
 		return
 	}
-	start := c.fromWireTime(m.Probe)
+	start := c.fromWireTime(m.LeaseRequestedAt)
 	if start.Before(c.startTime) || start.After(l.lastProbe) || !start.After(l.start) {
 		return
 	}
 	l.start = start
-	l.requiredIndex = m.Confirmed
+	l.requiredIndex = m.LeaseCommitIndex
 }
 
-// LeaseUntil returns the time until which the VM may take new work, and the
+// LeaseExpiry returns the time until which the VM may take new work, and the
 // index that must have been applied before. A zero time is no lease.
-func (c *Core) LeaseUntil() (expiry time.Time, requiredIndex uint64) {
+func (c *Core) LeaseExpiry() (expiry time.Time, requiredIndex uint64) {
 	if c.lease.start.IsZero() {
 		return time.Time{}, 0
 	}
-	return c.lease.start.Add(c.Lease), c.lease.requiredIndex
+	return c.lease.start.Add(c.LeaseDuration), c.lease.requiredIndex
 }
 
 // leaseProbe is a leader's record of a follower's request for a lease. Two places
--- a/core/coordination/consensus/membership.go
+++ b/core/coordination/consensus/membership.go
@@ -20,11 +20,11 @@
 	if err := c.checkVoterChange(now, "add voter"); err != nil {
 		return 0, 0, err
 	}
-	if c.config.Has(m.ID) {
-		return 0, 0, newError("add voter", Unsafe, "%s votes already", m.VM)
+	if c.config.HasVoter(m.ID) {
+		return 0, 0, newError("add voter", InvalidChange, "%s votes already", m.VM)
 	}
 	p := c.followers[m.ID]
-	if p == nil || p.matchIndex+maxCaughtUpLag < c.commitIndex || now.Sub(p.lastAckedSendTime) > c.Election {
+	if p == nil || p.matchIndex+maxCaughtUpLag < c.commitIndex || now.Sub(p.lastAckedSendTime) > c.ElectionTimeout {
 		return 0, 0, newError("add voter", NotCaughtUp, "%s has not caught up yet", m.VM)
 	}
 	config := persimmoncross.Config{
@@ -39,8 +39,8 @@
 	if err := c.checkVoterChange(now, "remove voter"); err != nil {
 		return 0, 0, err
 	}
-	if !c.config.Has(id) {
-		return 0, 0, newError("remove voter", Unsafe, "no such voter")
+	if !c.config.HasVoter(id) {
+		return 0, 0, newError("remove voter", InvalidChange, "no such voter")
 	}
 	config := persimmoncross.Config{}
 	responsive := 0
@@ -49,12 +49,12 @@
 			continue
 		}
 		config.Voters = append(config.Voters, v)
-		if v.ID == c.ID || now.Sub(c.followers[v.ID].lastAckedSendTime) <= c.Election {
+		if v.ID == c.ID || now.Sub(c.followers[v.ID].lastAckedSendTime) <= c.ElectionTimeout {
 			responsive++
 		}
 	}
 	if responsive < len(config.Voters)/2+1 {
-		return 0, 0, newError("remove voter", Unsafe, "of the %d voters left only %d answer", len(config.Voters), responsive)
+		return 0, 0, newError("remove voter", InvalidChange, "of the %d voters left only %d answer", len(config.Voters), responsive)
 	}
 	return c.appendEntry(persimmoncross.EntryConfig, nil, config), c.hardState.Term, nil
 }
@@ -67,7 +67,7 @@
 		return newError(operation, NotLeader, "this member does not lead")
 	}
 	if term, _ := c.log.term(c.commitIndex); term != c.hardState.Term || c.configIndex > c.commitIndex {
-		return newError(operation, Busy, "an earlier change is not committed yet")
+		return newError(operation, ChangePending, "an earlier change is not committed yet")
 	}
 	return nil
 }
@@ -75,16 +75,16 @@
 // stepDownIfRemoved ends the leadership of a leader that no longer votes, once
 // that is committed.
 func (c *Core) stepDownIfRemoved() {
-	if c.config.Has(c.ID) || c.configIndex > c.commitIndex {
+	if c.config.HasVoter(c.ID) || c.configIndex > c.commitIndex {
 		return
 	}
 	c.broadcastHeartbeat() // the others learn of the commit first
 	c.becomeFollower(c.hardState.Term, 0)
 }
 
-// Transfer hands leadership to the voter that holds most of the log and
+// TransferLeadership hands leadership to the voter that holds most of the log and
 // answers. It returns false if there is none.
-func (c *Core) Transfer(now time.Time) bool {
+func (c *Core) TransferLeadership(now time.Time) bool {
 	c.now = now
 	if c.role != Leader {
 		return false
@@ -92,7 +92,7 @@
 	var target persimmoncross.MemberID
 	for _, v := range c.config.Voters {
 		p := c.followers[v.ID]
-		if p == nil || now.Sub(p.lastAckedSendTime) > c.Election {
+		if p == nil || now.Sub(p.lastAckedSendTime) > c.ElectionTimeout {
 			continue
 		}
 		if target == 0 || p.matchIndex > c.followers[target].matchIndex {
@@ -104,7 +104,7 @@
 	}
 	c.transfer = leadershipTransfer{
 		target:   target,
-		deadline: now.Add(c.Election),
+		deadline: now.Add(c.ElectionTimeout),
 	}
 	c.sendTimeoutNowIfReady(target, c.followers[target])
 	return true
--- a/core/coordination/consensus/cost_test.go
+++ b/core/coordination/consensus/message_count_test.go
@@ -30,7 +30,7 @@
 	} {
 		g := newElectedCluster(t, 3, 0)
 		for _, m := range g.members {
-			m.core.Announce = c.broadcastCommits
+			m.core.BroadcastCommits = c.broadcastCommits
 		}
 		for len(g.inflight) > 0 {
 			g.deliver(0)
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -48,11 +48,11 @@
 
 func (c *Core) appendEntry(kind persimmoncross.EntryKind, data []byte, config persimmoncross.Config) uint64 {
 	e := persimmoncross.Entry{
-		Index: c.log.lastIndex() + 1,
-		Term:  c.hardState.Term,
-		Kind:  kind,
-		Data:  data,
-		Set:   config,
+		Index:  c.log.lastIndex() + 1,
+		Term:   c.hardState.Term,
+		Kind:   kind,
+		Data:   data,
+		Config: config,
 	}
 	c.log.append(e)
 	c.unsyncedEntries = append(c.unsyncedEntries, e)
@@ -103,14 +103,14 @@
 
 func (c *Core) sendAppend(id persimmoncross.MemberID, p *progress, prevIndex, prevTerm uint64, entries []persimmoncross.Entry) {
 	c.sendBeforeSync(id, persimmoncross.Message{
-		Kind:      persimmoncross.MessageAppend,
-		Index:     prevIndex,
-		LogTerm:   prevTerm,
-		Commit:    c.commitIndex,
-		Entries:   entries,
-		Sent:      c.toWireTime(c.now),
-		Probe:     p.probe.confirmed,
-		Confirmed: p.probe.commitIndex,
+		Kind:             persimmoncross.MessageAppend,
+		Index:            prevIndex,
+		LogTerm:          prevTerm,
+		Commit:           c.commitIndex,
+		Entries:          entries,
+		SentAt:           c.toWireTime(c.now),
+		LeaseRequestedAt: p.probe.confirmed,
+		LeaseCommitIndex: p.probe.commitIndex,
 	})
 }
 
@@ -119,11 +119,11 @@
 	c.lastHeartbeat = c.now
 	for _, id := range c.followerOrder {
 		p := c.followers[id]
-		if !c.config.Has(id) && c.now.Sub(p.lastContact) > learnerTimeout {
+		if !c.config.HasVoter(id) && c.now.Sub(p.lastContact) > learnerTimeout {
 			c.removeFollower(id)
 			continue
 		}
-		if p.snapshotIndex != 0 && c.now.Sub(p.chunkSentAt) >= 2*c.Heartbeat {
+		if p.snapshotIndex != 0 && c.now.Sub(p.chunkSentAt) >= 2*c.HeartbeatInterval {
 			c.sendSnapshotChunk(id, p)
 		}
 		c.sendEmptyAppend(id, p)
@@ -141,14 +141,14 @@
 
 func (c *Core) tickLeader() {
 	c.confirmProbes()
-	if c.now.Sub(c.quorumAckedSendTime()) > c.Election {
+	if c.now.Sub(c.quorumAckedSendTime()) > c.ElectionTimeout {
 		c.becomeFollower(c.hardState.Term, 0) // check-quorum
 		return
 	}
 	if c.transfer.target != 0 && c.now.After(c.transfer.deadline) {
 		c.transfer = leadershipTransfer{}
 	}
-	if c.now.Sub(c.lastHeartbeat) >= c.Heartbeat {
+	if c.now.Sub(c.lastHeartbeat) >= c.HeartbeatInterval {
 		c.broadcastHeartbeat()
 	}
 }
@@ -198,7 +198,7 @@
 		return
 	}
 	c.commitIndex = index
-	c.commitAdvanced = c.Announce
+	c.commitAdvanced = c.BroadcastCommits
 	c.stepDownIfRemoved()
 }
 
@@ -210,9 +210,9 @@
 	c.resetElectionTimer()
 	c.lease.renew(c, m)
 	reply := persimmoncross.Message{
-		Kind:  persimmoncross.MessageAppendReply,
-		Sent:  m.Sent,
-		Probe: c.lease.newProbe(c),
+		Kind:             persimmoncross.MessageAppendReply,
+		SentAt:           m.SentAt,
+		LeaseRequestedAt: c.lease.newProbe(c),
 	}
 	term, ok := c.log.term(m.Index)
 	if m.Index < c.log.compactedIndex {
@@ -223,7 +223,7 @@
 	}
 	if !ok || term != m.LogTerm {
 		reply.Reject = true
-		reply.Hint = c.rejectHint(m)
+		reply.LastIndexHint = c.rejectHint(m)
 		c.replyAfterSync(m, reply)
 		return
 	}
@@ -293,7 +293,7 @@
 	}
 	if m.Reject {
 		if p.snapshotIndex == 0 {
-			p.nextIndex = max(min(m.Hint+1, c.log.lastIndex()+1), p.matchIndex+1)
+			p.nextIndex = max(min(m.LastIndexHint+1, c.log.lastIndex()+1), p.matchIndex+1)
 		}
 		return
 	}
@@ -318,17 +318,17 @@
 		return nil
 	}
 	p.lastContact = c.now
-	if sent := c.fromWireTime(m.Sent); sent.After(p.lastAckedSendTime) && !sent.After(c.now) {
+	if sent := c.fromWireTime(m.SentAt); sent.After(p.lastAckedSendTime) && !sent.After(c.now) {
 		p.lastAckedSendTime = sent
 	}
-	p.probe.record(m.Probe, c.now)
+	p.probe.record(m.LeaseRequestedAt, c.now)
 	c.confirmProbes()
 	return p
 }
 
 // sendHelloIfDue asks the voters for the log, while no leader is heard.
 func (c *Core) sendHelloIfDue() {
-	if c.now.Sub(c.lastLeaderContact) < c.Election || c.now.Sub(c.lastHeartbeat) < c.Heartbeat {
+	if c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout || c.now.Sub(c.lastHeartbeat) < c.HeartbeatInterval {
 		return
 	}
 	c.lastHeartbeat = c.now
@@ -338,7 +338,7 @@
 
 func (c *Core) sendHello() {
 	c.messagesBeforeSync = append(c.messagesBeforeSync, c.withHeader(0, "", persimmoncross.Message{
-		Kind:  persimmoncross.MessageHello,
+		Kind:  persimmoncross.MessageLearnerJoin,
 		Index: c.log.lastIndex(),
 	}))
 }
@@ -348,7 +348,7 @@
 	if c.role != Leader || m.From == c.ID {
 		return
 	}
-	p := c.addFollower(m.From, m.VM)
+	p := c.addFollower(m.From, m.FromVM)
 	p.lastContact = c.now
 	p.reportedLastIndex = m.Index
 	p.nextIndex = max(p.matchIndex+1, min(p.nextIndex, m.Index+1))
@@ -370,14 +370,14 @@
 	end := min(p.snapshotOffset+maxChunkBytes, size)
 	p.chunkSentAt = c.now
 	c.sendBeforeSync(id, persimmoncross.Message{
-		Kind:    persimmoncross.MessageChunk,
-		Index:   c.snapshot.Index,
-		LogTerm: c.snapshot.Term,
-		Set:     c.snapshot.Set,
-		Offset:  p.snapshotOffset,
-		Total:   size,
-		Data:    c.snapshot.Data[p.snapshotOffset:end],
-		Sent:    c.toWireTime(c.now),
+		Kind:           persimmoncross.MessageSnapshotChunk,
+		Index:          c.snapshot.Index,
+		LogTerm:        c.snapshot.Term,
+		Config:         c.snapshot.Config,
+		SnapshotOffset: p.snapshotOffset,
+		SnapshotSize:   size,
+		Data:           c.snapshot.Data[p.snapshotOffset:end],
+		SentAt:         c.toWireTime(c.now),
 	})
 }
 
@@ -389,9 +389,9 @@
 	c.resetElectionTimer()
 	if m.Index <= c.commitIndex {
 		c.replyAfterSync(m, persimmoncross.Message{
-			Kind:  persimmoncross.MessageAppendReply,
-			Index: c.commitIndex,
-			Sent:  m.Sent,
+			Kind:   persimmoncross.MessageAppendReply,
+			Index:  c.commitIndex,
+			SentAt: m.SentAt,
 		})
 		return
 	}
@@ -400,44 +400,44 @@
 			from:   m.From,
 			index:  m.Index,
 			term:   m.LogTerm,
-			config: m.Set,
+			config: m.Config,
 		}
 	}
 	in := c.incomingSnapshot
-	if m.Offset == uint64(len(in.data)) {
+	if m.SnapshotOffset == uint64(len(in.data)) {
 		in.data = append(in.data, m.Data...)
 	}
-	if uint64(len(in.data)) < m.Total {
+	if uint64(len(in.data)) < m.SnapshotSize {
 		c.replyAfterSync(m, persimmoncross.Message{
-			Kind:   persimmoncross.MessageChunkReply,
-			Index:  m.Index,
-			Offset: uint64(len(in.data)),
-			Sent:   m.Sent,
+			Kind:           persimmoncross.MessageSnapshotChunkReply,
+			Index:          m.Index,
+			SnapshotOffset: uint64(len(in.data)),
+			SentAt:         m.SentAt,
 		})
 		return
 	}
 	c.installSnapshot(in)
 	c.replyAfterSync(m, persimmoncross.Message{
-		Kind:  persimmoncross.MessageAppendReply,
-		Index: m.Index,
-		Sent:  m.Sent,
+		Kind:   persimmoncross.MessageAppendReply,
+		Index:  m.Index,
+		SentAt: m.SentAt,
 	})
 }
 
 func (c *Core) installSnapshot(in *incomingSnapshot) {
 	c.incomingSnapshot = nil
 	s := persimmoncross.Snapshot{
-		Index: in.index,
-		Term:  in.term,
-		Set:   in.config,
-		Data:  in.data,
+		Index:  in.index,
+		Term:   in.term,
+		Config: in.config,
+		Data:   in.data,
 	}
 	c.snapshotToInstall = &s
 	c.snapshot = s
 	c.log.reset(s.Index, s.Term)
 	c.unsyncedEntries = nil
 	c.previousConfigs = nil
-	c.config = s.Set
+	c.config = s.Config
 	c.configIndex = s.Index
 	c.commitIndex = s.Index
 	c.deliveredIndex = s.Index
@@ -447,9 +447,9 @@
 
 func (c *Core) onChunkReply(m persimmoncross.Message) {
 	p := c.recordReply(m)
-	if p == nil || p.snapshotIndex != m.Index || m.Offset > uint64(len(c.snapshot.Data)) {
+	if p == nil || p.snapshotIndex != m.Index || m.SnapshotOffset > uint64(len(c.snapshot.Data)) {
 		return
 	}
-	p.snapshotOffset = m.Offset
+	p.snapshotOffset = m.SnapshotOffset
 	c.sendSnapshotChunk(m.From, p)
 }
--- a/core/coordination/consensus/safety_test.go
+++ b/core/coordination/consensus/safety_test.go
@@ -18,19 +18,19 @@
 // snapshot, which nobody knows to be committed.
 func newThreeVoterCore(now time.Time) *Core {
 	c := &Core{
-		Group:     "g",
-		ID:        selfID,
-		VM:        "vm1",
-		Heartbeat: 100 * time.Millisecond,
-		Election:  500 * time.Millisecond,
-		Random:    rand.New(rand.NewPCG(1, 2)),
+		Group:             "g",
+		ID:                selfID,
+		VM:                "vm1",
+		HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout:   500 * time.Millisecond,
+		Random:            rand.New(rand.NewPCG(1, 2)),
 	}
 	c.Start(now, persimmoncross.HardState{
 		Term: 2,
 	}, persimmoncross.Snapshot{
 		Index: 1,
 		Term:  1,
-		Set: persimmoncross.Config{
+		Config: persimmoncross.Config{
 			Voters: []persimmoncross.Member{
 				{
 					ID: selfID,
@@ -61,7 +61,7 @@
 	t.Helper()
 	c.Tick(now)
 	for _, kind := range []persimmoncross.MessageKind{persimmoncross.MessagePreVoteReply, persimmoncross.MessageVoteReply} {
-		c.Take()
+		c.TakeActions()
 		c.Step(now, persimmoncross.Message{
 			Group: "g",
 			Kind:  kind,
@@ -83,8 +83,8 @@
 	c := newThreeVoterCore(now)
 	now = now.Add(2 * time.Second)
 	electLeader(t, c, now)
-	c.Take()
-	c.Synced(3)
+	c.TakeActions()
+	c.MarkSynced(3)
 	reply := persimmoncross.Message{
 		Group: "g",
 		Kind:  persimmoncross.MessageAppendReply,
@@ -94,13 +94,13 @@
 		Index: 2,
 	}
 	c.Step(now, reply)
-	if c.Commit() != 1 {
-		t.Fatalf("committed %d: an entry of term 2, by its copies alone, in term 3", c.Commit())
+	if c.CommitIndex() != 1 {
+		t.Fatalf("committed %d: an entry of term 2, by its copies alone, in term 3", c.CommitIndex())
 	}
 	reply.Index = 3
 	c.Step(now, reply)
-	if c.Commit() != 3 {
-		t.Errorf("committed %d, want 3: the leader's own entry carries the older one", c.Commit())
+	if c.CommitIndex() != 3 {
+		t.Errorf("committed %d, want 3: the leader's own entry carries the older one", c.CommitIndex())
 	}
 }
 
@@ -145,19 +145,19 @@
 				Kind:    persimmoncross.MessageVote,
 				From:    secondID,
 				To:      selfID,
-				VM:      "vm2",
+				FromVM:  "vm2",
 				Term:    5,
 				Index:   tt.index,
 				LogTerm: tt.logTerm,
 			})
-			a := c.Take()
-			if len(a.Messages) != 1 || a.Messages[0].Kind != persimmoncross.MessageVoteReply {
-				t.Fatalf("messages %+v", a.Messages)
+			a := c.TakeActions()
+			if len(a.MessagesAfterSync) != 1 || a.MessagesAfterSync[0].Kind != persimmoncross.MessageVoteReply {
+				t.Fatalf("messages %+v", a.MessagesAfterSync)
 			}
-			if granted := !a.Messages[0].Reject; granted != tt.granted {
+			if granted := !a.MessagesAfterSync[0].Reject; granted != tt.granted {
 				t.Errorf("granted %v, want %v", granted, tt.granted)
 			}
-			if tt.granted && (a.Hard == nil || a.Hard.Vote != secondID) {
+			if tt.granted && (a.HardState == nil || a.HardState.Vote != secondID) {
 				t.Error("the vote is not kept before it is told")
 			}
 		})
@@ -174,13 +174,13 @@
 		c.Start(now, persimmoncross.HardState{
 			Term: 2,
 		}, c.snapshot, nil)
-		c.Tick(now.Add(c.Heartbeat - time.Millisecond))
+		c.Tick(now.Add(c.HeartbeatInterval - time.Millisecond))
 		if c.Role() != Follower {
 			t.Fatal("a member stands before a leader could be heard")
 		}
-		c.Tick(now.Add(c.Heartbeat + c.Election/2 + time.Millisecond))
+		c.Tick(now.Add(c.HeartbeatInterval + c.ElectionTimeout/2 + time.Millisecond))
 		if c.Role() != PreCandidate {
-			t.Fatalf("a member waits for longer than %v", c.Heartbeat+c.Election/2)
+			t.Fatalf("a member waits for longer than %v", c.HeartbeatInterval+c.ElectionTimeout/2)
 		}
 	}
 }
--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -16,7 +16,7 @@
 
 // responseWriter takes the answer of a step.
 type responseWriter interface {
-	start(h persimmoncross.Head) error
+	start(h persimmoncross.ResponseHead) error
 	write(chunk []byte) error
 	// committed reports whether a part went where it can't be taken back.
 	committed() bool
@@ -26,7 +26,7 @@
 var errCallerGone = errors.New("dispatch: the caller is gone")
 
 // runStep runs one runStep until one attempt succeeds or none may follow.
-func (r *execution) runStep(ctx context.Context, step, version persimmoncross.Version, out responseWriter) *persimmoncross.Refusal {
+func (r *execution) runStep(ctx context.Context, step, version persimmoncross.ModelVersion, out responseWriter) *persimmoncross.Refusal {
 	d, w := r.dispatcher, r.request
 	for try := range w.maxAttempts() {
 		s := d.Settings()
@@ -40,14 +40,14 @@
 			}
 			version = moved
 		}
-		c := r.addIsolation(routing.Choice{
-			Version: version,
-			Prompt:  w.Body,
-			Tried:   r.triedUpstreams,
+		c := r.addIsolation(routing.PickInfo{
+			Version:        version,
+			Prompt:         w.Body,
+			TriedUpstreams: r.triedUpstreams,
 		})
 		u := d.Table.Pick(c)
 		if u == nil {
-			return r.refuse(persimmoncross.CodeNoUpstream, "no engine can take %s now", version).After(r.retryAfter(c))
+			return r.refuse(persimmoncross.CodeNoUpstream, "no engine can take %s now", version).WithRetryAfter(r.retryAfter(c))
 		}
 		err := r.attempt(ctx, u, version, out)
 		if err == nil {
@@ -57,7 +57,7 @@
 			return refusal
 		}
 	}
-	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(upstreamRetryAfter)
+	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").WithRetryAfter(upstreamRetryAfter)
 }
 
 // callService runs a plain callService's call.
@@ -68,17 +68,17 @@
 			return refusal
 		}
 		if refusal := d.checkServicePermission(w); refusal != nil {
-			return refusal.WithRun(r.runStatus)
+			return refusal.WithRunStatus(r.runStatus)
 		}
-		c := r.addIsolation(routing.Choice{
-			Service: w.Service.Upstreams,
-			Tried:   r.triedUpstreams,
+		c := r.addIsolation(routing.PickInfo{
+			ServiceUpstreams: w.Service.Upstreams,
+			TriedUpstreams:   r.triedUpstreams,
 		})
 		u := d.Table.Pick(c)
 		if u == nil {
-			return r.refuse(persimmoncross.CodeNoUpstream, "no process of %s can take a call now", w.Service.Name).After(r.retryAfter(c))
+			return r.refuse(persimmoncross.CodeNoUpstream, "no process of %s can take a call now", w.Service.Name).WithRetryAfter(r.retryAfter(c))
 		}
-		err := r.attempt(ctx, u, persimmoncross.Version{}, r)
+		err := r.attempt(ctx, u, persimmoncross.ModelVersion{}, r)
 		if err == nil {
 			return nil
 		}
@@ -86,12 +86,12 @@
 			return refusal
 		}
 	}
-	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").After(upstreamRetryAfter)
+	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").WithRetryAfter(upstreamRetryAfter)
 }
 
 // retryAfter returns when a caller should come back for whom there is no upstream.
-func (r *execution) retryAfter(c routing.Choice) time.Duration {
-	wait := r.dispatcher.Table.AvailableIn(c)
+func (r *execution) retryAfter(c routing.PickInfo) time.Duration {
+	wait := r.dispatcher.Table.MinBackoffRemaining(c)
 	if wait > 0 {
 		r.dispatcher.count("refused.backoff")
 	}
@@ -101,10 +101,10 @@
 // checkBeforeAttempt checks what must hold right before an attempt starts.
 func (r *execution) checkBeforeAttempt(ctx context.Context, try int) *persimmoncross.Refusal {
 	if ctx.Err() != nil {
-		return r.refuse(persimmoncross.CodeDeadline, "the time is up")
+		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the time is up")
 	}
-	if refusal := r.dispatcher.Gate.Lease(); refusal != nil {
-		return refusal.WithRun(r.runStatus)
+	if refusal := r.dispatcher.Admitter.CheckLease(); refusal != nil {
+		return refusal.WithRunStatus(r.runStatus)
 	}
 	if refusal := r.checkQuarantine(); refusal != nil {
 		return refusal
@@ -112,7 +112,7 @@
 	if try > 0 {
 		if !r.dispatcher.takeRetry() {
 			r.dispatcher.count("retry.refused")
-			return r.refuse(persimmoncross.CodeUpstreamFailed, "the retry budget is spent").After(upstreamRetryAfter)
+			return r.refuse(persimmoncross.CodeUpstreamFailed, "the retry budget is spent").WithRetryAfter(upstreamRetryAfter)
 		}
 		r.dispatcher.count("retried")
 	}
@@ -122,13 +122,13 @@
 // checkAfterFailure decides after a failed attempt: nil means that another may follow.
 func (r *execution) checkAfterFailure(ctx context.Context, err error, out responseWriter) *persimmoncross.Refusal {
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
-		return r.refuse(persimmoncross.CodeDeadline, "the time is up, or the caller is gone")
+		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the time is up, or the caller is gone")
 	}
 	var a *persimmoncross.AttemptError
 	if !errors.As(err, &a) {
 		a = &persimmoncross.AttemptError{
 			Reason: "internal",
-			Run:    persimmoncross.Unknown,
+			Run:    persimmoncross.RunUnknown,
 			Detail: err.Error(),
 		}
 	}
@@ -136,9 +136,9 @@
 	switch {
 	case out.committed():
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "the answer broke off: %s", a.Reason)
-	case a.Client:
+	case a.ClientFault:
 		return r.refuse(persimmoncross.CodeBodyMalformed, "the engine refused the request: %s", a.Detail)
-	case r.request.Once && a.Run != persimmoncross.NotRun:
+	case r.request.AtMostOnce && a.Run != persimmoncross.NotRun:
 		return r.refuse(persimmoncross.CodeOutcomeUnknown, "the attempt failed (%s) and may not be repeated", a.Reason)
 	}
 	return nil
@@ -146,15 +146,15 @@
 
 // refuse returns a refusal with what is known of the request's runs.
 func (r *execution) refuse(code persimmoncross.Code, format string, args ...any) *persimmoncross.Refusal {
-	return persimmoncross.Refuse(code, format, args...).WithRun(r.runStatus)
+	return persimmoncross.NewRefusal(code, format, args...).WithRunStatus(r.runStatus)
 }
 
 // replaceVersion finds another version when the one chosen may not run any more.
-func (r *execution) replaceVersion(ctx context.Context, step, version persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
+func (r *execution) replaceVersion(ctx context.Context, step, version persimmoncross.ModelVersion) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	s := r.dispatcher.Settings()
 	pin, replacement, ok := r.dispatcher.choosePin(s, r.request, step)
 	if !ok {
-		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRun(r.runStatus)
+		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRunStatus(r.runStatus)
 	}
 	if pin == nil {
 		return replacement, nil
@@ -166,13 +166,13 @@
 }
 
 // attempt sends the request to one upstream and passes its answer on.
-func (r *execution) attempt(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, out responseWriter) error {
+func (r *execution) attempt(ctx context.Context, u *routing.Upstream, v persimmoncross.ModelVersion, out responseWriter) error {
 	d, w := r.dispatcher, r.request
 	r.triedUpstreams[u.Name] = true
 	r.timeToFirstToken = 0
 	a := r.newAttempt(u, v)
 	startedAt := d.Clock.Now()
-	endAttempt := u.Begin(startedAt, v, w.Body)
+	endAttempt := u.BeginAttempt(startedAt, v, w.Body)
 	defer endAttempt()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -180,10 +180,10 @@
 	defer stallWatchdog.stop()
 	d.count("attempts")
 	d.Log.Debug().Str("request", w.ID).Str("attempt", a.ID).Str("upstream", u.Name).Str("organisation", a.Organisation).Str("version", v.String()).Uint64("revision", d.Settings().Revision).Msg("attempt")
-	quarantineRun := r.copy.Begin(u.Life(), startedAt)
-	response, err := d.Upstreams.Begin(ctx, u.Address, a)
+	quarantineRun := r.copy.BeginRun(u.InstanceID(), startedAt)
+	response, err := d.UpstreamClient.Begin(ctx, u.Address, a)
 	if err == nil {
-		quarantineRun.Begun(d.Clock.Now())
+		quarantineRun.MarkStarted(d.Clock.Now())
 		r.runStatus = persimmoncross.Ran
 		err = r.copyResponse(ctx, u, a, response, out, startedAt, stallWatchdog)
 	} else {
@@ -194,22 +194,22 @@
 	return err
 }
 
-func (r *execution) newAttempt(u *routing.Upstream, v persimmoncross.Version) persimmoncross.Attempt {
+func (r *execution) newAttempt(u *routing.Upstream, v persimmoncross.ModelVersion) persimmoncross.Attempt {
 	w := r.request
 	return persimmoncross.Attempt{
-		ID:           r.newAttemptID(),
-		Request:      w.ID,
-		Key:          w.Key,
-		Organisation: w.Organisation.Name,
-		Version:      v,
-		Priority:     w.Organisation.Priority,
-		Stream:       w.Stream,
-		Blind:        u.Blind(),
-		Once:         w.Once,
-		Method:       w.Method,
-		Path:         w.Path,
-		Header:       w.Header,
-		Body:         w.Body,
+		ID:             r.newAttemptID(),
+		RequestID:      w.ID,
+		IdempotencyKey: w.IdempotencyKey,
+		Organisation:   w.Organisation.Name,
+		Version:        v,
+		Priority:       w.Organisation.Priority,
+		Stream:         w.Stream,
+		OmitsAttemptID: u.OmitsAttemptID(),
+		AtMostOnce:     w.AtMostOnce,
+		Method:         w.Method,
+		Path:           w.Path,
+		Header:         w.Header,
+		Body:           w.Body,
 	}
 }
 
@@ -219,19 +219,19 @@
 		r.runStatus = strongerRunStatus(r.runStatus, a.Run)
 		return
 	}
-	r.runStatus = strongerRunStatus(r.runStatus, persimmoncross.Unknown)
+	r.runStatus = strongerRunStatus(r.runStatus, persimmoncross.RunUnknown)
 }
 
 // copyResponse copies the answer's chunks to the writer. A stream that breaks is
 // resumed by its engine; another engine's answer never continues it.
-func (r *execution) copyResponse(ctx context.Context, u *routing.Upstream, a persimmoncross.Attempt, response persimmoncross.Answer, out responseWriter, startedAt time.Time, stallWatchdog *watchdog) error {
+func (r *execution) copyResponse(ctx context.Context, u *routing.Upstream, a persimmoncross.Attempt, response persimmoncross.Response, out responseWriter, startedAt time.Time, stallWatchdog *watchdog) error {
 	defer func() { response.Close() }()
 	head := response.Head()
 	head.Version = a.Version
-	head.Attempt = a.ID
+	head.AttemptID = a.ID
 	chunks, resumes := 0, 0
 	for {
-		chunk, err := response.Next()
+		chunk, err := response.NextChunk()
 		stallWatchdog.recordActivity()
 		if err == io.EOF {
 			break
@@ -242,7 +242,7 @@
 				return err
 			}
 			resumes++
-			resumed, failed := r.dispatcher.Upstreams.Resume(ctx, u.Address, a, chunks)
+			resumed, failed := r.dispatcher.UpstreamClient.Resume(ctx, u.Address, a, chunks)
 			if failed != nil {
 				return err
 			}
@@ -266,7 +266,7 @@
 	if chunks == 0 && out.start(head) != nil {
 		return errCallerGone
 	}
-	u.Took(r.dispatcher.Clock.Now().Sub(startedAt))
+	u.RecordDuration(r.dispatcher.Clock.Now().Sub(startedAt))
 	r.billingLines = append(r.billingLines, newBillingLine(a, u, response.Usage()))
 	r.partialLine = nil
 	return nil
@@ -293,20 +293,20 @@
 
 // recordOutcome tells the upstream's history and the version's evidence the outcome.
 // A caller who leaves, and a request at fault, say nothing of either.
-func (r *execution) recordOutcome(ctx context.Context, u *routing.Upstream, v persimmoncross.Version, err error) {
+func (r *execution) recordOutcome(ctx context.Context, u *routing.Upstream, v persimmoncross.ModelVersion, err error) {
 	var a *persimmoncross.AttemptError
-	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.Client
+	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.ClientFault
 	if ignored || err != nil && errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) != errStalled {
-		u.Breaker(v).Forget()
+		u.Breaker(v).Abandon()
 		return
 	}
-	u.Breaker(v).Note(err != nil)
+	u.Breaker(v).RecordResult(err != nil)
 	if a != nil && a.RetryAfter > 0 {
 		r.dispatcher.count("backoff")
-		u.BackOff(r.dispatcher.Clock.Now().Add(a.RetryAfter))
+		u.SetBackoff(r.dispatcher.Clock.Now().Add(a.RetryAfter))
 	}
-	if v.Model == "" || a != nil && (a.Busy || a.Run == persimmoncross.NotRun) {
+	if v.Model == "" || a != nil && (a.Overloaded || a.Run == persimmoncross.NotRun) {
 		return // the engine's fault, not the version's
 	}
-	r.dispatcher.Evidence.Note(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
+	r.dispatcher.RolloutEvidence.Note(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
 }
--- a/core/coordination/dispatch/cascade.go
+++ b/core/coordination/dispatch/cascade.go
@@ -43,7 +43,7 @@
 		refusal = r.runStep(ctx, step, version, buffered)
 		r.recordStepDuration(step, stepStart)
 		if refusal != nil {
-			if r.request.Once || ctx.Err() != nil {
+			if r.request.AtMostOnce || ctx.Err() != nil {
 				return refusal
 			}
 			r.dispatcher.count("cascade.step.failed")
@@ -59,7 +59,7 @@
 }
 
 // chooseFirstStep chooses the step to start with.
-func (d *Dispatcher) chooseFirstStep(s *settings.Snapshot, w *Work, steps []persimmoncross.Version) int {
+func (d *Dispatcher) chooseFirstStep(s *settings.Snapshot, w *Request, steps []persimmoncross.ModelVersion) int {
 	if len(steps) == 1 || d.Rater == nil {
 		return 0
 	}
@@ -70,26 +70,26 @@
 			Price: s.File.Models[step.Model].Price,
 		}
 	}
-	first := d.Cascades.Start(w.Organisation.Name, cascade.Kind(len(w.Body)), list, w.Deadline.Sub(d.Clock.Now()))
+	first := d.CascadeEstimator.FirstStep(w.Organisation.Name, cascade.SizeClass(len(w.Body)), list, w.Deadline.Sub(d.Clock.Now()))
 	if first > 0 {
 		d.count("cascade.skipped")
 	}
 	return first
 }
 
-func (r *execution) recordStepDuration(step persimmoncross.Version, startedAt time.Time) {
-	r.dispatcher.Cascades.Took(step.Model, r.dispatcher.Clock.Now().Sub(startedAt))
+func (r *execution) recordStepDuration(step persimmoncross.ModelVersion, startedAt time.Time) {
+	r.dispatcher.CascadeEstimator.RecordDuration(step.Model, r.dispatcher.Clock.Now().Sub(startedAt))
 }
 
 // versionForStep returns the version of a step; the session is pinned for it.
-func (o *claimedExecution) versionForStep(ctx context.Context, i int, step persimmoncross.Version) (persimmoncross.Version, *persimmoncross.Refusal) {
+func (o *claimedExecution) versionForStep(ctx context.Context, i int, step persimmoncross.ModelVersion) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	if i == o.firstStep {
 		return o.firstVersion, nil
 	}
 	r := o.execution
 	pin, version, ok := r.dispatcher.choosePin(r.dispatcher.Settings(), r.request, step)
 	if !ok {
-		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRun(r.runStatus)
+		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRunStatus(r.runStatus)
 	}
 	if pin == nil {
 		return version, nil
@@ -97,13 +97,13 @@
 	r.pins = append(r.pins, pin)
 	version, refusal := r.dispatcher.commitPin(ctx, r.request, pin)
 	if refusal != nil {
-		return version, refusal.WithRun(r.runStatus)
+		return version, refusal.WithRunStatus(r.runStatus)
 	}
 	return version, nil
 }
 
 func (r *execution) qualityThreshold() float64 {
-	c := r.dispatcher.Settings().File.Cascades[r.request.Name]
+	c := r.dispatcher.Settings().File.Cascades[r.request.TargetName]
 	if c != nil && c.Quality != nil {
 		return *c.Quality
 	}
@@ -122,24 +122,24 @@
 	rating, err := d.Rater.Rate(ctx, r.request.Body, buffered.bytes(), buffered.head.Version)
 	if err != nil {
 		d.count("cascade.unrated")
-		d.Cascades.Unrated()
+		d.CascadeEstimator.RecordRaterFailure()
 		return false
 	}
 	r.alreadyRated = true
-	d.Evidence.Rated(buffered.head.Version, r.request.Organisation.Name, rating < quality)
+	d.RolloutEvidence.Rated(buffered.head.Version, r.request.Organisation.Name, rating < quality)
 	good := rating >= quality
-	d.Cascades.Rated(r.request.Organisation.Name, cascade.Kind(len(r.request.Body)), buffered.head.Version.Model, good)
+	d.CascadeEstimator.RecordRating(r.request.Organisation.Name, cascade.SizeClass(len(r.request.Body)), buffered.head.Version.Model, good)
 	return good
 }
 
 // bufferedResponse is a writer that keeps the answer until it is released.
 type bufferedResponse struct {
-	head   persimmoncross.Head
+	head   persimmoncross.ResponseHead
 	chunks [][]byte
 	size   int
 }
 
-func (h *bufferedResponse) start(head persimmoncross.Head) error {
+func (h *bufferedResponse) start(head persimmoncross.ResponseHead) error {
 	h.head = head
 	h.chunks = nil // a retry starts over
 	h.size = 0
@@ -167,11 +167,11 @@
 
 func (h *bufferedResponse) sendTo(r *execution) *persimmoncross.Refusal {
 	if r.start(h.head) != nil {
-		return r.refuse(persimmoncross.CodeDeadline, "the caller is gone")
+		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the caller is gone")
 	}
 	for _, c := range h.chunks {
 		if r.write(c) != nil {
-			return r.refuse(persimmoncross.CodeDeadline, "the caller is gone")
+			return r.refuse(persimmoncross.CodeDeadlineExceeded, "the caller is gone")
 		}
 	}
 	return nil
--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 		fault  standin.Fault
 		stall  time.Duration
 		code   persimmoncross.Code // "": a whole answer
-		run    persimmoncross.Run
+		run    persimmoncross.RunStatus
 		starts int
 	}{
 		{
@@ -85,7 +85,7 @@
 			e.engines["engine-1"].SetFault(c.fault)
 			w := e.chatRequest("small@1", tokens)
 			if c.stall > 0 {
-				w.Stall = c.stall
+				w.StallTimeout = c.stall
 			}
 			s := e.serve(w)
 			if n := len(e.startedRuns()); n != c.starts {
@@ -136,10 +136,10 @@
 				Kind: c.kind,
 			})
 			w := e.serviceRequest("POST", "/deposit")
-			w.Key = "d1"
-			w.Stall = 100 * time.Millisecond
+			w.IdempotencyKey = "d1"
+			w.StallTimeout = 100 * time.Millisecond
 			s := e.serve(w)
-			if s.refusal == nil || s.refusal.Code != persimmoncross.CodeOutcomeUnknown || s.refusal.Run != persimmoncross.Unknown {
+			if s.refusal == nil || s.refusal.Code != persimmoncross.CodeOutcomeUnknown || s.refusal.Run != persimmoncross.RunUnknown {
 				t.Errorf("refusal %v", s.refusal)
 			}
 			// The caller asks again, with the fault gone.
@@ -147,7 +147,7 @@
 				Kind: standin.FaultNone,
 			})
 			again := e.serviceRequest("POST", "/deposit")
-			again.Key = "d1"
+			again.IdempotencyKey = "d1"
 			if s := e.serve(again); s.refusal == nil || s.refusal.Run == persimmoncross.NotRun {
 				t.Errorf("resend: refusal %v", s.refusal)
 			}
@@ -183,7 +183,7 @@
 				Kind: standin.FaultHang,
 			})
 			w := e.chatRequest("small@1", 5)
-			w.Stall = 300 * time.Millisecond
+			w.StallTimeout = 300 * time.Millisecond
 			done := make(chan *fakeSink)
 			go func() { done <- e.serve(w) }()
 			for len(e.startedRuns()) == 0 {
@@ -205,7 +205,7 @@
 			Kind: standin.FaultHang,
 		})
 		w := e.serviceRequest("GET", "/items")
-		w.Stall = 300 * time.Millisecond
+		w.StallTimeout = 300 * time.Millisecond
 		done := make(chan *fakeSink)
 		go func() { done <- e.serve(w) }()
 		for len(e.startedRuns()) == 0 {
@@ -255,13 +255,13 @@
 			Kind: standin.FaultHang,
 		})
 		w := e.chatRequest("small", 5)
-		w.Stall = 200 * time.Millisecond
+		w.StallTimeout = 200 * time.Millisecond
 		done := make(chan *fakeSink)
 		go func() { done <- e.serve(w) }()
 		for len(e.startedRuns()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		e.gate.set(nil, persimmoncross.Refuse(persimmoncross.CodeNoLease, "lapsed"))
+		e.gate.set(nil, persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "lapsed"))
 		s := <-done
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeNoLease || s.refusal.Run == persimmoncross.NotRun {
 			t.Errorf("refusal %v", s.refusal)
@@ -332,7 +332,7 @@
 	e.ledger.mu.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go e.dispatcher.RunLate(ctx)
+	go e.dispatcher.RunLateSettlements(ctx)
 	for {
 		if n, _, _ := e.ledger.machine.Sizes(); n == 0 {
 			break
@@ -375,11 +375,11 @@
 	t.Run("with a key", func(t *testing.T) {
 		e := newEnv(t)
 		w := e.chatRequest("small@1", 50)
-		w.Key = "k1"
+		w.IdempotencyKey = "k1"
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		e.dispatcher.Serve(ctx, w, &fakeSink{})
-		for e.dispatcher.Running() > 0 {
+		for e.dispatcher.InFlight() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		again := *w
@@ -397,13 +397,13 @@
 	const tokens = 20_000
 	e := newEnv(t)
 	w := e.chatRequest("small@1", tokens)
-	w.Key = "long"
+	w.IdempotencyKey = "long"
 	late := &fakeSink{}
 	first := &fakeSink{}
 	asked := make(chan struct{})
 	first.onWrite = func() {
 		if len(first.chunks) == tokens-5 {
-			if !e.dispatcher.Follow(t.Context(), "relay", "long", late) {
+			if !e.dispatcher.ServeJoin(t.Context(), "relay", "long", late) {
 				t.Error("the request does not run any more")
 			}
 			close(asked)
@@ -434,8 +434,8 @@
 		Kind: standin.FaultCut,
 	})
 	w := e.serviceRequest("PUT", "/thing")
-	w.Key = "put-1"
-	w.Once = true
+	w.IdempotencyKey = "put-1"
+	w.AtMostOnce = true
 	e.serve(w)
 	n := 0
 	for _, r := range e.service.Book.Runs() {
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -22,40 +22,40 @@
 // settleGracePeriod is how long past its deadline a request may wait for the ledger.
 const settleGracePeriod = 10 * time.Second
 
-// Evidence learns how versions do, and limits new work on those being rolled
+// RolloutEvidence learns how versions do, and limits new work on those being rolled
 // out.
-type Evidence interface {
+type RolloutEvidence interface {
 	// Note takes the outcome of one run and the time to its first token.
-	Note(v persimmoncross.Version, organisation string, failed bool, first time.Duration)
+	Note(v persimmoncross.ModelVersion, organisation string, failed bool, first time.Duration)
 	// Rated takes a rating of one answer that was noted.
-	Rated(v persimmoncross.Version, organisation string, poor bool)
+	Rated(v persimmoncross.ModelVersion, organisation string, poor bool)
 	// Sample asks whether an answer of the version should be rated.
-	Sample(v persimmoncross.Version) bool
+	Sample(v persimmoncross.ModelVersion) bool
 	// Expose asks whether the version may get work that could go elsewhere.
-	Expose(v persimmoncross.Version) bool
+	Expose(v persimmoncross.ModelVersion) bool
 }
 
 // Dispatcher runs requests. The exported fields are set before the first.
 type Dispatcher struct {
-	Owner     string // the VM and its process's incarnation
-	Clock     persimmoncross.Clock
-	Stamp     func() int64 // the fleet's time, in Unix nanoseconds, for the ledger
-	Settings  func() *settings.Snapshot
-	Gate      persimmoncross.Gate
-	Ledger    persimmoncross.Proposer
-	Upstreams persimmoncross.Upstreams
-	Prober    persimmoncross.Prober // nil: nothing is found out of upstreams
-	Book      *quarantine.Book
-	Keeper    *quarantine.Keeper
-	Table     *routing.Table
-	Limits    *limits.Limits
-	Rater     persimmoncross.Rater // nil: cascades take the first answer
-	Joiner    persimmoncross.Joiner
-	Cascades  *cascade.Estimator
-	Evidence  Evidence
-	Metrics   metrics.Registry
-	Log       zerolog.Logger
-	Random    *rand.Rand
+	Owner              string // the VM and its process's incarnation
+	Clock              persimmoncross.Clock
+	FleetTime          func() int64 // the fleet's time, in Unix nanoseconds, for the ledger
+	Settings           func() *settings.Snapshot
+	Admitter           persimmoncross.Admitter
+	Ledger             persimmoncross.Proposer
+	UpstreamClient     persimmoncross.UpstreamClient
+	Prober             persimmoncross.Prober // nil: nothing is found out of upstreams
+	QuarantineRecorder *quarantine.Recorder
+	QuarantineStore    *quarantine.Store
+	Table              *routing.Table
+	Limiter            *limits.Limiter
+	Rater              persimmoncross.Rater // nil: cascades take the first answer
+	Joiner             persimmoncross.Joiner
+	CascadeEstimator   *cascade.Estimator
+	RolloutEvidence    RolloutEvidence
+	Metrics            metrics.Registry
+	Log                zerolog.Logger
+	Random             *rand.Rand
 
 	sharedResponses sharedResponses
 	ratingQueue     chan ratingRequest // answers that wait for the rater
@@ -64,7 +64,7 @@
 
 	mu          sync.Mutex // guards Random and all below
 	inFlight    int
-	retryBudget retry.Window
+	retryBudget retry.Budget
 }
 
 // Of the retries that all organisations' requests share.
@@ -77,34 +77,34 @@
 func (d *Dispatcher) creditRetryBudget(o *settings.Organisation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.retryBudgetLocked().Request(o.Retries, d.Clock.Now())
+	d.retryBudgetLocked().RecordRequest(o.Retries, d.Clock.Now())
 }
 
 // takeRetry takes a retry out, and reports whether there was one.
 func (d *Dispatcher) takeRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.retryBudgetLocked().Retry(d.Clock.Now())
+	return d.retryBudgetLocked().TryRetry(d.Clock.Now())
 }
 
 // retryBudgetLocked returns the retries' retryBudgetLocked. The caller holds mu.
-func (d *Dispatcher) retryBudgetLocked() *retry.Window {
-	d.retryBudget.Length = retryBudgetWindow
-	d.retryBudget.Floor = minRetriesPerWindow
+func (d *Dispatcher) retryBudgetLocked() *retry.Budget {
+	d.retryBudget.Window = retryBudgetWindow
+	d.retryBudget.MinAllowance = minRetriesPerWindow
 	return &d.retryBudget
 }
 
 // Serve runs the request and hands its answer, or its refusal, to the sink.
-func (d *Dispatcher) Serve(ctx context.Context, w *Work, sink persimmoncross.Sink) {
+func (d *Dispatcher) Serve(ctx context.Context, w *Request, sink persimmoncross.ResponseSink) {
 	d.count("requests")
 	d.addInFlight(1)
 	defer d.addInFlight(-1)
 	countedSink := &countingSink{
-		Sink:       sink,
-		dispatcher: d,
-		request:    w,
+		ResponseSink: sink,
+		dispatcher:   d,
+		request:      w,
 	}
-	if refusal := d.Gate.Admit(); refusal != nil {
+	if refusal := d.Admitter.Admit(); refusal != nil {
 		countedSink.End(refusal)
 		return
 	}
@@ -112,8 +112,8 @@
 		countedSink.End(refusal)
 		return
 	}
-	release, refusal := d.Limits.Enter(w.Organisation.Name, limits.Bounds{
-		Pool:        w.Name,
+	release, refusal := d.Limiter.Admit(w.Organisation.Name, limits.Quota{
+		PoolName:    w.TargetName,
 		Capacity:    d.capacity(w),
 		Rate:        w.Organisation.Rate,
 		Burst:       w.Organisation.Burst,
@@ -125,7 +125,7 @@
 	}
 	defer release()
 	d.creditRetryBudget(w.Organisation)
-	if w.Key != "" {
+	if w.IdempotencyKey != "" {
 		d.serveKeyed(ctx, w, countedSink)
 		return
 	}
@@ -136,13 +136,13 @@
 
 // capacity returns how many requests the upstreams that the request may use
 // serve at once.
-func (d *Dispatcher) capacity(w *Work) int {
+func (d *Dispatcher) capacity(w *Request) int {
 	if w.Service != nil {
 		return 0 // a plain service's limits are its own
 	}
 	s := d.Settings()
-	var versions []persimmoncross.Version
-	for _, step := range s.Steps(w.Name) {
+	var versions []persimmoncross.ModelVersion
+	for _, step := range s.Steps(w.TargetName) {
 		versions = append(versions, permittedVersions(s, w.Organisation.Name, step)...)
 	}
 	return d.Table.Capacity(versions)
@@ -151,10 +151,10 @@
 // serveKeyed runs the request apart from its caller, who may lose the
 // connection and ask again: the run goes on, and every caller with the same
 // key gets the same recording.
-func (d *Dispatcher) serveKeyed(ctx context.Context, w *Work, sink persimmoncross.Sink) {
+func (d *Dispatcher) serveKeyed(ctx context.Context, w *Request, sink persimmoncross.ResponseSink) {
 	response, created := d.sharedResponses.getOrCreate(w)
 	if response == nil {
-		sink.End(persimmoncross.Refuse(persimmoncross.CodeKeyReused, "the key was used for another request"))
+		sink.End(persimmoncross.NewRefusal(persimmoncross.CodeKeyReused, "the key was used for another request"))
 		return
 	}
 	if created {
@@ -176,8 +176,8 @@
 	d.lateSettlements = make(chan *record.Settle, maxLateSettlements)
 }
 
-// Running returns the number of requests being served or run.
-func (d *Dispatcher) Running() int {
+// InFlight returns the number of requests being served or run.
+func (d *Dispatcher) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.inFlight
@@ -189,9 +189,9 @@
 	d.inFlight += n
 }
 
-// Follow copies the answer of a request that runs here, for another VM's
+// ServeJoin copies the answer of a request that runs here, for another VM's
 // caller. It returns false if the request doesn't run here.
-func (d *Dispatcher) Follow(ctx context.Context, organisation, key string, sink persimmoncross.Sink) bool {
+func (d *Dispatcher) ServeJoin(ctx context.Context, organisation, key string, sink persimmoncross.ResponseSink) bool {
 	response := d.sharedResponses.find(organisation, key)
 	if response == nil {
 		return false
@@ -208,19 +208,19 @@
 
 // countingSink counts and logs what becomes of each request.
 type countingSink struct {
-	persimmoncross.Sink
+	persimmoncross.ResponseSink
 	dispatcher *Dispatcher
-	request    *Work
-	head       persimmoncross.Head
+	request    *Request
+	head       persimmoncross.ResponseHead
 }
 
-// Start implements [persimmoncross.Sink].
-func (s *countingSink) Start(h persimmoncross.Head) error {
+// Start implements [persimmoncross.ResponseSink].
+func (s *countingSink) Start(h persimmoncross.ResponseHead) error {
 	s.head = h
-	return s.Sink.Start(h)
+	return s.ResponseSink.Start(h)
 }
 
-// End implements [persimmoncross.Sink].
+// End implements [persimmoncross.ResponseSink].
 func (s *countingSink) End(r *persimmoncross.Refusal) {
 	d := s.dispatcher
 	line := d.Log.Info()
@@ -232,10 +232,10 @@
 	}
 	line.Str("request", s.request.ID).
 		Str("organisation", s.request.Organisation.Name).
-		Str("name", s.request.Name).
-		Str("attempt", s.head.Attempt).
+		Str("name", s.request.TargetName).
+		Str("attempt", s.head.AttemptID).
 		Str("version", s.head.Version.String()).
 		Uint64("revision", d.Settings().Revision).
 		Msg("request ended")
-	s.Sink.End(r)
+	s.ResponseSink.End(r)
 }
--- a/core/coordination/dispatch/env_test.go
+++ b/core/coordination/dispatch/env_test.go
@@ -98,7 +98,7 @@
 	return g.lease
 }
 
-func (g *fakeGate) Lease() *persimmoncross.Refusal {
+func (g *fakeGate) CheckLease() *persimmoncross.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease
@@ -112,7 +112,7 @@
 	onRate      func() // called at each rating; may be nil
 }
 
-func (r *fakeRater) Rate(_ context.Context, _, _ []byte, v persimmoncross.Version) (float64, error) {
+func (r *fakeRater) Rate(_ context.Context, _, _ []byte, v persimmoncross.ModelVersion) (float64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.onRate != nil {
@@ -127,14 +127,14 @@
 // failingJoiner stands for an owner that is gone.
 type failingJoiner struct{}
 
-func (failingJoiner) Join(context.Context, string, string, string, persimmoncross.Sink) error {
+func (failingJoiner) Join(context.Context, string, string, string, persimmoncross.ResponseSink) error {
 	return errors.New("gone")
 }
 
 // firstCandidate places at the first candidate, so that tests know which.
 type firstCandidate struct{}
 
-func (firstCandidate) Place([]persimmoncross.Candidate, int) int { return 0 }
+func (firstCandidate) Pick([]persimmoncross.Candidate, int) int { return 0 }
 
 const envSettings = `{
   "models": {
@@ -184,31 +184,31 @@
 	e.addServer("stock-1", httptest.NewServer(e.service.Handler()))
 	clock := persimmoncross.SystemClock{}
 	table := &routing.Table{
-		Clock:   clock,
-		Placer:  firstCandidate{},
-		Entries: func() int { return 1 },
+		Clock:       clock,
+		Picker:      firstCandidate{},
+		LiveEntries: func() int { return 1 },
 	}
 	e.state.Observe = table.Update
 	client := engine.NewClient()
 	e.dispatcher = &dispatch.Dispatcher{
-		Book:      &quarantine.Book{},
-		Keeper:    &quarantine.Keeper{},
-		Owner:     "vm-a#1",
-		Clock:     clock,
-		Stamp:     func() int64 { return clock.Now().UnixNano() },
-		Settings:  e.state.Current,
-		Gate:      e.gate,
-		Ledger:    e.ledger,
-		Upstreams: client,
-		Table:     table,
-		Limits: &limits.Limits{
-			Clock:   clock,
-			Entries: func() int { return 1 },
+		QuarantineRecorder: &quarantine.Recorder{},
+		QuarantineStore:    &quarantine.Store{},
+		Owner:              "vm-a#1",
+		Clock:              clock,
+		FleetTime:          func() int64 { return clock.Now().UnixNano() },
+		Settings:           e.state.Current,
+		Admitter:           e.gate,
+		Ledger:             e.ledger,
+		UpstreamClient:     client,
+		Table:              table,
+		Limiter: &limits.Limiter{
+			Clock:       clock,
+			LiveEntries: func() int { return 1 },
 		},
-		Rater:    e.rater,
-		Joiner:   failingJoiner{},
-		Cascades: &cascade.Estimator{},
-		Evidence: &rollout.Evidence{
+		Rater:            e.rater,
+		Joiner:           failingJoiner{},
+		CascadeEstimator: &cascade.Estimator{},
+		RolloutEvidence: &rollout.Collector{
 			Clock: clock,
 		},
 		Metrics: metrics.NewRegistry(),
@@ -260,38 +260,38 @@
 }
 
 // chatRequest returns a chatRequest request.
-func (e *testEnv) chatRequest(model string, tokens int) *dispatch.Work {
+func (e *testEnv) chatRequest(model string, tokens int) *dispatch.Request {
 	o, ok := e.state.Current().Organisation("k")
 	if !ok {
 		e.t.Fatal("no organisation")
 	}
 	e.sequence++
-	return &dispatch.Work{
+	return &dispatch.Request{
 		ID:           fmt.Sprintf("request-%d", e.sequence),
 		Organisation: o,
-		Name:         model,
+		TargetName:   model,
 		Stream:       true,
 		Deadline:     time.Now().Add(20 * time.Second),
-		Stall:        10 * time.Second,
+		StallTimeout: 10 * time.Second,
 		Body:         fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"q"}]}`, model, tokens),
 	}
 }
 
 // serviceRequest returns a plain service's serviceRequest.
-func (e *testEnv) serviceRequest(method, path string) *dispatch.Work {
+func (e *testEnv) serviceRequest(method, path string) *dispatch.Request {
 	w := e.chatRequest("stock", 0)
 	w.Stream = false
 	w.Service = e.state.Current().Services["stock"]
 	w.Method = method
 	w.Path = path
-	w.Once = w.Service.OnceOnly(method, path)
+	w.AtMostOnce = w.Service.OnceOnly(method, path)
 	w.Body = []byte("{}")
 	return w
 }
 
 // fakeSink keeps what a caller would get.
 type fakeSink struct {
-	head        persimmoncross.Head
+	head        persimmoncross.ResponseHead
 	chunks      []string
 	ends        int
 	refusal     *persimmoncross.Refusal
@@ -299,7 +299,7 @@
 	onWrite     func() // called at each chunk; may be nil
 }
 
-func (s *fakeSink) Start(h persimmoncross.Head) error {
+func (s *fakeSink) Start(h persimmoncross.ResponseHead) error {
 	s.head = h
 	return nil
 }
@@ -342,7 +342,7 @@
 }
 
 // serve runs the request to its end.
-func (e *testEnv) serve(w *dispatch.Work) *fakeSink {
+func (e *testEnv) serve(w *dispatch.Request) *fakeSink {
 	s := &fakeSink{}
 	e.dispatcher.Serve(e.t.Context(), w, s)
 	if s.ends != 1 {
@@ -364,9 +364,9 @@
 func (e *testEnv) settledRequests() []*record.Request { return e.ledger.machine.Bills(0, 1000) }
 
 // quotaOf returns the organisation's bounds, for a test that uses them up.
-func quotaOf(e *testEnv) limits.Bounds {
+func quotaOf(e *testEnv) limits.Quota {
 	o, _ := e.state.Current().Organisation("k")
-	return limits.Bounds{
+	return limits.Quota{
 		Rate:        o.Rate,
 		Burst:       o.Burst,
 		Concurrency: o.Concurrency,
--- a/core/coordination/dispatch/pins.go
+++ b/core/coordination/dispatch/pins.go
@@ -22,18 +22,18 @@
 }
 
 type cachedPin struct {
-	version   persimmoncross.Version
+	version   persimmoncross.ModelVersion
 	expiresAt time.Time
 }
 
-func (c *pinCache) get(k [3]string, now time.Time) (persimmoncross.Version, bool) {
+func (c *pinCache) get(k [3]string, now time.Time) (persimmoncross.ModelVersion, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.pins[k]
 	return p.version, ok && now.Before(p.expiresAt)
 }
 
-func (c *pinCache) put(k [3]string, v persimmoncross.Version, until time.Time) {
+func (c *pinCache) put(k [3]string, v persimmoncross.ModelVersion, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pins == nil || len(c.pins) >= maxCachedPins {
@@ -45,15 +45,15 @@
 	}
 }
 
-func pinKey(w *Work, model string) [3]string {
-	return [3]string{w.Organisation.Name, w.Session, model}
+func pinKey(w *Request, model string) [3]string {
+	return [3]string{w.Organisation.Name, w.SessionID, model}
 }
 
 // choosePin returns the command that pins the session for the step, nil if the
 // request has no session or its pin is known and still permitted.
-func (d *Dispatcher) choosePin(s *settings.Snapshot, w *Work, step persimmoncross.Version) (*record.Pin, persimmoncross.Version, bool) {
+func (d *Dispatcher) choosePin(s *settings.Snapshot, w *Request, step persimmoncross.ModelVersion) (*record.Pin, persimmoncross.ModelVersion, bool) {
 	proposed, ok := d.pickVersion(s, w.Organisation.Name, step)
-	if !ok || w.Session == "" || step.Pinned() {
+	if !ok || w.SessionID == "" || step.Pinned() {
 		return nil, proposed, ok
 	}
 	known, cached := d.pinnedVersions.get(pinKey(w, step.Model), d.Clock.Now())
@@ -67,24 +67,24 @@
 	return p, proposed, true
 }
 
-func (d *Dispatcher) newPin(w *Work, model string, proposed persimmoncross.Version) *record.Pin {
+func (d *Dispatcher) newPin(w *Request, model string, proposed persimmoncross.ModelVersion) *record.Pin {
 	return &record.Pin{
 		Organisation: w.Organisation.Name,
-		Session:      w.Session,
+		Session:      w.SessionID,
 		Model:        model,
 		Version:      proposed.String(),
 		Idle:         int64(w.Organisation.Idle),
-		Time:         d.Stamp(),
+		Time:         d.FleetTime(),
 	}
 }
 
 // resolvePin takes the version that the ledger gave for a pin. If that one has
 // been withdrawn, the session is moved, once and for all entries.
-func (d *Dispatcher) resolvePin(ctx context.Context, w *Work, p *record.Pin, versionText string) (persimmoncross.Version, *persimmoncross.Refusal) {
-	assigned := persimmoncross.ParseVersion(versionText)
+func (d *Dispatcher) resolvePin(ctx context.Context, w *Request, p *record.Pin, versionText string) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
+	assigned := persimmoncross.ParseModelVersion(versionText)
 	s := d.Settings()
 	if s.Withdrawn[assigned] && p.GetMoved() != versionText {
-		proposed, ok := d.pickVersion(s, w.Organisation.Name, persimmoncross.ParseVersion(p.GetModel()))
+		proposed, ok := d.pickVersion(s, w.Organisation.Name, persimmoncross.ParseModelVersion(p.GetModel()))
 		if !ok {
 			return assigned, d.noVersionRefusal(w, assigned)
 		}
@@ -93,7 +93,7 @@
 		return d.commitPin(ctx, w, move)
 	}
 	if !s.May(w.Organisation.Name, assigned) {
-		return assigned, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "the session runs on %q, which %s may not use", assigned, w.Organisation.Name)
+		return assigned, persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "the session runs on %q, which %s may not use", assigned, w.Organisation.Name)
 	}
 	until := d.Clock.Now().Add(w.Organisation.Idle / 2)
 	d.pinnedVersions.put(pinKey(w, p.GetModel()), assigned, until)
@@ -101,15 +101,15 @@
 }
 
 // commitPin commits a pin apart from a claim.
-func (d *Dispatcher) commitPin(ctx context.Context, w *Work, p *record.Pin) (persimmoncross.Version, *persimmoncross.Refusal) {
+func (d *Dispatcher) commitPin(ctx context.Context, w *Request, p *record.Pin) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	v, refusal := d.proposeCommand(ctx, &record.Command{
 		Pin: p,
 	})
 	if refusal != nil {
-		return persimmoncross.Version{}, refusal
+		return persimmoncross.ModelVersion{}, refusal
 	}
 	if v.GetState() == record.State_FULL {
-		return persimmoncross.Version{}, ledgerFullRefusal()
+		return persimmoncross.ModelVersion{}, ledgerFullRefusal()
 	}
 	return d.resolvePin(ctx, w, p, v.GetVersion())
 }
--- a/core/coordination/dispatch/rating.go
+++ b/core/coordination/dispatch/rating.go
@@ -16,7 +16,7 @@
 
 // ratingRequest is an answer that is to be rated for a roll-out.
 type ratingRequest struct {
-	version          persimmoncross.Version
+	version          persimmoncross.ModelVersion
 	organisation     string
 	qualityThreshold float64
 	question         []byte
@@ -25,9 +25,9 @@
 
 // startSampling begins to keep the answer, if the roll-outs want it rated. A
 // cascade's held answers were rated already.
-func (r *execution) startSampling(v persimmoncross.Version) {
+func (r *execution) startSampling(v persimmoncross.ModelVersion) {
 	d := r.dispatcher
-	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.Evidence.Sample(v) {
+	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.RolloutEvidence.Sample(v) {
 		return
 	}
 	r.ratingSample = &ratingRequest{
@@ -83,5 +83,5 @@
 		return
 	}
 	d.count("rated")
-	d.Evidence.Rated(request.version, request.organisation, value < request.qualityThreshold)
+	d.RolloutEvidence.Rated(request.version, request.organisation, value < request.qualityThreshold)
 }
--- a/core/coordination/dispatch/refusal_test.go
+++ b/core/coordination/dispatch/refusal_test.go
@@ -10,12 +10,12 @@
 
 // Every refusal that says not-run is checked against the upstreams' books.
 func TestNotRunRefusalsStartNoRun(t *testing.T) {
-	stop := persimmoncross.Refuse(persimmoncross.CodeStopping, "stopping")
-	lapsed := persimmoncross.Refuse(persimmoncross.CodeNoLease, "no lease")
+	stop := persimmoncross.NewRefusal(persimmoncross.CodeStopping, "stopping")
+	lapsed := persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "no lease")
 	for _, c := range []struct {
 		name    string
 		prepare func(e *testEnv)
-		work    func(e *testEnv) *dispatch.Work
+		work    func(e *testEnv) *dispatch.Request
 		code    persimmoncross.Code
 		retry   bool // the refusal says when to come back
 	}{
@@ -32,8 +32,8 @@
 		{
 			name:    "rate",
 			prepare: func(e *testEnv) { e.apply(`, "rate": 0.001, "burst": 1`); e.serve(e.chatRequest("nothing", 1)) },
-			work: func(e *testEnv) *dispatch.Work {
-				e.dispatcher.Limits.Enter("relay", quotaOf(e))
+			work: func(e *testEnv) *dispatch.Request {
+				e.dispatcher.Limiter.Admit("relay", quotaOf(e))
 				return e.chatRequest("small", 1)
 			},
 			code:  persimmoncross.CodeRateLimited,
@@ -42,60 +42,60 @@
 		{
 			name:    "concurrency",
 			prepare: func(e *testEnv) { e.apply(`, "concurrency": 1`) },
-			work: func(e *testEnv) *dispatch.Work {
-				e.dispatcher.Limits.Enter("relay", quotaOf(e))
+			work: func(e *testEnv) *dispatch.Request {
+				e.dispatcher.Limiter.Admit("relay", quotaOf(e))
 				return e.chatRequest("small", 1)
 			},
-			code:  persimmoncross.CodeConcurrency,
+			code:  persimmoncross.CodeConcurrencyLimited,
 			retry: true,
 		},
 		{
 			name:    "withdrawn",
 			prepare: func(e *testEnv) { e.withdraw("large@1") },
-			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
+			work:    func(e *testEnv) *dispatch.Request { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeVersionWithdrawn,
 		},
 		{
 			name: "unknown model",
-			work: func(e *testEnv) *dispatch.Work { return e.chatRequest("huge", 1) },
+			work: func(e *testEnv) *dispatch.Request { return e.chatRequest("huge", 1) },
 			code: persimmoncross.CodeModelUnknown,
 		},
 		{
 			name:    "forbidden model",
 			prepare: func(e *testEnv) { e.apply(`, "deny": ["large"]`) },
-			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
+			work:    func(e *testEnv) *dispatch.Request { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeModelForbidden,
 		},
 		{
 			name:    "claim without a quorum",
 			prepare: func(e *testEnv) { e.ledger.unavailable = true },
-			work:    func(e *testEnv) *dispatch.Work { return e.serviceRequest("POST", "/deposit") },
+			work:    func(e *testEnv) *dispatch.Request { return e.serviceRequest("POST", "/deposit") },
 			code:    persimmoncross.CodeLedgerUnavailable,
 			retry:   true,
 		},
 		{
 			name: "time is up",
-			work: func(e *testEnv) *dispatch.Work {
+			work: func(e *testEnv) *dispatch.Request {
 				w := e.chatRequest("small", 1)
 				w.Deadline = time.Now().Add(-time.Second)
 				return w
 			},
-			code: persimmoncross.CodeDeadline,
+			code: persimmoncross.CodeDeadlineExceeded,
 		},
 		{
 			name: "no engine holds the version",
 			prepare: func(e *testEnv) {
 				u, _ := e.dispatcher.Table.Find("engine-3")
-				u.SetLeaving(true)
+				u.SetDraining(true)
 			},
-			work:  func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
+			work:  func(e *testEnv) *dispatch.Request { return e.chatRequest("large", 1) },
 			code:  persimmoncross.CodeNoUpstream,
 			retry: true,
 		},
 		{
 			name:    "no connection to any engine",
 			prepare: func(e *testEnv) { e.addresses["engine-3"] = "127.0.0.1:1"; e.apply("") },
-			work:    func(e *testEnv) *dispatch.Work { return e.chatRequest("large", 1) },
+			work:    func(e *testEnv) *dispatch.Request { return e.chatRequest("large", 1) },
 			code:    persimmoncross.CodeUpstreamFailed,
 			retry:   true,
 		},
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -25,9 +25,9 @@
 // execution is one request under way.
 type execution struct {
 	dispatcher       *Dispatcher
-	request          *Work
-	sink             persimmoncross.Sink
-	runStatus        persimmoncross.Run
+	request          *Request
+	sink             persimmoncross.ResponseSink
+	runStatus        persimmoncross.RunStatus
 	attemptCount     int
 	triedUpstreams   map[string]bool
 	billingLines     []*record.Line
@@ -40,11 +40,11 @@
 	alreadyRated     bool                         // a cascade has rated the answer
 	ratingSample     *ratingRequest               // nil unless the answer is to be rated
 	claimResult      chan *persimmoncross.Refusal // the outcome of a claim made meanwhile
-	copy             quarantine.Copy
+	copy             quarantine.Request
 }
 
 // execute claims, runs and settles the request.
-func (d *Dispatcher) execute(ctx context.Context, w *Work, sink persimmoncross.Sink) {
+func (d *Dispatcher) execute(ctx context.Context, w *Request, sink persimmoncross.ResponseSink) {
 	r := &execution{
 		dispatcher:     d,
 		request:        w,
@@ -52,10 +52,10 @@
 		runStatus:      persimmoncross.NotRun,
 		triedUpstreams: map[string]bool{},
 		storedAnswer:   &record.Answer{},
-		copy: quarantine.Copy{
-			Digest:  w.quarantineDigest(),
-			Service: w.Name,
-			Book:    d.Book,
+		copy: quarantine.Request{
+			Digest:   w.quarantineDigest(),
+			Service:  w.TargetName,
+			Recorder: d.QuarantineRecorder,
 		},
 	}
 	defer func() { r.copy.Done(r.runStatus != persimmoncross.NotRun) }()
@@ -77,9 +77,9 @@
 // claimedExecution is a claimed request, with its steps.
 type claimedExecution struct {
 	execution    *execution
-	steps        []persimmoncross.Version
-	firstStep    int                    // the step to start with
-	firstVersion persimmoncross.Version // for that step
+	steps        []persimmoncross.ModelVersion
+	firstStep    int                         // the step to start with
+	firstVersion persimmoncross.ModelVersion // for that step
 }
 
 // prepare claims the request. A nil result without a refusal means that the sink
@@ -103,7 +103,7 @@
 			return nil, d.noVersionRefusal(w, steps[o.firstStep])
 		}
 	}
-	if w.Key == "" && !w.Once && pin == nil {
+	if w.IdempotencyKey == "" && !w.AtMostOnce && pin == nil {
 		r.claimAsync(ctx)
 		return o, nil
 	}
@@ -154,15 +154,15 @@
 		case record.State_SETTLED:
 			return nil, r.replayAnswer(v)
 		case record.State_REUSED:
-			return nil, persimmoncross.Refuse(persimmoncross.CodeKeyReused, "the key was used for another request")
+			return nil, persimmoncross.NewRefusal(persimmoncross.CodeKeyReused, "the key was used for another request")
 		case record.State_LOST:
-			return nil, persimmoncross.Refuse(persimmoncross.CodeOutcomeUnknown, "the entry that ran the request is gone; it will not be run again").WithRun(persimmoncross.Unknown)
+			return nil, persimmoncross.NewRefusal(persimmoncross.CodeOutcomeUnknown, "the entry that ran the request is gone; it will not be run again").WithRunStatus(persimmoncross.RunUnknown)
 		case record.State_RUNNING:
 		default:
 			return nil, ledgerFullRefusal()
 		}
 		owner := v.GetOwner()
-		if r.dispatcher.Joiner.Join(ctx, owner, r.request.Organisation.Name, r.request.Key, r.sink) == nil {
+		if r.dispatcher.Joiner.Join(ctx, owner, r.request.Organisation.Name, r.request.IdempotencyKey, r.sink) == nil {
 			r.dispatcher.count("joined")
 			return nil, nil
 		}
@@ -172,7 +172,7 @@
 		select {
 		case <-r.dispatcher.Clock.After(joinRetryInterval):
 		case <-ctx.Done():
-			return nil, persimmoncross.Refuse(persimmoncross.CodeDeadline, "another entry runs the request and did not answer in time").WithRun(persimmoncross.Unknown)
+			return nil, persimmoncross.NewRefusal(persimmoncross.CodeDeadlineExceeded, "another entry runs the request and did not answer in time").WithRunStatus(persimmoncross.RunUnknown)
 		}
 	}
 }
@@ -180,21 +180,21 @@
 // replayAnswer gives the sink the answer that the ledger kept.
 func (r *execution) replayAnswer(v *record.Verdict) *persimmoncross.Refusal {
 	if v.GetOutcome() != ledger.Whole {
-		return persimmoncross.Refuse(persimmoncross.CodeOutcomeUnknown, "the request ended as %q and may not run again", v.GetOutcome()).WithRun(persimmoncross.Ran)
+		return persimmoncross.NewRefusal(persimmoncross.CodeOutcomeUnknown, "the request ended as %q and may not run again", v.GetOutcome()).WithRunStatus(persimmoncross.Ran)
 	}
 	a := &record.Answer{}
 	if len(v.GetAnswer()) == 0 || proto.Unmarshal(v.GetAnswer(), a) != nil {
 		return responseLostRefusal()
 	}
 	r.dispatcher.count("replayed")
-	head := persimmoncross.Head{
+	head := persimmoncross.ResponseHead{
 		Status:      int(a.GetStatus()),
 		ContentType: a.GetType(),
-		Request:     a.GetRequest(),
+		RequestID:   a.GetRequest(),
 		Stream:      a.GetStream(),
 	}
 	if a.GetVersion() != "" {
-		head.Version = persimmoncross.ParseVersion(a.GetVersion())
+		head.Version = persimmoncross.ParseModelVersion(a.GetVersion())
 	}
 	if r.sink.Start(head) != nil {
 		return nil
@@ -224,7 +224,7 @@
 	if r.claimResult != nil {
 		if failed := <-r.claimResult; failed != nil && refusal == nil {
 			r.dispatcher.enqueueLateSettlement(r)
-			r.sink.End(failed.WithRun(r.runStatus))
+			r.sink.End(failed.WithRunStatus(r.runStatus))
 			return
 		}
 	}
@@ -253,15 +253,15 @@
 
 // run is the writer of the step whose answer the caller gets.
 
-func (r *execution) start(h persimmoncross.Head) error {
+func (r *execution) start(h persimmoncross.ResponseHead) error {
 	r.responseStarted = true
 	r.startSampling(h.Version)
-	h.Request = r.request.ID
+	h.RequestID = r.request.ID
 	if r.storedAnswer != nil {
 		r.storedAnswer.Status = int32(h.Status)
 		r.storedAnswer.Type = h.ContentType
 		r.storedAnswer.Version = h.Version.String()
-		r.storedAnswer.Request = h.Request
+		r.storedAnswer.Request = h.RequestID
 		r.storedAnswer.Stream = h.Stream
 	}
 	return r.sink.Start(h)
@@ -270,7 +270,7 @@
 func (r *execution) write(chunk []byte) error {
 	r.answerBytes += len(chunk)
 	r.sampleChunk(chunk)
-	if r.answerBytes > ledger.MaxAnswer || r.request.Key == "" {
+	if r.answerBytes > ledger.MaxAnswer || r.request.IdempotencyKey == "" {
 		r.storedAnswer = nil
 	}
 	if r.storedAnswer != nil {
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -23,24 +23,24 @@
 func (d *Dispatcher) proposeCommand(ctx context.Context, c *record.Command) (*record.Verdict, *persimmoncross.Refusal) {
 	raw, err := d.Ledger.Propose(ctx, record.Encode(c))
 	if err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger does not answer: %v", err).After(ledgerRetryAfter)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeLedgerUnavailable, "the ledger does not answer: %v", err).WithRetryAfter(ledgerRetryAfter)
 	}
 	v := &record.Verdict{}
 	if err := proto.Unmarshal(raw, v); err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeLedgerUnavailable, "the ledger's answer can't be decoded").After(ledgerRetryAfter)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeLedgerUnavailable, "the ledger's answer can't be decoded").WithRetryAfter(ledgerRetryAfter)
 	}
 	return v, nil
 }
 
-func (d *Dispatcher) claim(ctx context.Context, w *Work, p *record.Pin, deadOwner string) (*record.Verdict, *persimmoncross.Refusal) {
+func (d *Dispatcher) claim(ctx context.Context, w *Request, p *record.Pin, deadOwner string) (*record.Verdict, *persimmoncross.Refusal) {
 	return d.proposeCommand(ctx, &record.Command{
 		Claim: &record.Claim{
 			Organisation: w.Organisation.Name,
 			Key:          w.ledgerKey(),
 			Digest:       w.idempotencyDigest(),
 			Owner:        d.Owner,
-			Once:         w.Once,
-			Time:         d.Stamp(),
+			Once:         w.AtMostOnce,
+			Time:         d.FleetTime(),
 			Pin:          p,
 			Dead:         deadOwner,
 			Request:      w.ID,
@@ -60,13 +60,13 @@
 	})
 	if refusal != nil {
 		d.enqueueLateSettlement(r)
-		return refusal.WithRun(r.runStatus)
+		return refusal.WithRunStatus(r.runStatus)
 	}
 	// The sweeper may have settled it, if this process was taken for dead.
 	settledBySweeper := outcome == ledger.Whole && v.GetOutcome() == ledger.Swept
 	if v.GetState() != record.State_SETTLED || v.GetOutcome() != outcome && !settledBySweeper {
 		d.count("settle.stale")
-		return persimmoncross.Refuse(persimmoncross.CodeAnswerLost, "another entry has taken the request over").WithRun(persimmoncross.Ran)
+		return persimmoncross.NewRefusal(persimmoncross.CodeAnswerLost, "another entry has taken the request over").WithRunStatus(persimmoncross.Ran)
 	}
 	d.count("settled." + outcome)
 	return nil
@@ -79,10 +79,10 @@
 		Owner:        r.dispatcher.Owner,
 		Lines:        r.billingLines,
 		Outcome:      outcome,
-		Time:         r.dispatcher.Stamp(),
+		Time:         r.dispatcher.FleetTime(),
 		Pins:         r.pins,
 	}
-	if outcome == ledger.Whole && r.request.Key != "" && r.storedAnswer != nil {
+	if outcome == ledger.Whole && r.request.IdempotencyKey != "" && r.storedAnswer != nil {
 		settlement.Answer = record.Encode(r.storedAnswer)
 	}
 	return settlement
@@ -103,8 +103,8 @@
 	}
 }
 
-// RunLate closes what settleLate left, until the context ends.
-func (d *Dispatcher) RunLate(ctx context.Context) {
+// RunLateSettlements closes what settleLate left, until the context ends.
+func (d *Dispatcher) RunLateSettlements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -128,5 +128,5 @@
 }
 
 func ledgerFullRefusal() *persimmoncross.Refusal {
-	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the ledger's tables are full").After(ledgerFullRetryAfter)
+	return persimmoncross.NewRefusal(persimmoncross.CodeOverloaded, "the ledger's tables are full").WithRetryAfter(ledgerFullRetryAfter)
 }
--- a/core/coordination/dispatch/recording.go
+++ b/core/coordination/dispatch/shared_response.go
@@ -23,13 +23,13 @@
 
 // getOrCreate returns the request's recording, and whether it was made now. It
 // returns nil if the key stands for another request.
-func (r *sharedResponses) getOrCreate(w *Work) (response *sharedResponse, created bool) {
+func (r *sharedResponses) getOrCreate(w *Request) (response *sharedResponse, created bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byKey == nil {
 		r.byKey = map[[2]string]*sharedResponse{}
 	}
-	id := [2]string{w.Organisation.Name, w.Key}
+	id := [2]string{w.Organisation.Name, w.IdempotencyKey}
 	if response = r.byKey[id]; response != nil {
 		if !bytes.Equal(response.requestDigest, w.idempotencyDigest()) {
 			return nil, false
@@ -51,22 +51,22 @@
 	return r.byKey[[2]string{organisation, key}]
 }
 
-func (r *sharedResponses) close(w *Work, response *sharedResponse) {
+func (r *sharedResponses) close(w *Request, response *sharedResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := [2]string{w.Organisation.Name, w.Key}
+	id := [2]string{w.Organisation.Name, w.IdempotencyKey}
 	if r.byKey[id] == response {
 		delete(r.byKey, id)
 	}
 }
 
-// sharedResponse is a [persimmoncross.Sink] that any number of callers read from
+// sharedResponse is a [persimmoncross.ResponseSink] that any number of callers read from
 // its beginning.
 type sharedResponse struct {
 	requestDigest []byte
 
 	mu              sync.Mutex // guards all below
-	head            *persimmoncross.Head
+	head            *persimmoncross.ResponseHead
 	chunks          [][]byte
 	discardedChunks int           // chunks no longer held, before chunks
 	bufferedBytes   int           // bytes held
@@ -76,8 +76,8 @@
 	changed         chan struct{} // closed and replaced at each change
 }
 
-// Start implements [persimmoncross.Sink].
-func (r *sharedResponse) Start(h persimmoncross.Head) error {
+// Start implements [persimmoncross.ResponseSink].
+func (r *sharedResponse) Start(h persimmoncross.ResponseHead) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.head = &h
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Write implements [persimmoncross.Sink].
+// Write implements [persimmoncross.ResponseSink].
 func (r *sharedResponse) Write(chunk []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// End implements [persimmoncross.Sink].
+// End implements [persimmoncross.ResponseSink].
 func (r *sharedResponse) End(refusal *persimmoncross.Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // streamTo hands the answer to the sink from its first chunk, as it comes.
-func (r *sharedResponse) streamTo(ctx context.Context, sink persimmoncross.Sink) {
+func (r *sharedResponse) streamTo(ctx context.Context, sink persimmoncross.ResponseSink) {
 	next := 0
 	r.mu.Lock()
 	if r.discardedChunks > 0 {
@@ -167,13 +167,13 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			sink.End(persimmoncross.Refuse(persimmoncross.CodeDeadline, "the caller went away").WithRun(persimmoncross.Unknown))
+			sink.End(persimmoncross.NewRefusal(persimmoncross.CodeDeadlineExceeded, "the caller went away").WithRunStatus(persimmoncross.RunUnknown))
 			return
 		}
 	}
 }
 
-func (r *sharedResponse) read(next *int) (chunks [][]byte, head *persimmoncross.Head, ended bool, refusal *persimmoncross.Refusal, changed chan struct{}) {
+func (r *sharedResponse) read(next *int) (chunks [][]byte, head *persimmoncross.ResponseHead, ended bool, refusal *persimmoncross.Refusal, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A copy: what the reader has not handed on yet may be dropped meanwhile.
@@ -193,5 +193,5 @@
 }
 
 func responseLostRefusal() *persimmoncross.Refusal {
-	return persimmoncross.Refuse(persimmoncross.CodeAnswerLost, "the request ran and is billed, but its answer is no longer kept").WithRun(persimmoncross.Ran)
+	return persimmoncross.NewRefusal(persimmoncross.CodeAnswerLost, "the request ran and is billed, but its answer is no longer kept").WithRunStatus(persimmoncross.Ran)
 }
--- a/core/coordination/dispatch/plan.go
+++ b/core/coordination/dispatch/versions.go
@@ -9,7 +9,7 @@
 )
 
 // checkPermission refuses what the organisation may not use, before anything runs.
-func (d *Dispatcher) checkPermission(w *Work) *persimmoncross.Refusal {
+func (d *Dispatcher) checkPermission(w *Request) *persimmoncross.Refusal {
 	if w.Service != nil {
 		return d.checkServicePermission(w)
 	}
@@ -18,35 +18,35 @@
 }
 
 // checkServicePermission refuses a plain service's call that is not permitted now.
-func (d *Dispatcher) checkServicePermission(w *Work) *persimmoncross.Refusal {
+func (d *Dispatcher) checkServicePermission(w *Request) *persimmoncross.Refusal {
 	if d.Settings().Named(w.Organisation.Name).Services[w.Service.Name] {
 		return nil
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, w.Service.Name)
+	return persimmoncross.NewRefusal(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, w.Service.Name)
 }
 
 // noVersionRefusal refuses a step that has no version to run on now.
-func (d *Dispatcher) noVersionRefusal(w *Work, step persimmoncross.Version) *persimmoncross.Refusal {
+func (d *Dispatcher) noVersionRefusal(w *Request, step persimmoncross.ModelVersion) *persimmoncross.Refusal {
 	if isAllowed(d.Settings().Named(w.Organisation.Name), step) {
-		return persimmoncross.Refuse(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", step)
+		return persimmoncross.NewRefusal(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", step)
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, step)
+	return persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, step)
 }
 
 // permittedSteps returns the permittedSteps of what was asked for that the organisation may use.
 // A step without a version stands for any permitted version of its model.
-func (d *Dispatcher) permittedSteps(s *settings.Snapshot, w *Work) ([]persimmoncross.Version, *persimmoncross.Refusal) {
-	_, cascade := s.File.Cascades[w.Name]
-	named := persimmoncross.ParseVersion(w.Name)
+func (d *Dispatcher) permittedSteps(s *settings.Snapshot, w *Request) ([]persimmoncross.ModelVersion, *persimmoncross.Refusal) {
+	_, cascade := s.File.Cascades[w.TargetName]
+	named := persimmoncross.ParseModelVersion(w.TargetName)
 	if m, ok := s.File.Models[named.Model]; !cascade && (!ok || named.Pinned() && m.Versions[named.Name] == nil) {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeModelUnknown, "there is no model, version or cascade %q", w.Name)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeModelUnknown, "there is no model, version or cascade %q", w.TargetName)
 	}
-	if cascade && !s.Named(w.Organisation.Name).Cascades[w.Name] {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.Name)
+	if cascade && !s.Named(w.Organisation.Name).Cascades[w.TargetName] {
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.TargetName)
 	}
-	var steps []persimmoncross.Version
+	var steps []persimmoncross.ModelVersion
 	allowed := false
-	for _, step := range s.Steps(w.Name) {
+	for _, step := range s.Steps(w.TargetName) {
 		if len(permittedVersions(s, w.Organisation.Name, step)) > 0 {
 			steps = append(steps, step)
 		}
@@ -56,14 +56,14 @@
 	case len(steps) > 0:
 		return steps, nil
 	case allowed:
-		return nil, persimmoncross.Refuse(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", w.Name)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", w.TargetName)
 	}
-	return nil, persimmoncross.Refuse(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.Name)
+	return nil, persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.TargetName)
 }
 
 // isAllowed reports whether the organisation is allowed the version, or a version
 // of the model, withdrawn or not.
-func isAllowed(o *settings.Organisation, step persimmoncross.Version) bool {
+func isAllowed(o *settings.Organisation, step persimmoncross.ModelVersion) bool {
 	for v := range o.Versions {
 		if v == step || !step.Pinned() && v.Model == step.Model {
 			return true
@@ -73,36 +73,36 @@
 }
 
 // permittedVersions returns the versions that a step may run on now.
-func permittedVersions(s *settings.Snapshot, organisation string, step persimmoncross.Version) []persimmoncross.Version {
-	var list []persimmoncross.Version
+func permittedVersions(s *settings.Snapshot, organisation string, step persimmoncross.ModelVersion) []persimmoncross.ModelVersion {
+	var list []persimmoncross.ModelVersion
 	for v := range s.Named(organisation).Versions {
 		if (v == step || !step.Pinned() && v.Model == step.Model) && s.May(organisation, v) {
 			list = append(list, v)
 		}
 	}
-	slices.SortFunc(list, func(a, b persimmoncross.Version) int { return cmp.Compare(a.String(), b.String()) })
+	slices.SortFunc(list, func(a, b persimmoncross.ModelVersion) int { return cmp.Compare(a.String(), b.String()) })
 	return list
 }
 
 // pickVersion chooses one of the step's permitted versions by their weights in force.
 // If the one drawn is being rolled out and may get no more work now, the pickVersion
 // is among the others; it gets the work only if there is no other.
-func (d *Dispatcher) pickVersion(s *settings.Snapshot, organisation string, step persimmoncross.Version) (persimmoncross.Version, bool) {
+func (d *Dispatcher) pickVersion(s *settings.Snapshot, organisation string, step persimmoncross.ModelVersion) (persimmoncross.ModelVersion, bool) {
 	permitted := permittedVersions(s, organisation, step)
 	if len(permitted) == 0 {
-		return persimmoncross.Version{}, false
+		return persimmoncross.ModelVersion{}, false
 	}
 	if step.Pinned() {
 		return permitted[0], true
 	}
 	weights := s.Weights(step.Model)
-	usable := slices.DeleteFunc(slices.Clone(permitted), func(v persimmoncross.Version) bool { return weights[v] == 0 })
+	usable := slices.DeleteFunc(slices.Clone(permitted), func(v persimmoncross.ModelVersion) bool { return weights[v] == 0 })
 	if len(usable) == 0 {
 		usable = permitted
 	}
 	for len(usable) > 1 {
 		i := d.pickByWeight(usable, weights)
-		if d.Evidence.Expose(usable[i]) {
+		if d.RolloutEvidence.Expose(usable[i]) {
 			return usable[i], true
 		}
 		d.count("rollout.withheld")
@@ -112,7 +112,7 @@
 }
 
 // pickByWeight returns the index of one of the versions, by weight.
-func (d *Dispatcher) pickByWeight(usable []persimmoncross.Version, weights map[persimmoncross.Version]int) int {
+func (d *Dispatcher) pickByWeight(usable []persimmoncross.ModelVersion, weights map[persimmoncross.ModelVersion]int) int {
 	total := 0
 	for _, v := range usable {
 		total += max(1, weights[v])
--- a/core/coordination/dispatch/watchdog.go
+++ b/core/coordination/dispatch/watchdog.go
@@ -26,8 +26,8 @@
 		done:  make(chan struct{}),
 	}
 	g.recordActivity()
-	if r.request.Stall > 0 {
-		go g.run(ctx, cancel, r.request.Stall)
+	if r.request.StallTimeout > 0 {
+		go g.run(ctx, cancel, r.request.StallTimeout)
 	}
 	return g
 }
--- a/core/coordination/forecast/forecast.go
+++ b/core/coordination/forecast/forecast.go
@@ -15,9 +15,9 @@
 	minRegressionWeight = 0.02
 )
 
-// Heads fits a line through the times of heads and the sizes of prompts: what
+// FirstTokenEstimator fits a line through the times of heads and the sizes of prompts: what
 // does not grow with the prompt is the queue. The zero value knows nothing.
-type Heads struct {
+type FirstTokenEstimator struct {
 	meanSeconds      float64 // seconds, lately
 	meanPromptTokens float64 // mean tokens, lately
 	lastUpdate       time.Time
@@ -32,8 +32,8 @@
 	promptTokens float64
 }
 
-// Await notes that a head is awaited, and returns its number for Came.
-func (e *Heads) Await(promptTokens int, now time.Time) uint64 {
+// TrackRequest notes that a head is awaited, and returns its number for Came.
+func (e *FirstTokenEstimator) TrackRequest(promptTokens int, now time.Time) uint64 {
 	if e.pending == nil {
 		e.pending = map[uint64]pendingRequest{}
 	}
@@ -45,9 +45,9 @@
 	return e.lastRequestID
 }
 
-// Came ends the wait for a head; ok tells whether it came. One that was ended
+// RecordFirstToken ends the wait for a head; ok tells whether it came. One that was ended
 // early says nothing.
-func (e *Heads) Came(requestID uint64, received bool, now time.Time) {
+func (e *FirstTokenEstimator) RecordFirstToken(requestID uint64, received bool, now time.Time) {
 	request := e.pending[requestID]
 	delete(e.pending, requestID)
 	seconds := now.Sub(request.sentAt).Seconds()
@@ -64,16 +64,16 @@
 	e.prefill.add(seconds, request.promptTokens)
 }
 
-// Reading estimates how long the model takes to read a prompt of so many tokens,
+// PrefillTime estimates how long the model takes to read a prompt of so many tokens,
 // without what it waits for that; zero if nothing is known.
-func (e *Heads) Reading(promptTokens int) time.Duration {
+func (e *FirstTokenEstimator) PrefillTime(promptTokens int) time.Duration {
 	return time.Duration(e.prefill.secondsPerToken() * float64(promptTokens) * float64(time.Second))
 }
 
-// Begin estimates how long the model takes to begin an answer to a prompt of so
+// TimeToFirstToken estimates how long the model takes to begin an answer to a prompt of so
 // many tokens now; zero if nothing is known. A queue is seen before its requests
 // come out of it: the heads that are awaited count by their age.
-func (e *Heads) Begin(promptTokens int, now time.Time) time.Duration {
+func (e *FirstTokenEstimator) TimeToFirstToken(promptTokens int, now time.Time) time.Duration {
 	secondsPerToken := e.prefill.secondsPerToken()
 	queueSeconds := e.meanSeconds - secondsPerToken*e.meanPromptTokens
 	if now.Sub(e.lastUpdate) > queueEstimateTimeout && len(e.pending) == 0 {
--- a/core/coordination/group/error.go
+++ b/core/coordination/group/error.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// Kind classifies an [Error].
-type Kind uint8
+// ErrorKind classifies an [Error].
+type ErrorKind uint8
 
 // The kinds of error.
 const (
-	NotLeader Kind = iota + 1 // propose at the VM named by Leader
-	RingFull                  // refused: nothing was proposed
-	Lost                      // leadership was lost: the command may yet be committed
-	Refused                   // the change of voters is not allowed
-	Stopped                   // the group no longer runs
+	NotLeader      ErrorKind = iota + 1 // propose at the VM named by Leader
+	QueueFull                           // refused: nothing was proposed
+	LeadershipLost                      // leadership was lost: the command may yet be committed
+	ChangeRejected                      // the change of voters is not allowed
+	Stopped                             // the group no longer runs
 )
 
 // Error is what the package's operations return.
 type Error struct {
 	Operation string
-	Kind      Kind
+	Kind      ErrorKind
 	Leader    string // the leader's VM, if known
 	Err       error
 }
@@ -33,7 +33,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func newError(operation string, kind Kind, leader string, err error) *Error {
+func newError(operation string, kind ErrorKind, leader string, err error) *Error {
 	return &Error{
 		Operation: operation,
 		Kind:      kind,
--- a/core/coordination/group/lease_test.go
+++ b/core/coordination/group/lease_test.go
@@ -24,18 +24,18 @@
 		now:       time.Unix(1000, 0),
 		suspended: time.Hour, // of earlier days: it is the same before and after
 	}
-	g := &Group{
+	g := &Replica{
 		Clock: c,
 	}
 	g.view.Store(&View{
-		LeaseUntil: g.now().Add(time.Second),
+		LeaseExpiry: g.now().Add(time.Second),
 	})
-	if !g.Leased() {
+	if !g.HasLease() {
 		t.Error("no lease before")
 	}
 	c.now = c.now.Add(100 * time.Millisecond)
 	c.suspended += 5 * time.Second
-	if g.Leased() {
+	if g.HasLease() {
 		t.Error("the lease outlived five seconds")
 	}
 }
--- a/core/coordination/group/group.go
+++ b/core/coordination/group/replica.go
@@ -1,7 +1,7 @@
 // Package group runs one member of one replicated log: it owns a
 // [consensus.Core], feeds it from a bounded ring, syncs, sends and applies.
 //
-// All of it happens on the goroutine of [Group.Run]. Other goroutines post
+// All of it happens on the goroutine of [Replica.Run]. Other goroutines post
 // events, and read the [View] that the owner replaces after each round.
 package group
 
@@ -31,33 +31,33 @@
 
 // View is what others may know of the group; it never changes.
 type View struct {
-	Role       consensus.Role
-	Term       uint64
-	Leader     string // VM, "" if unknown
-	Commit     uint64
-	Applied    uint64
-	Last       uint64
-	Set        persimmoncross.Config
-	LeaseUntil time.Time
-	LeaseIndex uint64
-	DiskError  string // why nothing is acknowledged, "" if all is well
+	Role               consensus.Role
+	Term               uint64
+	LeaderVM           string // VM, "" if unknown
+	CommitIndex        uint64
+	AppliedIndex       uint64
+	LastIndex          uint64
+	Config             persimmoncross.Config
+	LeaseExpiry        time.Time
+	LeaseRequiredIndex uint64
+	DiskError          string // why nothing is acknowledged, "" if all is well
 }
 
-// Leased reports whether new work may be taken: a leader that holds a quorum
+// HasLease reports whether new work may be taken: a leader that holds a quorum
 // was heard within the lease, and what it had committed is applied.
-func (v *View) Leased(now time.Time) bool {
-	return v.Applied >= v.LeaseIndex && now.Before(v.LeaseUntil)
+func (v *View) HasLease(now time.Time) bool {
+	return v.AppliedIndex >= v.LeaseRequiredIndex && now.Before(v.LeaseExpiry)
 }
 
-// Group runs a member. The exported fields are set before [Group.Run].
-type Group struct {
-	Core    *consensus.Core
-	Storage persimmoncross.Storage
-	Machine persimmoncross.StateMachine
-	Sender  persimmoncross.Sender
-	Clock   persimmoncross.Clock
-	Metrics metrics.Registry
-	Log     zerolog.Logger
+// Replica runs a member. The exported fields are set before [Replica.Run].
+type Replica struct {
+	Core         *consensus.Core
+	Storage      persimmoncross.Storage
+	StateMachine persimmoncross.StateMachine
+	Sender       persimmoncross.Sender
+	Clock        persimmoncross.Clock
+	Metrics      metrics.Registry
+	Logger       zerolog.Logger
 
 	events             chan event
 	done               chan struct{}
@@ -94,7 +94,7 @@
 // now returns the time with that for which the VM was suspended: a lease and an
 // election run out meanwhile. A leader that wakes would else pass for recent for what
 // its lease had left, though another one has accepted changes since.
-func (r *Group) now() time.Time {
+func (r *Replica) now() time.Time {
 	now := r.Clock.Now()
 	if c, ok := r.Clock.(persimmoncross.SuspendClock); ok {
 		now = now.Add(c.Suspended())
@@ -102,17 +102,17 @@
 	return now
 }
 
-// Leased reports whether new work may be taken now: see [View.Leased].
-func (r *Group) Leased() bool { return r.View().Leased(r.now()) }
+// HasLease reports whether new work may be taken now: see [View.HasLease].
+func (r *Replica) HasLease() bool { return r.View().HasLease(r.now()) }
 
 // Open loads the member's disk and restores the state machine. It comes before
 // Run, so that a broken disk stops the start.
-func (r *Group) Open() error {
+func (r *Replica) Open() error {
 	hardState, snapshot, entries, err := r.Storage.Load()
 	if err != nil {
 		return err
 	}
-	if err := r.Machine.Restore(snapshot.Data); err != nil {
+	if err := r.StateMachine.Restore(snapshot.Data); err != nil {
 		return err
 	}
 	r.events = make(chan event, maxQueuedEvents)
@@ -126,13 +126,13 @@
 }
 
 // View returns the group's state as of the latest round.
-func (r *Group) View() *View { return r.view.Load() }
+func (r *Replica) View() *View { return r.view.Load() }
 
 // Done is closed when the group has stopped.
-func (r *Group) Done() <-chan struct{} { return r.done }
+func (r *Replica) Done() <-chan struct{} { return r.done }
 
 // Run owns the member until the context ends.
-func (r *Group) Run(ctx context.Context) {
+func (r *Replica) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.failPendingProposals(Stopped)
 	for {
@@ -142,7 +142,7 @@
 		case e := <-r.events:
 			r.handleEvent(e)
 			r.handleQueuedEvents()
-		case <-r.Clock.After(r.Core.Heartbeat / 2):
+		case <-r.Clock.After(r.Core.HeartbeatInterval / 2):
 		}
 		r.Core.Tick(r.now())
 		r.processActions(ctx)
@@ -150,7 +150,7 @@
 }
 
 // handleQueuedEvents handles what else waits, so that one sync serves many.
-func (r *Group) handleQueuedEvents() {
+func (r *Replica) handleQueuedEvents() {
 	for range maxEventsPerRound {
 		select {
 		case e := <-r.events:
@@ -161,7 +161,7 @@
 	}
 }
 
-func (r *Group) handleEvent(e event) {
+func (r *Replica) handleEvent(e event) {
 	now := r.now()
 	switch {
 	case e.message != nil:
@@ -170,7 +170,7 @@
 		index, term, err := r.Core.Propose(now, e.proposal.data)
 		if err != nil {
 			e.proposal.reply <- response{
-				err: newError("propose", NotLeader, r.Core.Leader(), nil),
+				err: newError("propose", NotLeader, r.Core.LeaderVM(), nil),
 			}
 			return
 		}
@@ -184,30 +184,30 @@
 }
 
 // processActions carries out actions until none are left.
-func (r *Group) processActions(ctx context.Context) {
+func (r *Replica) processActions(ctx context.Context) {
 	for {
-		a := r.Core.Take()
-		r.sendAll(a.Eager)
-		if a.Install != nil && !r.installSnapshot(ctx, a.Install) {
+		a := r.Core.TakeActions()
+		r.sendAll(a.MessagesBeforeSync)
+		if a.Snapshot != nil && !r.installSnapshot(ctx, a.Snapshot) {
 			return
 		}
 		if !r.persist(ctx, a) {
 			return
 		}
-		r.sendAll(a.Messages)
-		r.apply(a.Committed)
+		r.sendAll(a.MessagesAfterSync)
+		r.apply(a.CommittedEntries)
 		r.publishView()
-		if len(a.Committed) == 0 && len(a.Entries) == 0 && a.Install == nil {
+		if len(a.CommittedEntries) == 0 && len(a.Entries) == 0 && a.Snapshot == nil {
 			break
 		}
 	}
 	if r.Core.Role() != consensus.Leader {
-		r.failPendingProposals(Lost)
+		r.failPendingProposals(LeadershipLost)
 	}
 	r.snapshotIfDue()
 }
 
-func (r *Group) sendAll(messages []persimmoncross.Message) {
+func (r *Replica) sendAll(messages []persimmoncross.Message) {
 	for _, m := range messages {
 		r.Sender.Send(m)
 	}
@@ -215,22 +215,22 @@
 
 // persist writes until it succeeds. While the disk refuses, the member answers
 // nobody, so the others elect a leader that can write.
-func (r *Group) persist(ctx context.Context, a consensus.Actions) bool {
-	if a.Hard == nil && len(a.Entries) == 0 {
+func (r *Replica) persist(ctx context.Context, a consensus.Actions) bool {
+	if a.HardState == nil && len(a.Entries) == 0 {
 		return true
 	}
-	if !r.writeWithRetry(ctx, func() error { return r.Storage.Append(a.Hard, a.Entries) }) {
+	if !r.writeWithRetry(ctx, func() error { return r.Storage.Append(a.HardState, a.Entries) }) {
 		return false
 	}
 	if n := len(a.Entries); n > 0 {
-		r.Core.Synced(a.Entries[n-1].Index)
+		r.Core.MarkSynced(a.Entries[n-1].Index)
 		r.counter("synced").Inc(int64(n))
 		r.counter("syncs").Inc(1)
 	}
 	return true
 }
 
-func (r *Group) writeWithRetry(ctx context.Context, write func() error) bool {
+func (r *Replica) writeWithRetry(ctx context.Context, write func() error) bool {
 	for {
 		err := write()
 		if err == nil {
@@ -239,7 +239,7 @@
 		}
 		r.counter("disk.errors").Inc(1)
 		if r.diskError == "" {
-			r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("disk write failed: nothing is acknowledged until it succeeds")
+			r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("disk write failed: nothing is acknowledged until it succeeds")
 		}
 		r.diskError = err.Error()
 		r.publishView()
@@ -251,12 +251,12 @@
 	}
 }
 
-func (r *Group) installSnapshot(ctx context.Context, s *persimmoncross.Snapshot) bool {
+func (r *Replica) installSnapshot(ctx context.Context, s *persimmoncross.Snapshot) bool {
 	if !r.writeWithRetry(ctx, func() error { return r.Storage.Compact(*s, s.Index) }) {
 		return false
 	}
-	if err := r.Machine.Restore(s.Data); err != nil {
-		r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot cannot be restored")
+	if err := r.StateMachine.Restore(s.Data); err != nil {
+		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot cannot be restored")
 		return false
 	}
 	r.appliedIndex = s.Index
@@ -265,11 +265,11 @@
 	return true
 }
 
-func (r *Group) apply(entries []persimmoncross.Entry) {
+func (r *Replica) apply(entries []persimmoncross.Entry) {
 	for _, e := range entries {
 		var result []byte
 		if e.Kind == persimmoncross.EntryCommand {
-			result = r.Machine.Apply(e)
+			result = r.StateMachine.Apply(e)
 			r.bytesSinceSnapshot += len(e.Data)
 		}
 		r.appliedIndex = e.Index
@@ -280,7 +280,7 @@
 		delete(r.pendingProposals, e.Index)
 		if w.term != e.Term {
 			w.reply <- response{
-				err: newError("propose", Lost, r.Core.Leader(), nil),
+				err: newError("propose", LeadershipLost, r.Core.LeaderVM(), nil),
 			}
 			continue
 		}
@@ -288,23 +288,23 @@
 			result: result,
 		}
 	}
-	r.Core.Applied(r.appliedIndex)
+	r.Core.MarkApplied(r.appliedIndex)
 }
 
-func (r *Group) snapshotIfDue() {
+func (r *Replica) snapshotIfDue() {
 	exceedsBytes := r.bytesSinceSnapshot >= maxBytesSinceSnapshot
 	if r.appliedIndex-r.snapshotIndex < maxEntriesSinceSnapshot && !exceedsBytes {
 		return
 	}
-	s := r.Core.Snapshot(r.appliedIndex)
-	s.Data = r.Machine.Snapshot()
+	s := r.Core.SnapshotMetadata(r.appliedIndex)
+	s.Data = r.StateMachine.Snapshot()
 	compactIndex := s.Index - min(retainedEntries, s.Index)
 	if exceedsBytes {
 		compactIndex = s.Index
 	}
 	if err := r.Storage.Compact(s, compactIndex); err != nil {
 		r.counter("disk.errors").Inc(1)
-		r.Log.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot not written")
+		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot not written")
 		return
 	}
 	r.snapshotIndex = s.Index
@@ -314,31 +314,31 @@
 }
 
 // failPendingProposals answers the proposals whose outcome this member can't learn.
-func (r *Group) failPendingProposals(kind Kind) {
+func (r *Replica) failPendingProposals(kind ErrorKind) {
 	for index, w := range r.pendingProposals {
 		delete(r.pendingProposals, index)
 		w.reply <- response{
-			err: newError("propose", kind, r.Core.Leader(), nil),
+			err: newError("propose", kind, r.Core.LeaderVM(), nil),
 		}
 	}
 }
 
-func (r *Group) publishView() {
-	leaseExpiry, requiredIndex := r.Core.LeaseUntil()
+func (r *Replica) publishView() {
+	leaseExpiry, requiredIndex := r.Core.LeaseExpiry()
 	r.view.Store(&View{
-		Role:       r.Core.Role(),
-		Term:       r.Core.Term(),
-		Leader:     r.Core.Leader(),
-		Commit:     r.Core.Commit(),
-		Applied:    r.appliedIndex,
-		Last:       r.Core.Last(),
-		Set:        r.Core.Set(),
-		LeaseUntil: leaseExpiry,
-		LeaseIndex: requiredIndex,
-		DiskError:  r.diskError,
+		Role:               r.Core.Role(),
+		Term:               r.Core.Term(),
+		LeaderVM:           r.Core.LeaderVM(),
+		CommitIndex:        r.Core.CommitIndex(),
+		AppliedIndex:       r.appliedIndex,
+		LastIndex:          r.Core.LastIndex(),
+		Config:             r.Core.Config(),
+		LeaseExpiry:        leaseExpiry,
+		LeaseRequiredIndex: requiredIndex,
+		DiskError:          r.diskError,
 	})
 }
 
-func (r *Group) counter(name string) metrics.Counter {
+func (r *Replica) counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter("log."+r.Core.Group+"."+name, r.Metrics)
 }
--- a/core/coordination/group/post.go
+++ b/core/coordination/group/requests.go
@@ -10,7 +10,7 @@
 
 // Receive posts a peer's message. A full ring drops it: consensus messages are
 // sent again.
-func (r *Group) Receive(m persimmoncross.Message) {
+func (r *Replica) Receive(m persimmoncross.Message) {
 	if !r.enqueue(event{
 		message: &m,
 	}) {
@@ -20,7 +20,7 @@
 
 // Propose appends a command if this member leads, and returns the result that
 // the state machine gave.
-func (r *Group) Propose(ctx context.Context, data []byte) ([]byte, error) {
+func (r *Replica) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	p := &proposal{
 		data:  data,
 		reply: make(chan response, 1),
@@ -29,30 +29,30 @@
 		proposal: p,
 	}) {
 		r.counter("refused.propose").Inc(1)
-		return nil, newError("propose", RingFull, "", nil)
+		return nil, newError("propose", QueueFull, "", nil)
 	}
 	return r.awaitResponse(ctx, p.reply)
 }
 
 // AddVoter makes a caught-up member a voter.
-func (r *Group) AddVoter(ctx context.Context, m persimmoncross.Member) error {
+func (r *Replica) AddVoter(ctx context.Context, m persimmoncross.Member) error {
 	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
 		return r.Core.AddVoter(now, m)
 	})
 }
 
 // RemoveVoter takes a member's vote, unless that would lose the quorum.
-func (r *Group) RemoveVoter(ctx context.Context, id persimmoncross.MemberID) error {
+func (r *Replica) RemoveVoter(ctx context.Context, id persimmoncross.MemberID) error {
 	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
 		return r.Core.RemoveVoter(now, id)
 	})
 }
 
-// Transfer hands leadership to another voter. It returns false if this member
+// TransferLeadership hands leadership to another voter. It returns false if this member
 // does not lead or nobody can take over.
-func (r *Group) Transfer(ctx context.Context) bool {
+func (r *Replica) TransferLeadership(ctx context.Context) bool {
 	reply := make(chan bool, 1)
-	execute := func(now time.Time) { reply <- r.Core.Transfer(now) }
+	execute := func(now time.Time) { reply <- r.Core.TransferLeadership(now) }
 	if !r.enqueue(event{
 		execute: execute,
 	}) {
@@ -67,7 +67,7 @@
 	return false
 }
 
-func (r *Group) changeVoters(ctx context.Context, propose func(time.Time) (uint64, uint64, error)) error {
+func (r *Replica) changeVoters(ctx context.Context, propose func(time.Time) (uint64, uint64, error)) error {
 	reply := make(chan response, 1)
 	execute := func(now time.Time) {
 		index, term, err := propose(now)
@@ -85,31 +85,31 @@
 	if !r.enqueue(event{
 		execute: execute,
 	}) {
-		return newError("change voters", RingFull, "", nil)
+		return newError("change voters", QueueFull, "", nil)
 	}
 	_, err := r.awaitResponse(ctx, reply)
 	return err
 }
 
-func (r *Group) voterChangeError(err error) error {
+func (r *Replica) voterChangeError(err error) error {
 	if consensus.IsNotLeader(err) {
-		return newError("change voters", NotLeader, r.Core.Leader(), nil)
+		return newError("change voters", NotLeader, r.Core.LeaderVM(), nil)
 	}
-	return newError("change voters", Refused, r.Core.Leader(), err)
+	return newError("change voters", ChangeRejected, r.Core.LeaderVM(), err)
 }
 
-func (r *Group) awaitResponse(ctx context.Context, reply chan response) ([]byte, error) {
+func (r *Replica) awaitResponse(ctx context.Context, reply chan response) ([]byte, error) {
 	select {
 	case o := <-reply:
 		return o.result, o.err
 	case <-ctx.Done():
-		return nil, newError("propose", Lost, "", ctx.Err())
+		return nil, newError("propose", LeadershipLost, "", ctx.Err())
 	case <-r.done:
 		return nil, newError("propose", Stopped, "", nil)
 	}
 }
 
-func (r *Group) enqueue(e event) bool {
+func (r *Replica) enqueue(e event) bool {
 	select {
 	case r.events <- e:
 		return true
@@ -118,10 +118,10 @@
 	}
 }
 
-// Members returns what this member knows of the others, if it leads the group.
-func (r *Group) Members(ctx context.Context) []consensus.Known {
-	reply := make(chan []consensus.Known, 1)
-	execute := func(now time.Time) { reply <- r.Core.Members(now) }
+// MemberStatuses returns what this member knows of the others, if it leads the group.
+func (r *Replica) MemberStatuses(ctx context.Context) []consensus.MemberStatus {
+	reply := make(chan []consensus.MemberStatus, 1)
+	execute := func(now time.Time) { reply <- r.Core.MemberStatuses(now) }
 	if !r.enqueue(event{
 		execute: execute,
 	}) {
--- a/core/coordination/limits/limits.go
+++ b/core/coordination/limits/limiter.go
@@ -24,10 +24,10 @@
 // concurrencyRetryAfter is what a caller is told when all its places are taken.
 const concurrencyRetryAfter = time.Second
 
-// Limits is one entry's account of each organisation.
-type Limits struct {
-	Clock   persimmoncross.Clock
-	Entries func() int // alive, at least 1
+// Limiter is one entry's account of each organisation.
+type Limiter struct {
+	Clock       persimmoncross.Clock
+	LiveEntries func() int // alive, at least 1
 
 	mu                  sync.Mutex // guards all below
 	usageByOrganisation map[string]*organisationUsage
@@ -47,19 +47,19 @@
 	inFlight   int
 }
 
-// Bounds are one organisation's numbers for the whole fleet.
-type Bounds struct {
-	Pool        string  // the model, version or cascade asked for
+// Quota are one organisation's numbers for the whole fleet.
+type Quota struct {
+	PoolName    string  // the model, version or cascade asked for
 	Capacity    int     // requests that the upstreams in question serve at once; 0 is unknown
 	Rate        float64 // requests a second
 	Burst       int
 	Concurrency int
 }
 
-// Enter admits a request of the organisation or refuses it with the time when
+// Admit admits a request of the organisation or refuses it with the time when
 // it would be admitted. The function it returns ends the request.
-func (l *Limits) Enter(organisation string, b Bounds) (release func(), refusal *persimmoncross.Refusal) {
-	entryShare := 1 / float64(max(1, l.Entries()))
+func (l *Limiter) Admit(organisation string, b Quota) (release func(), refusal *persimmoncross.Refusal) {
+	entryShare := 1 / float64(max(1, l.LiveEntries()))
 	rate := b.Rate * entryShare
 	burst := math.Max(1, float64(b.Burst)*entryShare)
 	maxConcurrent := int(math.Max(1, math.Ceil(float64(b.Concurrency)*entryShare)))
@@ -71,12 +71,12 @@
 	a.refilledAt = now
 	if a.tokens < 1 {
 		wait := time.Duration((1 - a.tokens) / rate * float64(time.Second))
-		return nil, persimmoncross.Refuse(persimmoncross.CodeRateLimited, "%s is over its rate of %g requests a second", organisation, b.Rate).After(wait)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeRateLimited, "%s is over its rate of %g requests a second", organisation, b.Rate).WithRetryAfter(wait)
 	}
 	if a.inFlight >= maxConcurrent {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeConcurrency, "%s has all of its %d places taken", organisation, b.Concurrency).After(concurrencyRetryAfter)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeConcurrencyLimited, "%s has all of its %d places taken", organisation, b.Concurrency).WithRetryAfter(concurrencyRetryAfter)
 	}
-	p := l.pool(b.Pool)
+	p := l.pool(b.PoolName)
 	if refusal := l.checkFairShare(organisation, p, b); refusal != nil {
 		return nil, refusal
 	}
@@ -87,7 +87,7 @@
 	return func() { once.Do(func() { l.release(a, p, organisation) }) }, nil
 }
 
-func (l *Limits) usageOf(organisation string, now time.Time, burst float64) *organisationUsage {
+func (l *Limiter) usageOf(organisation string, now time.Time, burst float64) *organisationUsage {
 	if l.usageByOrganisation == nil {
 		l.usageByOrganisation = map[string]*organisationUsage{}
 	}
@@ -102,7 +102,7 @@
 	return a
 }
 
-func (l *Limits) release(a *organisationUsage, p *upstreamPool, organisation string) {
+func (l *Limiter) release(a *organisationUsage, p *upstreamPool, organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.inFlight--
@@ -113,7 +113,7 @@
 // the pool is full: all slots taken, over all entries. An organisation's part
 // is an equal one among those that have anything running there; one that is
 // alone may queue, up to a bound.
-func (l *Limits) checkFairShare(organisation string, p *upstreamPool, b Bounds) *persimmoncross.Refusal {
+func (l *Limiter) checkFairShare(organisation string, p *upstreamPool, b Quota) *persimmoncross.Refusal {
 	if b.Capacity == 0 {
 		return nil
 	}
@@ -137,14 +137,14 @@
 	if float64(usage[organisation]) < math.Max(1, fairShare) {
 		return nil
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "the upstreams are full, and %s holds its part of them", organisation).After(overloadRetryAfter)
+	return persimmoncross.NewRefusal(persimmoncross.CodeOverloaded, "the upstreams are full, and %s holds its part of them", organisation).WithRetryAfter(overloadRetryAfter)
 }
 
 // estimateUsage estimates what each organisation runs of a pool at all entries: what
 // the others said last, and since then as much more or less as at this entry,
 // for the balancer treats them alike.
-func (l *Limits) estimateUsage(p *upstreamPool) map[string]int {
-	peerCount := max(1, l.Entries()) - 1
+func (l *Limiter) estimateUsage(p *upstreamPool) map[string]int {
+	peerCount := max(1, l.LiveEntries()) - 1
 	usage := map[string]int{}
 	for name, n := range p.peers {
 		usage[name] = n
@@ -168,8 +168,8 @@
 	return usage
 }
 
-// Observe takes what the other entries run now, by pool and organisation.
-func (l *Limits) Observe(usage map[string]map[string]int) {
+// SetPeerUsage takes what the other entries run now, by pool and organisation.
+func (l *Limiter) SetPeerUsage(usage map[string]map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name := range usage {
@@ -181,8 +181,8 @@
 	}
 }
 
-// Running returns what runs at this entry: by pool and organisation.
-func (l *Limits) Running() map[string]map[string]int {
+// LocalUsage returns what runs at this entry: by pool and organisation.
+func (l *Limiter) LocalUsage() map[string]map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string]map[string]int{}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (l *Limits) pool(name string) *upstreamPool {
+func (l *Limiter) pool(name string) *upstreamPool {
 	if l.pools == nil {
 		l.pools = map[string]*upstreamPool{}
 	}
--- a/core/coordination/limits/limits_test.go
+++ b/core/coordination/limits/limiter_test.go
@@ -16,13 +16,13 @@
 // Now implements [persimmoncross.Clock].
 func (c *fakeClock) Now() time.Time { return c.now }
 
-func newLimiter(entries int) (*Limits, *fakeClock) {
+func newLimiter(entries int) (*Limiter, *fakeClock) {
 	c := &fakeClock{
 		now: time.Unix(1000, 0),
 	}
-	return &Limits{
-		Clock:   c,
-		Entries: func() int { return entries },
+	return &Limiter{
+		Clock:       c,
+		LiveEntries: func() int { return entries },
 	}, c
 }
 
@@ -30,7 +30,7 @@
 func TestRetryAfterMatchesRateLimit(t *testing.T) {
 	for _, entries := range []int{1, 4} {
 		l, clock := newLimiter(entries)
-		b := Bounds{
+		b := Quota{
 			Rate:        8,
 			Burst:       8,
 			Concurrency: 1000,
@@ -38,7 +38,7 @@
 		admitted := 0
 		var refusal *persimmoncross.Refusal
 		for refusal == nil {
-			if _, refusal = l.Enter("o", b); refusal == nil {
+			if _, refusal = l.Admit("o", b); refusal == nil {
 				admitted++
 			}
 		}
@@ -46,27 +46,27 @@
 			t.Errorf("%d entries: %d admitted at once", entries, admitted)
 		}
 		clock.now = clock.now.Add(refusal.RetryAfter - time.Millisecond)
-		if _, early := l.Enter("o", b); early == nil {
+		if _, early := l.Admit("o", b); early == nil {
 			t.Errorf("%d entries: admitted too early", entries)
 		}
 		clock.now = clock.now.Add(time.Millisecond)
-		if _, late := l.Enter("o", b); late != nil {
+		if _, late := l.Admit("o", b); late != nil {
 			t.Errorf("%d entries: refused at the time it was told: %v", entries, late)
 		}
 	}
 }
 
 func TestFairShare(t *testing.T) {
-	b := Bounds{
+	b := Quota{
 		Rate:        1e6,
 		Burst:       1e6,
 		Concurrency: 1e6,
-		Pool:        "m",
+		PoolName:    "m",
 		Capacity:    100,
 	}
-	fill := func(l *Limits, organisation string) (n int, leave func()) {
+	fill := func(l *Limiter, organisation string) (n int, leave func()) {
 		for {
-			next, refusal := l.Enter(organisation, b)
+			next, refusal := l.Admit(organisation, b)
 			if refusal != nil {
 				return n, leave
 			}
@@ -82,7 +82,7 @@
 	})
 	t.Run("beside another", func(t *testing.T) {
 		l, _ := newLimiter(1)
-		l.Enter("small", b)
+		l.Admit("small", b)
 		if n, _ := fill(l, "big"); n != fairShareThreshold*100-1 {
 			t.Errorf("%d of big admitted", n)
 		}
@@ -92,29 +92,29 @@
 	})
 	t.Run("by what the others run", func(t *testing.T) {
 		l, _ := newLimiter(2)
-		l.Observe(map[string]map[string]int{
+		l.SetPeerUsage(map[string]map[string]int{
 			"m": {
 				"small": 1,
 				"big":   69,
 			},
 		})
-		if _, refusal := l.Enter("big", b); refusal == nil || refusal.Code != persimmoncross.CodeOverloaded {
+		if _, refusal := l.Admit("big", b); refusal == nil || refusal.Code != persimmoncross.CodeOverloaded {
 			t.Errorf("big: %v", refusal)
 		}
-		if _, refusal := l.Enter("small", b); refusal != nil {
+		if _, refusal := l.Admit("small", b); refusal != nil {
 			t.Errorf("small: %v", refusal)
 		}
 	})
 	t.Run("places come back", func(t *testing.T) {
 		l, _ := newLimiter(1)
-		l.Enter("small", b)
+		l.Admit("small", b)
 		_, leave := fill(l, "big")
 		leave()
 		leave() // ends it once only
-		if _, refusal := l.Enter("big", b); refusal != nil {
+		if _, refusal := l.Admit("big", b); refusal != nil {
 			t.Error(refusal)
 		}
-		if _, refusal := l.Enter("big", b); refusal == nil {
+		if _, refusal := l.Admit("big", b); refusal == nil {
 			t.Error("one place came back twice")
 		}
 	})
--- a/core/coordination/orders/orders.go
+++ b/core/coordination/orders/planner.go
@@ -18,38 +18,38 @@
 
 // Rules of the plan.
 const (
-	DefaultAtOnce = 2               // loads at once, if the settings don't say
-	loadTimeout   = 5 * time.Minute // a load that is not reported by then is ordered again
+	DefaultMaxConcurrentLoads = 2               // loads at once, if the settings don't say
+	loadTimeout               = 5 * time.Minute // a load that is not reported by then is ordered again
 )
 
 // The kinds of order.
 const (
-	Load   = "load"
-	Unload = "unload"
+	KindLoad   = "load"
+	KindUnload = "unload"
 )
 
 // Engine is an engine as the giver sees it.
 type Engine struct {
-	Name     string
-	Fencing  bool                     // it refuses old fencing numbers
-	Declared []persimmoncross.Version // what it should hold
-	Reported []persimmoncross.Version // what it says that it holds
-	Live     bool                     // it reports, and does not leave
-	Lives    uint64                   // how often it has started again
+	Name            string
+	SupportsFencing bool                          // it refuses old fencing numbers
+	Declared        []persimmoncross.ModelVersion // what it should hold
+	Reported        []persimmoncross.ModelVersion // what it says that it holds
+	Available       bool                          // it reports, and does not leave
+	Restarts        uint64                        // how often it has started again
 }
 
 // Order is one order to give.
 type Order struct {
 	Engine  string
 	Kind    string
-	Version persimmoncross.Version
+	Version persimmoncross.ModelVersion
 }
 
 // Planner plans one giver's orders.
 type Planner struct {
-	AtOnce int           // loads at once, over all engines: the weight store's limit
-	Since  time.Time     // when this VM became the giver
-	Lease  time.Duration // how long a former giver may still give orders
+	MaxConcurrentLoads int           // loads at once, over all engines: the weight store's limit
+	LeaderSince        time.Time     // when this VM became the giver
+	FormerLeaderLease  time.Duration // how long a former giver may still give orders
 
 	pendingLoads map[Order]pendingLoad // ordered, and not reported yet
 }
@@ -61,21 +61,21 @@
 }
 
 // Plan returns the orders to give now.
-func (p *Planner) Plan(now time.Time, engines []Engine, withdrawn map[persimmoncross.Version]bool) []Order {
+func (p *Planner) Plan(now time.Time, engines []Engine, withdrawn map[persimmoncross.ModelVersion]bool) []Order {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	p.prunePendingLoads(now, engines)
 	var list []Order
 	for _, e := range engines {
-		if !e.Live || len(e.Reported) == 0 || p.isLoading(e.Name) || !p.canOrder(now, e) {
+		if !e.Available || len(e.Reported) == 0 || p.isLoading(e.Name) || !p.canOrder(now, e) {
 			continue
 		}
 		if o, ok := p.nextOrder(e, engines, withdrawn); ok {
 			list = append(list, o)
-			if o.Kind == Load {
+			if o.Kind == KindLoad {
 				p.pendingLoads[o] = pendingLoad{
 					orderedAt:      now,
-					engineRestarts: e.Lives,
+					engineRestarts: e.Restarts,
 				}
 			}
 		}
@@ -85,11 +85,11 @@
 
 // canOrder reports whether the engine canOrder be ordered already.
 func (p *Planner) canOrder(now time.Time, e Engine) bool {
-	return e.Fencing || now.Sub(p.Since) > p.Lease
+	return e.SupportsFencing || now.Sub(p.LeaderSince) > p.FormerLeaderLease
 }
 
 // nextOrder returns the engine's nextOrder order: it loads before it unloads.
-func (p *Planner) nextOrder(e Engine, engines []Engine, withdrawn map[persimmoncross.Version]bool) (Order, bool) {
+func (p *Planner) nextOrder(e Engine, engines []Engine, withdrawn map[persimmoncross.ModelVersion]bool) (Order, bool) {
 	for _, v := range e.Declared {
 		if withdrawn[v] || slices.Contains(e.Reported, v) {
 			continue
@@ -97,7 +97,7 @@
 		if len(p.pendingLoads) < p.maxConcurrentLoads() && p.canSpare(e, engines) {
 			return Order{
 				Engine:  e.Name,
-				Kind:    Load,
+				Kind:    KindLoad,
 				Version: v,
 			}, true
 		}
@@ -110,7 +110,7 @@
 		if withdrawn[v] || !isDeclared(v, engines) || p.isServedElsewhere(v, e, engines) {
 			return Order{
 				Engine:  e.Name,
-				Kind:    Unload,
+				Kind:    KindUnload,
 				Version: v,
 			}, true
 		}
@@ -135,18 +135,18 @@
 }
 
 // isServedElsewhere reports whether another live engine that is not loading holds the version.
-func (p *Planner) isServedElsewhere(v persimmoncross.Version, except Engine, engines []Engine) bool {
+func (p *Planner) isServedElsewhere(v persimmoncross.ModelVersion, except Engine, engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(o Engine) bool {
-		return o.Name != except.Name && o.Live && !p.isLoading(o.Name) && slices.Contains(o.Reported, v)
+		return o.Name != except.Name && o.Available && !p.isLoading(o.Name) && slices.Contains(o.Reported, v)
 	})
 }
 
-func isDeclared(v persimmoncross.Version, engines []Engine) bool {
+func isDeclared(v persimmoncross.ModelVersion, engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(o Engine) bool { return slices.Contains(o.Declared, v) })
 }
 
-// Failed tells that a load could not be ordered.
-func (p *Planner) Failed(o Order) { delete(p.pendingLoads, o) }
+// OrderFailed tells that a load could not be ordered.
+func (p *Planner) OrderFailed(o Order) { delete(p.pendingLoads, o) }
 
 // isLoading reports whether the engine is loading.
 func (p *Planner) isLoading(engine string) bool {
@@ -166,15 +166,15 @@
 	}
 	for o, g := range p.pendingLoads {
 		i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == o.Engine })
-		if i < 0 || now.Sub(g.orderedAt) > loadTimeout || engines[i].Lives != g.engineRestarts || slices.Contains(engines[i].Reported, o.Version) {
+		if i < 0 || now.Sub(g.orderedAt) > loadTimeout || engines[i].Restarts != g.engineRestarts || slices.Contains(engines[i].Reported, o.Version) {
 			delete(p.pendingLoads, o)
 		}
 	}
 }
 
 func (p *Planner) maxConcurrentLoads() int {
-	if p.AtOnce == 0 {
-		return DefaultAtOnce
+	if p.MaxConcurrentLoads == 0 {
+		return DefaultMaxConcurrentLoads
 	}
-	return p.AtOnce
+	return p.MaxConcurrentLoads
 }
--- a/core/coordination/orders/orders_test.go
+++ b/core/coordination/orders/planner_test.go
@@ -11,21 +11,21 @@
 
 var start = time.Unix(1000, 0)
 
-func parseVersions(names ...string) []persimmoncross.Version {
-	var list []persimmoncross.Version
+func parseVersions(names ...string) []persimmoncross.ModelVersion {
+	var list []persimmoncross.ModelVersion
 	for _, n := range names {
-		list = append(list, persimmoncross.ParseVersion(n))
+		list = append(list, persimmoncross.ParseModelVersion(n))
 	}
 	return list
 }
 
-func newEngine(name string, declared, reported []persimmoncross.Version) Engine {
+func newEngine(name string, declared, reported []persimmoncross.ModelVersion) Engine {
 	return Engine{
-		Name:     name,
-		Fencing:  true,
-		Declared: declared,
-		Reported: reported,
-		Live:     true,
+		Name:            name,
+		SupportsFencing: true,
+		Declared:        declared,
+		Reported:        reported,
+		Available:       true,
 	}
 }
 
@@ -33,9 +33,9 @@
 	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
 	silent := newEngine("a", both, nil)
 	leaving := newEngine("a", both, one)
-	leaving.Live = false
+	leaving.Available = false
 	ignores := newEngine("a", both, one)
-	ignores.Fencing = false
+	ignores.SupportsFencing = false
 	for _, c := range []struct {
 		name      string
 		engines   []Engine
@@ -104,11 +104,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := &Planner{
-				Since: start,
-				Lease: 3 * time.Second,
+				LeaderSince:       start,
+				FormerLeaderLease: 3 * time.Second,
 			}
-			withdrawn := map[persimmoncross.Version]bool{
-				persimmoncross.ParseVersion(c.withdrawn): true,
+			withdrawn := map[persimmoncross.ModelVersion]bool{
+				persimmoncross.ParseModelVersion(c.withdrawn): true,
 			}
 			if got := fmt.Sprint(p.Plan(start.Add(c.after), c.engines, withdrawn)); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
@@ -122,8 +122,8 @@
 func TestLoadingAllEnginesKeepsCapacity(t *testing.T) {
 	const engines = 7
 	p := &Planner{
-		Since: start,
-		Lease: time.Second,
+		LeaderSince:       start,
+		FormerLeaderLease: time.Second,
 	}
 	var list []Engine
 	for i := range engines {
@@ -135,7 +135,7 @@
 		if len(given) == 0 {
 			break
 		}
-		if rounds++; len(given) > DefaultAtOnce || rounds > engines {
+		if rounds++; len(given) > DefaultMaxConcurrentLoads || rounds > engines {
 			t.Fatalf("round %d: %v", rounds, given)
 		}
 		if again := p.Plan(now, list, nil); len(again) != 0 {
@@ -158,7 +158,7 @@
 func TestLoadIsReorderedAfterEngineRestart(t *testing.T) {
 	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
 	p := &Planner{
-		Since: start,
+		LeaderSince: start,
 	}
 	a, b := newEngine("a", both, one), newEngine("b", one, one)
 	plan := func(after time.Duration) string {
@@ -171,11 +171,11 @@
 	}{
 		{"first", func() {}, "[{a load m@2}]"},
 		{"it loads", func() {}, "[]"},
-		{"it starts again while it loads", func() { a.Lives++ }, "[{a load m@2}]"},
+		{"it starts again while it loads", func() { a.Restarts++ }, "[{a load m@2}]"},
 		{"the later life loads", func() {}, "[]"},
-		{"another one starts again", func() { b.Lives++ }, "[]"},
+		{"another one starts again", func() { b.Restarts++ }, "[]"},
 		{"it is done", func() { a.Reported = both }, "[]"},
-		{"it starts again, and holds what it began with", func() { a.Lives++; a.Reported = one }, "[{a load m@2}]"},
+		{"it starts again, and holds what it began with", func() { a.Restarts++; a.Reported = one }, "[{a load m@2}]"},
 	} {
 		tt.change()
 		if got := plan(time.Second); got != tt.want {
--- a/core/coordination/outlier/breaker.go
+++ b/core/coordination/outlier/breaker.go
@@ -26,11 +26,11 @@
 	return b.openTime == 0 || !b.probing && !now.Before(b.openUntil)
 }
 
-// Begin notes that an attempt starts: with an open breaker it is the probe.
-func (b *Breaker) Begin() { b.probing = b.probing || b.openTime > 0 }
+// StartAttempt notes that an attempt starts: with an open breaker it is the probe.
+func (b *Breaker) StartAttempt() { b.probing = b.probing || b.openTime > 0 }
 
-// Note takes an attempt's outcome.
-func (b *Breaker) Note(failed bool, now time.Time) {
+// RecordOutcome takes an attempt's outcome.
+func (b *Breaker) RecordOutcome(failed bool, now time.Time) {
 	b.probing = false
 	if !failed {
 		b.errorRate -= errorRateWeight * b.errorRate
@@ -47,11 +47,11 @@
 	b.openUntil = now.Add(b.openTime)
 }
 
-// Forget ends a probe that gave no verdict, such as one that its caller left.
-func (b *Breaker) Forget() { b.probing = false }
+// AbandonProbe ends a probe that gave no verdict, such as one that its caller left.
+func (b *Breaker) AbandonProbe() { b.probing = false }
 
-// Errors returns the recent share of failed attempts.
-func (b *Breaker) Errors() float64 { return b.errorRate }
+// ErrorRate returns the recent share of failed attempts.
+func (b *Breaker) ErrorRate() float64 { return b.errorRate }
 
-// Open reports whether the breaker keeps work away.
-func (b *Breaker) Open() bool { return b.openTime > 0 }
+// IsOpen reports whether the breaker keeps work away.
+func (b *Breaker) IsOpen() bool { return b.openTime > 0 }
--- a/core/coordination/outlier/breaker_test.go
+++ b/core/coordination/outlier/breaker_test.go
@@ -9,8 +9,8 @@
 	now := time.Unix(1000, 0)
 	b := &Breaker{}
 	fail := func() {
-		b.Begin()
-		b.Note(true, now)
+		b.StartAttempt()
+		b.RecordOutcome(true, now)
 	}
 	for range failureThreshold - 1 {
 		fail()
@@ -28,23 +28,23 @@
 		if !b.Allows(now) {
 			t.Fatalf("allows no probe after %v", openTime)
 		}
-		b.Begin()
+		b.StartAttempt()
 		if b.Allows(now) {
 			t.Fatal("allows a second probe")
 		}
-		b.Note(true, now)
+		b.RecordOutcome(true, now)
 		openTime = min(2*openTime, maxOpenTime)
 	}
 	// A probe that its caller left gives no verdict: another may be sent.
 	now = now.Add(openTime)
-	b.Begin()
-	b.Forget()
+	b.StartAttempt()
+	b.AbandonProbe()
 	if !b.Allows(now) {
 		t.Error("allows no probe after one without a verdict")
 	}
-	b.Begin()
-	b.Note(false, now)
-	if !b.Allows(now) || b.Open() {
+	b.StartAttempt()
+	b.RecordOutcome(false, now)
+	if !b.Allows(now) || b.IsOpen() {
 		t.Error("stays open after a good probe")
 	}
 }
--- a/core/coordination/outlier/silence.go
+++ b/core/coordination/outlier/idle.go
@@ -29,44 +29,44 @@
 	pauseHalfLife = time.Second
 )
 
-// Silence tells how long an upstream may send nothing.
-type Silence struct {
-	Expected  time.Duration // in which a head that is awaited should come; 0: not known
-	Objective time.Duration // of the route
-	Pause     time.Duration // the route's longest between events; 0: not told
-	Begun     bool          // the head has come
-	Streams   int           // of this entry that have begun at the upstream
-	Usual     time.Duration // their longest pause lately
-	Reading   time.Duration // that the prompts take which are awaited at the upstream
-	Doubted   bool          // other entries doubt the upstream
+// IdleState tells how long an upstream may send nothing.
+type IdleState struct {
+	ExpectedHeaderWait time.Duration // in which a head that is awaited should come; 0: not known
+	Objective          time.Duration // of the route
+	PauseLimit         time.Duration // the route's longest between events; 0: not told
+	HeaderReceived     bool          // the head has come
+	ActiveStreams      int           // of this entry that have begun at the upstream
+	RecentPause        time.Duration // their longest pause lately
+	PendingPrefill     time.Duration // that the prompts take which are awaited at the upstream
+	SuspectedByOthers  bool          // other entries doubt the upstream
 }
 
-// Limit returns the time of silence after which the attempt is ended; false if
+// Timeout returns the time of silence after which the attempt is ended; false if
 // nothing limits it.
-func (s Silence) Limit() (time.Duration, bool) {
-	streamTimeout := max(time.Duration(pauseLimitFraction*float64(s.Pause)), time.Duration(recentPauseFactor*float64(s.Usual)))
-	if s.Doubted {
+func (s IdleState) Timeout() (time.Duration, bool) {
+	streamTimeout := max(time.Duration(pauseLimitFraction*float64(s.PauseLimit)), time.Duration(recentPauseFactor*float64(s.RecentPause)))
+	if s.SuspectedByOthers {
 		streamTimeout /= 2
 	}
-	streamTimeout += s.Reading
-	if s.Begun {
-		return streamTimeout, s.Pause > 0
+	streamTimeout += s.PendingPrefill
+	if s.HeaderReceived {
+		return streamTimeout, s.PauseLimit > 0
 	}
-	headerTimeout := max(time.Duration(headerWaitFactor*float64(s.Expected)), time.Duration(headerObjectiveFraction*float64(s.Objective)))
-	if s.Pause > 0 && s.Streams >= minActiveStreams {
+	headerTimeout := max(time.Duration(headerWaitFactor*float64(s.ExpectedHeaderWait)), time.Duration(headerObjectiveFraction*float64(s.Objective)))
+	if s.PauseLimit > 0 && s.ActiveStreams >= minActiveStreams {
 		headerTimeout = min(headerTimeout, streamTimeout)
 	}
-	return max(headerTimeout, minHeaderTimeout, prefillFactor*s.Reading), true
+	return max(headerTimeout, minHeaderTimeout, prefillFactor*s.PendingPrefill), true
 }
 
-// Pauses keeps the longest pause between events of an upstream's streams lately.
-type Pauses struct {
+// PauseTracker keeps the longest pause between events of an upstream's streams lately.
+type PauseTracker struct {
 	longest    time.Duration
 	recordedAt time.Time
 }
 
-// Take notes a pause that ended now.
-func (p *Pauses) Take(pause time.Duration, now time.Time) {
+// Record notes a pause that ended now.
+func (p *PauseTracker) Record(pause time.Duration, now time.Time) {
 	if pause >= p.Longest(now) {
 		p.longest = pause
 		p.recordedAt = now
@@ -74,7 +74,7 @@
 }
 
 // Longest returns the longest pause lately.
-func (p *Pauses) Longest(now time.Time) time.Duration {
+func (p *PauseTracker) Longest(now time.Time) time.Duration {
 	age := max(now.Sub(p.recordedAt), 0)
 	if age > 20*pauseHalfLife {
 		return 0
--- a/core/coordination/outlier/silence_test.go
+++ b/core/coordination/outlier/idle_test.go
@@ -9,13 +9,13 @@
 	const objective, pauseLimit = 3 * time.Second, time.Second
 	tests := []struct {
 		name    string
-		state   Silence
+		state   IdleState
 		timeout time.Duration
 		ok      bool
 	}{
 		{
 			name: "a head of which nothing is known",
-			state: Silence{
+			state: IdleState{
 				Objective: objective,
 			},
 			timeout: 1200 * time.Millisecond,
@@ -23,78 +23,78 @@
 		},
 		{
 			name: "a head that takes long by itself",
-			state: Silence{
-				Expected:  time.Second,
-				Objective: objective,
+			state: IdleState{
+				ExpectedHeaderWait: time.Second,
+				Objective:          objective,
 			},
 			timeout: 4 * time.Second,
 			ok:      true,
 		},
 		{
 			name: "a head at an upstream whose streams should be heard",
-			state: Silence{
-				Expected:  time.Second,
-				Objective: objective,
-				Pause:     pauseLimit,
-				Streams:   3,
+			state: IdleState{
+				ExpectedHeaderWait: time.Second,
+				Objective:          objective,
+				PauseLimit:         pauseLimit,
+				ActiveStreams:      3,
 			},
 			timeout: 600 * time.Millisecond,
 			ok:      true,
 		},
 		{
 			name: "one stream alone says nothing of a head",
-			state: Silence{
-				Objective: objective,
-				Pause:     pauseLimit,
-				Streams:   1,
+			state: IdleState{
+				Objective:     objective,
+				PauseLimit:    pauseLimit,
+				ActiveStreams: 1,
 			},
 			timeout: 1200 * time.Millisecond,
 			ok:      true,
 		},
 		{
 			name: "a stream",
-			state: Silence{
-				Pause: pauseLimit,
-				Begun: true,
+			state: IdleState{
+				PauseLimit:     pauseLimit,
+				HeaderReceived: true,
 			},
 			timeout: 600 * time.Millisecond,
 			ok:      true,
 		},
 		{
 			name: "a stream beside a long prompt",
-			state: Silence{
-				Pause: pauseLimit,
-				Begun: true,
-				Usual: 450 * time.Millisecond,
+			state: IdleState{
+				PauseLimit:     pauseLimit,
+				HeaderReceived: true,
+				RecentPause:    450 * time.Millisecond,
 			},
 			timeout: 900 * time.Millisecond,
 			ok:      true,
 		},
 		{
 			name: "a head behind a long prompt",
-			state: Silence{
-				Objective: objective,
-				Reading:   2 * time.Second,
+			state: IdleState{
+				Objective:      objective,
+				PendingPrefill: 2 * time.Second,
 			},
 			timeout: 4 * time.Second,
 			ok:      true,
 		},
 		{
 			name: "a stream whose upstream reads a long prompt",
-			state: Silence{
-				Pause:   pauseLimit,
-				Begun:   true,
-				Reading: 2 * time.Second,
+			state: IdleState{
+				PauseLimit:     pauseLimit,
+				HeaderReceived: true,
+				PendingPrefill: 2 * time.Second,
 			},
 			timeout: 2600 * time.Millisecond,
 			ok:      true,
 		},
 		{
 			name: "a stream whose upstream others doubt",
-			state: Silence{
-				Pause:   pauseLimit,
-				Begun:   true,
-				Doubted: true,
+			state: IdleState{
+				PauseLimit:        pauseLimit,
+				HeaderReceived:    true,
+				SuspectedByOthers: true,
 			},
 			timeout: 300 * time.Millisecond,
 			ok:      true,
@@ -106,14 +106,14 @@
 		},
 		{
 			name: "a stream of a route without a longest pause",
-			state: Silence{
-				Objective: objective,
-				Begun:     true,
+			state: IdleState{
+				Objective:      objective,
+				HeaderReceived: true,
 			},
 		},
 	}
 	for _, tt := range tests {
-		limit, ok := tt.state.Limit()
+		limit, ok := tt.state.Timeout()
 		if ok != tt.ok || ok && limit != tt.timeout {
 			t.Errorf("%s: %v %v, want %v %v", tt.name, limit, ok, tt.timeout, tt.ok)
 		}
@@ -123,16 +123,16 @@
 // A long pause is remembered for seconds, and a longer one replaces it.
 func TestPauseTracker(t *testing.T) {
 	now := time.Unix(100, 0)
-	p := &Pauses{}
+	p := &PauseTracker{}
 	if got := p.Longest(now); got != 0 {
 		t.Errorf("of no stream the longest pause is %v", got)
 	}
-	p.Take(400*time.Millisecond, now)
-	p.Take(80*time.Millisecond, now.Add(time.Second))
+	p.Record(400*time.Millisecond, now)
+	p.Record(80*time.Millisecond, now.Add(time.Second))
 	if got := p.Longest(now.Add(time.Second)); got != 200*time.Millisecond {
 		t.Errorf("after a second it is %v, want half", got)
 	}
-	p.Take(250*time.Millisecond, now.Add(time.Second))
+	p.Record(250*time.Millisecond, now.Add(time.Second))
 	if got := p.Longest(now.Add(time.Second)); got != 250*time.Millisecond {
 		t.Errorf("a longer one gives %v", got)
 	}
@@ -146,15 +146,15 @@
 	s := &Suspicion{}
 	for _, want := range []time.Duration{1, 2, 4, 8, 8} {
 		want *= time.Second
-		s.Doubt(now)
-		if !s.Holds(now.Add(want-time.Millisecond)) || s.Holds(now.Add(want)) {
+		s.Suspect(now)
+		if !s.IsActive(now.Add(want-time.Millisecond)) || s.IsActive(now.Add(want)) {
 			t.Fatalf("the suspicion does not last %v", want)
 		}
 		now = now.Add(want)
 	}
-	s.Trust()
-	s.Doubt(now)
-	if s.Holds(now.Add(SuspectFirst)) {
+	s.Clear()
+	s.Suspect(now)
+	if s.IsActive(now.Add(InitialSuspicion)) {
 		t.Error("after an answer the suspicion does not begin anew")
 	}
 }
--- a/core/coordination/outlier/links.go
+++ b/core/coordination/outlier/lossylinks.go
@@ -25,9 +25,9 @@
 // minLossDelay is that of an answer that is no stream: a lost packet of a few.
 const minLossDelay = 100 * time.Millisecond
 
-// Links judges the links from here to data centres by how events come. The zero
+// LossyLinks judges the links from here to data centres by how events come. The zero
 // value suspects none.
-type Links struct {
+type LossyLinks struct {
 	byDataCentre map[string]*lossyLink
 }
 
@@ -36,9 +36,9 @@
 	duration   time.Duration
 }
 
-// Came notes events of a stream that came together after so long a wait, and
+// RecordEvents notes events of a stream that came together after so long a wait, and
 // reports whether they were held up.
-func (l *Links) Came(dataCentre string, stall time.Duration, events int, now time.Time) bool {
+func (l *LossyLinks) RecordEvents(dataCentre string, stall time.Duration, events int, now time.Time) bool {
 	if stall < minStall || events < 2 {
 		return false
 	}
@@ -62,9 +62,9 @@
 	return true
 }
 
-// Cost returns what the link to a data centre is expected to cost an answer of
+// ExpectedDelay returns what the link to a data centre is expected to cost an answer of
 // up to so many tokens, as a wait; 0 tokens: no stream.
-func (l *Links) Cost(dataCentre string, tokens int, now time.Time) time.Duration {
+func (l *LossyLinks) ExpectedDelay(dataCentre string, tokens int, now time.Time) time.Duration {
 	link := l.byDataCentre[dataCentre]
 	if link == nil || !now.Before(link.lossyUntil) {
 		return 0
--- a/core/coordination/outlier/links_test.go
+++ b/core/coordination/outlier/lossylinks_test.go
@@ -18,11 +18,11 @@
 		{"several after a wait", 200 * time.Millisecond, 3, true},
 	}
 	for _, tt := range tests {
-		l := &Links{}
-		if got := l.Came("b", tt.stall, tt.events, now); got != tt.delayed {
+		l := &LossyLinks{}
+		if got := l.RecordEvents("b", tt.stall, tt.events, now); got != tt.delayed {
 			t.Errorf("%s: held up %v", tt.name, got)
 		}
-		if got := l.Cost("b", 400, now) > 0; got != tt.delayed {
+		if got := l.ExpectedDelay("b", 400, now) > 0; got != tt.delayed {
 			t.Errorf("%s: costs %v", tt.name, got)
 		}
 	}
@@ -32,27 +32,27 @@
 // and the suspicion ends by itself, later each time it returns soon.
 func TestExpectedDelay(t *testing.T) {
 	now := time.Unix(100, 0)
-	l := &Links{}
-	l.Came("b", 200*time.Millisecond, 2, now)
-	if long, short := l.Cost("b", 400, now), l.Cost("b", 25, now); long != 800*time.Millisecond || short >= long || short == 0 {
+	l := &LossyLinks{}
+	l.RecordEvents("b", 200*time.Millisecond, 2, now)
+	if long, short := l.ExpectedDelay("b", 400, now), l.ExpectedDelay("b", 25, now); long != 800*time.Millisecond || short >= long || short == 0 {
 		t.Errorf("a long stream costs %v, a short one %v", long, short)
 	}
-	if got := l.Cost("b", 0, now); got != minLossDelay {
+	if got := l.ExpectedDelay("b", 0, now); got != minLossDelay {
 		t.Errorf("an answer that is no stream costs %v", got)
 	}
-	if got := l.Cost("c", 400, now); got != 0 {
+	if got := l.ExpectedDelay("c", 400, now); got != 0 {
 		t.Errorf("another link costs %v", got)
 	}
 	now = now.Add(initialLossyDuration)
-	if got := l.Cost("b", 400, now); got != 0 {
+	if got := l.ExpectedDelay("b", 400, now); got != 0 {
 		t.Errorf("after the suspicion it costs %v", got)
 	}
-	l.Came("b", 200*time.Millisecond, 2, now.Add(time.Second))
-	if l.Cost("b", 400, now.Add(2*initialLossyDuration)) == 0 {
+	l.RecordEvents("b", 200*time.Millisecond, 2, now.Add(time.Second))
+	if l.ExpectedDelay("b", 400, now.Add(2*initialLossyDuration)) == 0 {
 		t.Error("a suspicion that returns soon is no longer than the first")
 	}
-	l.Came("b", 200*time.Millisecond, 2, now.Add(time.Minute))
-	if l.Cost("b", 400, now.Add(time.Minute+initialLossyDuration)) != 0 {
+	l.RecordEvents("b", 200*time.Millisecond, 2, now.Add(time.Minute))
+	if l.ExpectedDelay("b", 400, now.Add(time.Minute+initialLossyDuration)) != 0 {
 		t.Error("one that returns after a minute is longer than the first")
 	}
 }
--- a/core/coordination/outlier/stranger.go
+++ b/core/coordination/outlier/misdirection.go
@@ -13,24 +13,24 @@
 	maxMisdirectionPause     = 16 * time.Second
 )
 
-// Stranger remembers that another upstream answered at an address. The zero value
+// Misdirection remembers that another upstream answered at an address. The zero value
 // is none.
-type Stranger struct {
+type Misdirection struct {
 	avoidUntil time.Time
 	pause      time.Duration
 }
 
-// Found notes that another answered.
-func (s *Stranger) Found(now time.Time) {
-	if now.Before(s.avoidUntil) {
+// Record notes that another answered.
+func (m *Misdirection) Record(now time.Time) {
+	if now.Before(m.avoidUntil) {
 		return
 	}
-	s.pause = min(max(2*s.pause, initialMisdirectionPause), maxMisdirectionPause)
-	s.avoidUntil = now.Add(s.pause)
+	m.pause = min(max(2*m.pause, initialMisdirectionPause), maxMisdirectionPause)
+	m.avoidUntil = now.Add(m.pause)
 }
 
-// Gone notes that the right one answered.
-func (s *Stranger) Gone() { *s = Stranger{} }
+// Clear notes that the right one answered.
+func (m *Misdirection) Clear() { *m = Misdirection{} }
 
-// Holds reports whether the address is left alone.
-func (s *Stranger) Holds(now time.Time) bool { return now.Before(s.avoidUntil) }
+// IsActive reports whether the address is left alone.
+func (m *Misdirection) IsActive(now time.Time) bool { return now.Before(m.avoidUntil) }
--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -37,24 +37,24 @@
 
 // Candidate is what is known of an upstream that could get the request.
 type Candidate struct {
-	ID      string        // of the incarnation: alike at all entries
-	Slots   int           // that it serves at once
-	Weight  float64       // for how many entries this one sends there, of prompts with a home; 0 is 1
-	Share   float64       // of its slots that are taken, by this entry's knowledge
-	Crowd   float64       // requests there, by all entries' knowledge
-	Head    time.Duration // in which it begins answers lately
-	Reading time.Duration // that the prompts take which have not begun there
-	Link    time.Duration // that the link to it is expected to cost the answer, as a wait
+	ID                string        // of the incarnation: alike at all entries
+	Slots             int           // that it serves at once
+	HashWeight        float64       // for how many entries this one sends there, of prompts with a home; 0 is 1
+	SlotUtilization   float64       // of its slots that are taken, by this entry's knowledge
+	InflightRequests  float64       // requests there, by all entries' knowledge
+	TimeToFirstToken  time.Duration // in which it begins answers lately
+	QueuedPrefillTime time.Duration // that the prompts take which have not begun there
+	LinkDelay         time.Duration // that the link to it is expected to cost the answer, as a wait
 }
 
 // Prompt is what placing needs to know of a request's prompt.
 type Prompt struct {
-	Home   string        // key of the deepest part that others share; "": no prompt
-	Reread time.Duration // that reading the shared parts again takes
+	PrefixKey         string        // key of the deepest part that others share; "": no prompt
+	PrefixPrefillTime time.Duration // that reading the shared parts again takes
 }
 
-// None stands for no candidate.
-const None = -1
+// NoCandidate stands for no candidate.
+const NoCandidate = -1
 
 // Place returns the index of the candidate that gets the request, and that of
 // the one to copy the prompt's shared parts from, None if none is to be asked.
@@ -62,32 +62,32 @@
 // all pick the same.
 func Place(candidates []Candidate, p Prompt, tieBreaker uint64) (target, copyFrom int) {
 	eligible := withoutSlowOutliers(candidates)
-	if p.Home == "" {
-		return leastLoaded(candidates, eligible, tieBreaker), None
+	if p.PrefixKey == "" {
+		return leastLoaded(candidates, eligible, tieBreaker), NoCandidate
 	}
 	meanWait := time.Duration(0)
 	for _, i := range eligible {
-		meanWait += candidates[i].Outlook() / time.Duration(len(eligible))
+		meanWait += candidates[i].ExpectedWait() / time.Duration(len(eligible))
 	}
-	ranked := rankByPrefix(candidates, eligible, p.Home)
+	ranked := rankByPrefix(candidates, eligible, p.PrefixKey)
 	preferred := ranked[0]
-	if candidates[preferred].Outlook() <= meanWait+maxExtraWait+maxWaitPerPrefixPrefill*p.Reread {
-		return preferred, None
+	if candidates[preferred].ExpectedWait() <= meanWait+maxExtraWait+maxWaitPerPrefixPrefill*p.PrefixPrefillTime {
+		return preferred, NoCandidate
 	}
 	for _, i := range ranked[1:] {
-		if candidates[i].Outlook() <= meanWait+maxExtraWait {
+		if candidates[i].ExpectedWait() <= meanWait+maxExtraWait {
 			return i, preferred
 		}
 	}
-	return preferred, None // not reached: the least waits no longer than the mean
+	return preferred, NoCandidate // not reached: the least waits no longer than the mean
 }
 
-// Outlook estimates how long a prompt waits at the candidate before it is read,
+// ExpectedWait estimates how long a prompt waits at the candidate before it is read,
 // and what the link costs it.
-func (c Candidate) Outlook() time.Duration {
+func (c Candidate) ExpectedWait() time.Duration {
 	slots := float64(max(c.Slots, 1))
-	excess := max(c.Crowd+2-slots, 0) // with this request, one slot is kept free
-	return c.Link + c.Reading + time.Duration(excess/slots*float64(meanSlotHoldTime))
+	excess := max(c.InflightRequests+2-slots, 0) // with this request, one slot is kept free
+	return c.LinkDelay + c.QueuedPrefillTime + time.Duration(excess/slots*float64(meanSlotHoldTime))
 }
 
 // withoutSlowOutliers returns the candidates that do not begin answers much later than the
@@ -98,12 +98,12 @@
 func withoutSlowOutliers(candidates []Candidate) []int {
 	meanTimeToFirstToken := time.Duration(0)
 	for _, c := range candidates {
-		meanTimeToFirstToken += c.Head / time.Duration(len(candidates))
+		meanTimeToFirstToken += c.TimeToFirstToken / time.Duration(len(candidates))
 	}
 	maxTimeToFirstToken := time.Duration(outlierFactor*float64(meanTimeToFirstToken)) + outlierMargin
 	var kept []int // never empty: the least is not over the mean
 	for i, c := range candidates {
-		if c.Head <= maxTimeToFirstToken {
+		if c.TimeToFirstToken <= maxTimeToFirstToken {
 			kept = append(kept, i)
 		}
 	}
@@ -126,7 +126,7 @@
 func rendezvousWeight(c Candidate, prefixKey string) float64 {
 	hash := xxhash.Sum64String(prefixKey + "\x00" + c.ID)
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
-	return -float64(max(c.Slots, 1)) * max(c.Weight, 1) / math.Log(unit)
+	return -float64(max(c.Slots, 1)) * max(c.HashWeight, 1) / math.Log(unit)
 }
 
 // utilizationPerLinkSecond is the part of an upstream's slots that may be taken before a request
@@ -134,7 +134,9 @@
 const utilizationPerLinkSecond = 5.0
 
 // load compares candidates for a request without a prompt.
-func (c Candidate) load() float64 { return c.Share + utilizationPerLinkSecond*c.Link.Seconds() }
+func (c Candidate) load() float64 {
+	return c.SlotUtilization + utilizationPerLinkSecond*c.LinkDelay.Seconds()
+}
 
 // leastLoaded returns the leastLoaded loaded candidate.
 func leastLoaded(candidates []Candidate, eligible []int, tieBreaker uint64) int {
--- a/core/coordination/placement/placement_test.go
+++ b/core/coordination/placement/placement_test.go
@@ -21,26 +21,26 @@
 // all links are alike, and waits there rather than for much longer elsewhere.
 func TestPreferredUpstreamBehindLossyLink(t *testing.T) {
 	p := Prompt{
-		Home: "part",
+		PrefixKey: "part",
 	}
 	candidates := idleCandidates(4)
 	preferred, _ := Place(candidates, p, 0)
-	candidates[preferred].Link = 800 * time.Millisecond
+	candidates[preferred].LinkDelay = 800 * time.Millisecond
 	if got, _ := Place(candidates, p, 0); got == preferred {
 		t.Error("a prompt stays behind a lossy link")
 	}
 	for i := range candidates {
-		candidates[i].Link = 800 * time.Millisecond
+		candidates[i].LinkDelay = 800 * time.Millisecond
 	}
 	if got, _ := Place(candidates, p, 0); got != preferred {
 		t.Error("a prompt leaves its home though all links lose packets")
 	}
 	for i := range candidates {
-		candidates[i].Link = 0
-		candidates[i].Reading = 3 * time.Second
+		candidates[i].LinkDelay = 0
+		candidates[i].QueuedPrefillTime = 3 * time.Second
 	}
-	candidates[preferred].Link = 800 * time.Millisecond
-	candidates[preferred].Reading = 0
+	candidates[preferred].LinkDelay = 800 * time.Millisecond
+	candidates[preferred].QueuedPrefillTime = 0
 	if got, _ := Place(candidates, p, 0); got != preferred {
 		t.Error("a prompt waits 3 s for fear of a lossy link")
 	}
@@ -50,15 +50,15 @@
 // the others are much fuller.
 func TestRequestsWithoutPromptGoToLeastLoaded(t *testing.T) {
 	candidates := idleCandidates(3)
-	candidates[0].Share, candidates[1].Share, candidates[2].Share = 0.4, 0.1, 0.3
-	if got, copyFrom := Place(candidates, Prompt{}, 7); got != 1 || copyFrom != None {
+	candidates[0].SlotUtilization, candidates[1].SlotUtilization, candidates[2].SlotUtilization = 0.4, 0.1, 0.3
+	if got, copyFrom := Place(candidates, Prompt{}, 7); got != 1 || copyFrom != NoCandidate {
 		t.Errorf("placed at %d, copied from %d", got, copyFrom)
 	}
-	candidates[1].Link = lossyLinkDelay
+	candidates[1].LinkDelay = lossyLinkDelay
 	if got, _ := Place(candidates, Prompt{}, 7); got != 2 {
 		t.Errorf("with a lossy link to the least taken placed at %d", got)
 	}
-	candidates[0].Share, candidates[2].Share = 0.9, 0.9
+	candidates[0].SlotUtilization, candidates[2].SlotUtilization = 0.9, 0.9
 	if got, _ := Place(candidates, Prompt{}, 7); got != 1 {
 		t.Errorf("with full ones beside it placed at %d", got)
 	}
@@ -81,9 +81,9 @@
 // One candidate is taken whatever is known of it.
 func TestSingleCandidate(t *testing.T) {
 	candidates := idleCandidates(1)
-	candidates[0].Head, candidates[0].Reading, candidates[0].Crowd = time.Minute, time.Minute, 99
-	for _, p := range []Prompt{{}, {Home: "part"}} {
-		if target, copyFrom := Place(candidates, p, 3); target != 0 || copyFrom != None {
+	candidates[0].TimeToFirstToken, candidates[0].QueuedPrefillTime, candidates[0].InflightRequests = time.Minute, time.Minute, 99
+	for _, p := range []Prompt{{}, {PrefixKey: "part"}} {
+		if target, copyFrom := Place(candidates, p, 3); target != 0 || copyFrom != NoCandidate {
 			t.Errorf("%+v: placed at %d, copied from %d", p, target, copyFrom)
 		}
 	}
@@ -112,11 +112,11 @@
 					continue
 				}
 				if i == 0 {
-					c.Weight = tt.hashWeight
+					c.HashWeight = tt.hashWeight
 				}
 				candidates = append(candidates, c)
 			}
-			target, _ := Place(candidates, Prompt{Home: fmt.Sprint("h", p)}, 0)
+			target, _ := Place(candidates, Prompt{PrefixKey: fmt.Sprint("h", p)}, 0)
 			if candidates[target].ID == "u0" {
 				coldRequests++
 			}
