--- a/core/coordination/quarantine/cuts.go
+++ b/core/coordination/quarantine/disconnect.go
@@ -38,10 +38,10 @@
 	probeDeadline time.Time // by which that look is over
 }
 
-// Cut notes that the answer broke off or the connection ended before it. It
+// MarkDisconnected notes that the answer broke off or the connection ended before it. It
 // returns true if it is to be found out whether the upstream has ended (see
-// [Book.Ended] and [Book.Listens]): nobody does so yet.
-func (r *Run) Cut(now time.Time) bool {
+// [Recorder.InstanceExited] and [Recorder.InstanceListening]): nobody does so yet.
+func (r *Run) MarkDisconnected(now time.Time) bool {
 	rec := r.recorder
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -77,34 +77,34 @@
 }
 
 // pruneDisconnects drops what waits for too long. The caller holds mu.
-func (b *Book) pruneDisconnects(now time.Time) {
-	for instanceID, pending := range b.pending {
+func (rec *Recorder) pruneDisconnects(now time.Time) {
+	for instanceID, pending := range rec.pending {
 		pending.disconnects = slices.DeleteFunc(pending.disconnects, func(d disconnect) bool { return now.Sub(d.at) > replacementWindow })
 		if len(pending.disconnects) == 0 {
-			delete(b.pending, instanceID)
+			delete(rec.pending, instanceID)
 		}
 	}
-	for instanceID, at := range b.crashedAt {
+	for instanceID, at := range rec.crashedAt {
 		if now.Sub(at) > crashedInstanceRetention {
-			delete(b.crashedAt, instanceID)
+			delete(rec.crashedAt, instanceID)
 		}
 	}
 }
 
-// Ended notes that nothing listens at the upstream's address any more: its process
+// InstanceExited notes that nothing listens at the upstream's address any more: its process
 // has ended. It returns the digests of the requests that ran there.
-func (b *Book) Ended(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.attributeCrash(instanceID, now, func(c disconnect, _ time.Time) bool { return now.Sub(c.at) <= probeWindow && !c.listenedAfter })
+func (rec *Recorder) InstanceExited(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return rec.attributeCrash(instanceID, now, func(d disconnect, _ time.Time) bool { return now.Sub(d.at) <= probeWindow && !d.listenedAfter })
 }
 
-// Listens notes that a connection to the upstream's address works, or is not
+// InstanceListening notes that a connection to the upstream's address works, or is not
 // answered: it lives, or something before it takes connections in its place.
-func (b *Book) Listens(instanceID string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	pending := b.pending[instanceID]
+func (rec *Recorder) InstanceListening(instanceID string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	pending := rec.pending[instanceID]
 	if pending == nil {
 		return
 	}
@@ -114,39 +114,39 @@
 	}
 }
 
-// Succeeded notes that the list has a later life in the place of this one. If answers
+// InstanceReplaced notes that the list has a later life in the place of this one. If answers
 // broke off there and nothing was heard of it since, it ended with the first of them.
 // What was sent later than that met only what stands before the upstream. It returns
 // the digests of the requests that ran there.
-func (b *Book) Succeeded(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.attributeCrash(instanceID, now, func(c disconnect, first time.Time) bool {
-		return now.Sub(c.at) <= replacementWindow && !c.run.sentAt.After(first)
+func (rec *Recorder) InstanceReplaced(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return rec.attributeCrash(instanceID, now, func(d disconnect, firstAt time.Time) bool {
+		return now.Sub(d.at) <= replacementWindow && !d.run.sentAt.After(firstAt)
 	})
 }
 
 // attributeCrash blames the cuts at the life that count, given when the first of them came.
 // The caller holds mu.
-func (b *Book) attributeCrash(instanceID string, now time.Time, wasRunning func(d disconnect, firstAt time.Time) bool) (blamed []persimmoncross.Digest) {
-	b.pruneDisconnects(now)
-	pending := b.pending[instanceID]
+func (rec *Recorder) attributeCrash(instanceID string, now time.Time, wasRunning func(d disconnect, firstAt time.Time) bool) (blamed []persimmoncross.Digest) {
+	rec.pruneDisconnects(now)
+	pending := rec.pending[instanceID]
 	if pending == nil {
 		return nil
 	}
-	delete(b.pending, instanceID)
+	delete(rec.pending, instanceID)
 	firstAt := pending.disconnects[0].at
 	for _, d := range pending.disconnects {
 		if !wasRunning(d, firstAt) {
 			continue
 		}
-		if b.crashedAt == nil {
-			b.crashedAt = map[string]time.Time{}
+		if rec.crashedAt == nil {
+			rec.crashedAt = map[string]time.Time{}
 		}
-		if _, ok := b.crashedAt[instanceID]; !ok {
-			b.crashedAt[instanceID] = d.at
+		if _, ok := rec.crashedAt[instanceID]; !ok {
+			rec.crashedAt[instanceID] = d.at
 		}
-		b.recordCrash(d, b.crashedAt[instanceID])
+		rec.recordCrash(d, rec.crashedAt[instanceID])
 		blamed = append(blamed, d.run.digest)
 	}
 	return blamed
@@ -154,20 +154,20 @@
 
 // markAlive notes that the life has begun a run that was sent then: what broke off there
 // before did not end it. The caller holds mu.
-func (b *Book) markAlive(instanceID string, sentAt time.Time) {
-	pending := b.pending[instanceID]
+func (rec *Recorder) markAlive(instanceID string, sentAt time.Time) {
+	pending := rec.pending[instanceID]
 	if pending == nil {
 		return
 	}
 	pending.disconnects = slices.DeleteFunc(pending.disconnects, func(d disconnect) bool { return d.at.Before(sentAt) })
 	if len(pending.disconnects) == 0 {
-		delete(b.pending, instanceID)
+		delete(rec.pending, instanceID)
 	}
 }
 
 // recordCrash notes an end under a run, unless it was sent later than that. The caller holds
 // mu.
-func (b *Book) recordCrash(d disconnect, at time.Time) {
+func (rec *Recorder) recordCrash(d disconnect, at time.Time) {
 	if d.run.sentAt.After(at) {
 		return
 	}
@@ -175,12 +175,12 @@
 	if startedAt.IsZero() {
 		startedAt = d.run.sentAt
 	}
-	record := b.recordFor(d.run.digest, d.run.service, d.at)
-	record.Asked, record.Asker = d.at, b.VM
-	record.addCrash(End{
-		Life: d.run.instanceID,
-		At:   at,
-		Ran:  max(at.Sub(startedAt), 0),
+	record := rec.recordFor(d.run.digest, d.run.service, d.at)
+	record.LastRequested, record.LastRequestedBy = d.at, rec.VM
+	record.addCrash(Crash{
+		InstanceID: d.run.instanceID,
+		At:         at,
+		RunTime:    max(at.Sub(startedAt), 0),
 	})
-	b.markChanged(record)
+	rec.markChanged(record)
 }
--- a/core/coordination/quarantine/cuts_test.go
+++ b/core/coordination/quarantine/disconnect_test.go
@@ -13,17 +13,19 @@
 	const instanceID = "u"
 	type step struct {
 		after time.Duration
-		do    func(b *Book, now time.Time)
+		do    func(b *Recorder, now time.Time)
 	}
-	begin := func(b *Book, d persimmoncross.Digest, now time.Time) *Run { return b.Begin(d, "s", instanceID, now) }
-	disconnectAfter := func(runTime time.Duration) func(b *Book, now time.Time) {
-		return func(b *Book, now time.Time) { begin(b, crasher, now.Add(-runTime)).Cut(now) }
+	begin := func(b *Recorder, d persimmoncross.Digest, now time.Time) *Run {
+		return b.BeginRun(d, "s", instanceID, now)
 	}
-	listening := func(b *Book, _ time.Time) { b.Listens(instanceID) }
-	exited := func(b *Book, now time.Time) { b.Ended(instanceID, now) }
-	replaced := func(b *Book, now time.Time) { b.Succeeded(instanceID, now) }
-	started := func(b *Book, now time.Time) { begin(b, harmless, now).Begun(now) }
-	completed := func(b *Book, now time.Time) { begin(b, harmless, now).Whole(now) }
+	disconnectAfter := func(runTime time.Duration) func(b *Recorder, now time.Time) {
+		return func(b *Recorder, now time.Time) { begin(b, crasher, now.Add(-runTime)).MarkDisconnected(now) }
+	}
+	listening := func(b *Recorder, _ time.Time) { b.InstanceListening(instanceID) }
+	exited := func(b *Recorder, now time.Time) { b.InstanceExited(instanceID, now) }
+	replaced := func(b *Recorder, now time.Time) { b.InstanceReplaced(instanceID, now) }
+	started := func(b *Recorder, now time.Time) { begin(b, harmless, now).MarkStarted(now) }
+	completed := func(b *Recorder, now time.Time) { begin(b, harmless, now).MarkCompleted(now) }
 	for _, tt := range []struct {
 		name    string
 		steps   []step
@@ -39,7 +41,7 @@
 		{"a cut, an answer, and an end", []step{{0, disconnectAfter(time.Second)}, {time.Second, completed}, {time.Second, disconnectAfter(time.Millisecond)}, {time.Second, replaced}}, 1},
 		{"an old cut, and a refused connection", []step{{0, disconnectAfter(time.Second)}, {time.Millisecond, listening}, {2 * probeWindow, exited}}, 0},
 	} {
-		b := &Book{
+		b := &Recorder{
 			VM: "vm",
 		}
 		now := time.Unix(1000, 0)
@@ -47,10 +49,10 @@
 			now = now.Add(s.after)
 			s.do(b, now)
 		}
-		records, _ := b.Cases(0, now)
+		records, _ := b.Records(0, now)
 		crashes := 0
 		for _, r := range records {
-			crashes += len(r.Ends)
+			crashes += len(r.Crashes)
 		}
 		if crashes != tt.crashes {
 			t.Errorf("%s: %d ends, want %d", tt.name, crashes, tt.crashes)
@@ -62,35 +64,35 @@
 // is blamed neither by the VM that sent it, nor by a judge who hears of both.
 func TestRequestSentAfterCrashNotBlamed(t *testing.T) {
 	start := time.Unix(1000, 0)
-	observer, lateSender := &Book{VM: "one"}, &Book{VM: "two"}
+	observer, lateSender := &Recorder{VM: "one"}, &Recorder{VM: "two"}
 	now := start
 	for i, instanceID := range []string{"u1", "u2", "u3"} {
 		now = start.Add(time.Duration(i) * 3 * time.Second)
-		run := observer.Begin(crasher, "s", instanceID, now)
-		run.Begun(now)
+		run := observer.BeginRun(crasher, "s", instanceID, now)
+		run.MarkStarted(now)
 		now = now.Add(50 * time.Millisecond)
-		run.Cut(now)
-		for _, rec := range []*Book{observer, lateSender} {
+		run.MarkDisconnected(now)
+		for _, rec := range []*Recorder{observer, lateSender} {
 			now = now.Add(400 * time.Millisecond)
-			lateRun := rec.Begin(harmless, "s", instanceID, now)
+			lateRun := rec.BeginRun(harmless, "s", instanceID, now)
 			now = now.Add(time.Millisecond)
-			lateRun.Cut(now)
+			lateRun.MarkDisconnected(now)
 		}
 		now = now.Add(time.Second)
-		observer.Succeeded(instanceID, now)
-		lateSender.Succeeded(instanceID, now)
+		observer.InstanceReplaced(instanceID, now)
+		lateSender.InstanceReplaced(instanceID, now)
 	}
-	observed, _ := observer.Cases(0, now)
-	lateRecords, _ := lateSender.Cases(0, now)
+	observed, _ := observer.Records(0, now)
+	lateRecords, _ := lateSender.Records(0, now)
 	if len(observed) != 1 {
 		t.Errorf("the one who saw the ends blames %d requests", len(observed))
 	}
-	quarantines := Keeper{}
-	records := Merge([][]Case{lateRecords, observed}, 100)
-	for _, want := range []persimmoncross.HoldStage{persimmoncross.HoldWatch, persimmoncross.HoldRefuse} {
-		quarantines.Judge(records, now)
+	quarantines := Store{}
+	records := Merge([][]Record{lateRecords, observed}, 100)
+	for _, want := range []persimmoncross.QuarantineStage{persimmoncross.QuarantineIsolate, persimmoncross.QuarantineRefuse} {
+		quarantines.Evaluate(records, now)
 		now = now.Add(settleTime)
-		if g, o := quarantines.Hold(crasher).Stage, quarantines.Hold(harmless).Stage; g != want || o != persimmoncross.HoldFree {
+		if g, o := quarantines.Hold(crasher).Stage, quarantines.Hold(harmless).Stage; g != want || o != persimmoncross.QuarantineNone {
 			t.Errorf("the one that ended them: %v, want %v, the other: %v", g, want, o)
 		}
 	}
--- a/core/coordination/quarantine/judge.go
+++ b/core/coordination/quarantine/evaluate.go
@@ -65,54 +65,54 @@
 // bound is kept for as long.
 var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute, 30 * time.Minute}
 
-// End is the end of an upstream's process under a request.
-type End struct {
-	Life string // of the upstream
-	At   time.Time
-	Ran  time.Duration // for which the request had run; where that is not known, since it was sent
+// Crash is the end of an upstream's process under a request.
+type Crash struct {
+	InstanceID string // of the upstream
+	At         time.Time
+	RunTime    time.Duration // for which the request had run; where that is not known, since it was sent
 }
 
-// Case is what some VMs saw of one request.
-type Case struct {
-	Digest  persimmoncross.Digest
-	Service string
-	Ends    []End
-	Whole   int           // runs that came to their end
-	Ran     time.Duration // of runs under way, and of those that neither came to their end nor met the upstream's
-	Asked   time.Time     // when a copy came last
-	Asker   string        // the VM that it came to
-	Cleared time.Time     // when it passed a trial: ends before it count no more
+// Record is what some VMs saw of one request.
+type Record struct {
+	Digest          persimmoncross.Digest
+	Service         string
+	Crashes         []Crash
+	Completed       int           // runs that came to their end
+	RunTime         time.Duration // of runs under way, and of those that neither came to their end nor met the upstream's
+	LastRequested   time.Time     // when a copy came last
+	LastRequestedBy string        // the VM that it came to
+	ClearedAt       time.Time     // when it passed a trial: ends before it count no more
 }
 
-// Held is a hold with what its keeper knows of it.
-type Held struct {
-	persimmoncross.Hold
+// TrackedQuarantine is a hold with what its keeper knows of it.
+type TrackedQuarantine struct {
+	persimmoncross.Quarantine
 	Since time.Time // when the keeper learned of it as it is
 }
 
 // Change is a new hold, or the end of one: then its stage is Free.
 type Change struct {
-	persimmoncross.Hold
-	Why  string
-	Ends []End // that count against it
+	persimmoncross.Quarantine
+	Reason  string
+	Crashes []Crash // that count against it
 }
 
 // score is what speaks for and against one request.
 type score struct {
-	Case
+	Record
 	suspicion         float64
 	adjustedSuspicion float64            // against, by which it is compared with others
 	rivalSuspicions   map[string]float64 // by life: the most that speaks against another one there
 }
 
-// Judge returns how the holds change by what all VMs saw: a case for each digest
+// Evaluate returns how the holds change by what all VMs saw: a case for each digest
 // (see [Merge]).
-func Judge(records []Case, quarantines map[persimmoncross.Digest]Held, now time.Time) []Change {
+func Evaluate(records []Record, quarantines map[persimmoncross.Digest]TrackedQuarantine, now time.Time) []Change {
 	scores := scoreRecords(records, quarantines, now)
 	var changes []Change
 	watched := 0
 	for _, h := range quarantines {
-		if h.Stage == persimmoncross.HoldWatch {
+		if h.Stage == persimmoncross.QuarantineIsolate {
 			watched++
 		}
 	}
@@ -123,38 +123,38 @@
 		settled := ok && now.Sub(h.Since) >= s.settleTime()
 		watchable := !ok && watched < maxWatched // else it is refused as soon as it is proved
 		switch {
-		case h.Stage == persimmoncross.HoldRefuse:
+		case h.Stage == persimmoncross.QuarantineRefuse:
 			if c, ok := s.updateTrial(h, now); ok {
 				changes = append(changes, c)
 			}
 		case proven && (settled || !ok && !watchable && len(quarantines)+len(changes) < maxQuarantines):
-			changes = append(changes, s.newChange(persimmoncross.HoldRefuse, "upstreams end wherever it runs", attributed))
-		case watchable && (proven || s.suspicion >= watchCrashes && now.Sub(s.Asked) < watchIdleTimeout):
+			changes = append(changes, s.newChange(persimmoncross.QuarantineRefuse, "upstreams end wherever it runs", attributed))
+		case watchable && (proven || s.suspicion >= watchCrashes && now.Sub(s.LastRequested) < watchIdleTimeout):
 			watched++
-			changes = append(changes, s.newChange(persimmoncross.HoldWatch, "upstreams ended where it ran", s.Ends))
+			changes = append(changes, s.newChange(persimmoncross.QuarantineIsolate, "upstreams ended where it ran", s.Crashes))
 		}
 	}
 	return append(changes, expired(scores, quarantines, now)...)
 }
 
 // updateTrial returns how a refused request is tried, or its refusal ends.
-func (s *score) updateTrial(h Held, now time.Time) (Change, bool) {
+func (s *score) updateTrial(h TrackedQuarantine, now time.Time) (Change, bool) {
 	c := Change{
-		Hold: h.Hold,
-		Ends: s.Ends,
+		Quarantine: h.Quarantine,
+		Crashes:    s.Crashes,
 	}
-	delay := trialDelays[min(h.Try, len(trialDelays)-1)]
-	requestedLately := now.Sub(s.Asked) < recentRequestWindow
-	crashedInTrial := slices.ContainsFunc(s.Ends, func(crash End) bool { return crash.At.After(h.Since) })
+	delay := trialDelays[min(h.TrialCount, len(trialDelays)-1)]
+	requestedLately := now.Sub(s.LastRequested) < recentRequestWindow
+	crashedInTrial := slices.ContainsFunc(s.Crashes, func(crash Crash) bool { return crash.At.After(h.Since) })
 	switch {
-	case s.Cleared.After(h.Since):
-		c.Stage, c.Trial, c.Why = persimmoncross.HoldFree, "", "it came to its end by itself"
-	case h.Trial != "" && crashedInTrial:
-		c.Trial, c.Why = "", "an upstream ended under its trial"
-	case h.Trial == "" && requestedLately && now.Sub(h.Since) >= delay:
-		c.Trial, c.Try, c.Why = s.Asker, h.Try+1, "it is tried once"
-	case h.Trial != "" && now.Sub(h.Since) >= trialTimeout:
-		c.Trial, c.Try, c.Why = "", h.Try-1, "its trial told nothing"
+	case s.ClearedAt.After(h.Since):
+		c.Stage, c.TrialVM, c.Reason = persimmoncross.QuarantineNone, "", "it came to its end by itself"
+	case h.TrialVM != "" && crashedInTrial:
+		c.TrialVM, c.Reason = "", "an upstream ended under its trial"
+	case h.TrialVM == "" && requestedLately && now.Sub(h.Since) >= delay:
+		c.TrialVM, c.TrialCount, c.Reason = s.LastRequestedBy, h.TrialCount+1, "it is tried once"
+	case h.TrialVM != "" && now.Sub(h.Since) >= trialTimeout:
+		c.TrialVM, c.TrialCount, c.Reason = "", h.TrialCount-1, "its trial told nothing"
 	default:
 		return c, false
 	}
@@ -162,7 +162,7 @@
 }
 
 // expired returns the holds that end.
-func expired(scores []*score, quarantines map[persimmoncross.Digest]Held, now time.Time) []Change {
+func expired(scores []*score, quarantines map[persimmoncross.Digest]TrackedQuarantine, now time.Time) []Change {
 	byDigest := make(map[persimmoncross.Digest]*score, len(scores))
 	for _, s := range scores {
 		byDigest[s.Digest] = s
@@ -174,21 +174,21 @@
 			s = &score{}
 		}
 		lastActive := h.Since
-		if s.Asked.After(lastActive) {
-			lastActive = s.Asked
+		if s.LastRequested.After(lastActive) {
+			lastActive = s.LastRequested
 		}
 		reason := ""
 		switch idle := now.Sub(lastActive); {
-		case h.Stage == persimmoncross.HoldRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.HoldWatch && idle >= watchIdleTimeout:
+		case h.Stage == persimmoncross.QuarantineRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.QuarantineIsolate && idle >= watchIdleTimeout:
 			reason = "no copy came"
-		case h.Stage == persimmoncross.HoldWatch && s.suspicion < watchCrashes && len(s.attributedCrashes()) < refuseCrashes:
+		case h.Stage == persimmoncross.QuarantineIsolate && s.suspicion < watchCrashes && len(s.attributedCrashes()) < refuseCrashes:
 			reason = "it came to its end"
 		}
 		if reason != "" {
-			h.Stage = persimmoncross.HoldFree
+			h.Stage = persimmoncross.QuarantineNone
 			changes = append(changes, Change{
-				Hold: h.Hold,
-				Why:  reason,
+				Quarantine: h.Quarantine,
+				Reason:     reason,
 			})
 		}
 	}
@@ -196,30 +196,30 @@
 	return changes
 }
 
-func (s *score) newChange(stage persimmoncross.HoldStage, reason string, crashes []End) Change {
+func (s *score) newChange(stage persimmoncross.QuarantineStage, reason string, crashes []Crash) Change {
 	return Change{
-		Hold: persimmoncross.Hold{
+		Quarantine: persimmoncross.Quarantine{
 			Digest:  s.Digest,
 			Service: s.Service,
 			Stage:   stage,
 		},
-		Why:  reason,
-		Ends: crashes,
+		Reason:  reason,
+		Crashes: crashes,
 	}
 }
 
 // scoreRecords counts for each request what speaks against it, the most suspect first. An
 // end where a request ran that is refused already is explained, unless that one was
 // sent there after it.
-func scoreRecords(records []Case, quarantines map[persimmoncross.Digest]Held, now time.Time) []*score {
-	isRefused := func(r Case) bool { return quarantines[r.Digest].Stage == persimmoncross.HoldRefuse }
+func scoreRecords(records []Record, quarantines map[persimmoncross.Digest]TrackedQuarantine, now time.Time) []*score {
+	isRefused := func(r Record) bool { return quarantines[r.Digest].Stage == persimmoncross.QuarantineRefuse }
 	crashedAt := firstCrashTimes(records)
-	startedLate := func(c End) bool { return c.startedAt().Sub(crashedAt[c.Life]) > maxDetectionDelay }
+	startedLate := func(c Crash) bool { return c.startedAt().Sub(crashedAt[c.InstanceID]) > maxDetectionDelay }
 	explained := map[string]bool{}
 	for _, r := range records {
-		for _, c := range r.Ends {
+		for _, c := range r.Crashes {
 			if isRefused(r) && !startedLate(c) {
-				explained[c.Life] = true
+				explained[c.InstanceID] = true
 			}
 		}
 	}
@@ -229,39 +229,39 @@
 	type two struct{ first, second float64 } // the most against any there
 	topSuspicions := map[string]two{}
 	for _, r := range records {
-		r.Ends = slices.DeleteFunc(slices.Clone(r.Ends), func(c End) bool {
-			return now.Sub(c.At) > crashRetention || !c.At.After(r.Cleared) || explained[c.Life] && !isRefused(r) || startedLate(c)
+		r.Crashes = slices.DeleteFunc(slices.Clone(r.Crashes), func(c Crash) bool {
+			return now.Sub(c.At) > crashRetention || !c.At.After(r.ClearedAt) || explained[c.InstanceID] && !isRefused(r) || startedLate(c)
 		})
 		s := &score{
-			Case: r,
+			Record: r,
 		}
 		scores = append(scores, s)
-		for _, c := range r.Ends {
-			totalRunTime += c.Ran
+		for _, c := range r.Crashes {
+			totalRunTime += c.RunTime
 			crashCount++
 		}
 	}
 	for _, s := range scores {
 		s.suspicion = s.computeSuspicion()
 		s.adjustedSuspicion = s.suspicion * s.speedFactor(totalRunTime/time.Duration(max(crashCount, 1)))
-		for _, c := range s.Ends {
-			top := topSuspicions[c.Life]
+		for _, c := range s.Crashes {
+			top := topSuspicions[c.InstanceID]
 			switch {
 			case s.adjustedSuspicion > top.first:
 				top.first, top.second = s.adjustedSuspicion, top.first
 			case s.adjustedSuspicion > top.second:
 				top.second = s.adjustedSuspicion
 			}
-			topSuspicions[c.Life] = top
+			topSuspicions[c.InstanceID] = top
 		}
 	}
 	for _, s := range scores {
-		s.rivalSuspicions = make(map[string]float64, len(s.Ends))
-		for _, c := range s.Ends {
-			top := topSuspicions[c.Life]
-			s.rivalSuspicions[c.Life] = top.first
+		s.rivalSuspicions = make(map[string]float64, len(s.Crashes))
+		for _, c := range s.Crashes {
+			top := topSuspicions[c.InstanceID]
+			s.rivalSuspicions[c.InstanceID] = top.first
 			if top.first == s.adjustedSuspicion {
-				s.rivalSuspicions[c.Life] = top.second // itself, or another with as much
+				s.rivalSuspicions[c.InstanceID] = top.second // itself, or another with as much
 			}
 		}
 	}
@@ -272,12 +272,12 @@
 }
 
 // firstCrashTimes returns when each life ended, as whoever learned of it first saw it.
-func firstCrashTimes(records []Case) map[string]time.Time {
+func firstCrashTimes(records []Record) map[string]time.Time {
 	crashedAt := map[string]time.Time{}
 	for _, r := range records {
-		for _, c := range r.Ends {
-			if first, ok := crashedAt[c.Life]; !ok || c.At.Before(first) {
-				crashedAt[c.Life] = c.At
+		for _, c := range r.Crashes {
+			if first, ok := crashedAt[c.InstanceID]; !ok || c.At.Before(first) {
+				crashedAt[c.InstanceID] = c.At
 			}
 		}
 	}
@@ -285,21 +285,21 @@
 }
 
 // startedAt returns when the run began, or was startedAt.
-func (c End) startedAt() time.Time { return c.At.Add(-c.Ran) }
+func (c Crash) startedAt() time.Time { return c.At.Add(-c.RunTime) }
 
 // computeSuspicion is the number of ends less what speaks for the request: whole answers,
 // and time for which upstreams survived it.
 func (s *score) computeSuspicion() float64 {
-	n := len(distinctCrashes(s.Ends))
+	n := len(distinctCrashes(s.Crashes))
 	if n == 0 {
 		return 0
 	}
-	return float64(n) - float64(s.Whole) - float64(s.Ran)/float64(survivalFactor*s.meanRunTime())
+	return float64(n) - float64(s.Completed) - float64(s.RunTime)/float64(survivalFactor*s.meanRunTime())
 }
 
 // settleTime returns for how long the request is watched before it is refused.
 func (s *score) settleTime() time.Duration {
-	if s.Whole > 0 {
+	if s.Completed > 0 {
 		return completedSettleTime
 	}
 	return settleTime
@@ -308,10 +308,10 @@
 // meanRunTime returns for how long the request had run when upstreams ended.
 func (s *score) meanRunTime() time.Duration {
 	total := time.Duration(0)
-	for _, c := range s.Ends {
-		total += c.Ran
+	for _, c := range s.Crashes {
+		total += c.RunTime
 	}
-	return max(minRunTime, total/time.Duration(max(len(s.Ends), 1)))
+	return max(minRunTime, total/time.Duration(max(len(s.Crashes), 1)))
 }
 
 // speedFactor weighs how soon upstreams end under the request, against how soon they do
@@ -323,25 +323,25 @@
 // isProven reports whether the ends that are a request's own are enough: where another
 // suspect ran at some of them, it takes others at which none did. Upstreams with long
 // queues always have one: there a request that never came to its end is isProven by many.
-func (s *score) isProven(attributed []End) bool {
-	if s.Whole == 0 && len(attributed) >= contestedRefuseCrashes {
+func (s *score) isProven(attributed []Crash) bool {
+	if s.Completed == 0 && len(attributed) >= contestedRefuseCrashes {
 		return true
 	}
-	isContested := func(c End) bool { return s.rivalSuspicions[c.Life] >= watchCrashes }
-	if !slices.ContainsFunc(s.Ends, isContested) {
+	isContested := func(c Crash) bool { return s.rivalSuspicions[c.InstanceID] >= watchCrashes }
+	if !slices.ContainsFunc(s.Crashes, isContested) {
 		return true
 	}
 	return len(slices.DeleteFunc(slices.Clone(attributed), isContested)) >= minUncontestedCrashes
 }
 
 // attributedCrashes returns one end of each event that nothing else explains as well.
-func (s *score) attributedCrashes() []End {
+func (s *score) attributedCrashes() []Crash {
 	if s.suspicion < refuseCrashes {
 		return nil
 	}
-	var attributed []End
-	for _, c := range s.Ends {
-		if s.adjustedSuspicion >= dominanceFactor*s.rivalSuspicions[c.Life] {
+	var attributed []Crash
+	for _, c := range s.Crashes {
+		if s.adjustedSuspicion >= dominanceFactor*s.rivalSuspicions[c.InstanceID] {
 			attributed = append(attributed, c)
 		}
 	}
@@ -350,13 +350,13 @@
 
 // distinctCrashes returns the first end of each event. What began only after the event before
 // is another one, however soon it comes.
-func distinctCrashes(crashes []End) []End {
-	crashes = slices.SortedFunc(slices.Values(crashes), func(a, b End) int { return a.At.Compare(b.At) })
-	var distinct []End
+func distinctCrashes(crashes []Crash) []Crash {
+	crashes = slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.At.Compare(b.At) })
+	var distinct []Crash
 	for _, c := range crashes {
 		if n := len(distinct); n > 0 {
 			previous := distinct[n-1].At
-			if c.At.Sub(previous) <= sameEventWindow && c.At.Add(-c.Ran).Before(previous.Add(-maxAgeSkew)) {
+			if c.At.Sub(previous) <= sameEventWindow && c.At.Add(-c.RunTime).Before(previous.Add(-maxAgeSkew)) {
 				continue
 			}
 		}
--- a/core/coordination/quarantine/judge_test.go
+++ b/core/coordination/quarantine/evaluate_test.go
@@ -10,15 +10,15 @@
 
 // fixture is a book, and the holds that its judge keeps.
 type fixture struct {
-	recorder    Book
-	quarantines Keeper
+	recorder    Recorder
+	quarantines Store
 	now         time.Time
 	crashes     int
 }
 
 func newFixture() *fixture {
 	return &fixture{
-		recorder: Book{
+		recorder: Recorder{
 			VM: "vm",
 		},
 		now: time.Unix(1000, 0),
@@ -31,22 +31,22 @@
 	instanceID := fmt.Sprint("u", f.crashes)
 	var runs []*Run
 	for _, d := range requests {
-		r := f.recorder.Begin(d, "s", instanceID, f.now)
-		r.Begun(f.now)
+		r := f.recorder.BeginRun(d, "s", instanceID, f.now)
+		r.MarkStarted(f.now)
 		runs = append(runs, r)
 	}
 	f.now = f.now.Add(ran)
 	for _, r := range runs {
-		r.Cut(f.now)
+		r.MarkDisconnected(f.now)
 	}
-	f.recorder.Ended(instanceID, f.now)
+	f.recorder.InstanceExited(instanceID, f.now)
 }
 
 // evaluate returns what is done with a request after some time.
-func (f *fixture) evaluate(after time.Duration, d persimmoncross.Digest) persimmoncross.Hold {
+func (f *fixture) evaluate(after time.Duration, d persimmoncross.Digest) persimmoncross.Quarantine {
 	f.now = f.now.Add(after)
-	records, _ := f.recorder.Cases(0, f.now)
-	f.quarantines.Judge(Merge([][]Case{records}, 4096), f.now)
+	records, _ := f.recorder.Records(0, f.now)
+	f.quarantines.Evaluate(Merge([][]Record{records}, 4096), f.now)
 	return f.quarantines.Hold(d)
 }
 
@@ -57,14 +57,14 @@
 
 func TestRefusedAfterThreeCrashes(t *testing.T) {
 	f := newFixture()
-	for i, want := range []persimmoncross.HoldStage{persimmoncross.HoldFree, persimmoncross.HoldWatch, persimmoncross.HoldRefuse} {
+	for i, want := range []persimmoncross.QuarantineStage{persimmoncross.QuarantineNone, persimmoncross.QuarantineIsolate, persimmoncross.QuarantineRefuse} {
 		f.crashUpstream(20*time.Millisecond, crasher, persimmoncross.Digest{9, byte(i)})
 		if got := f.evaluate(time.Second, crasher).Stage; got != want {
 			t.Errorf("after %d ends: %v, want %v", i+1, got, want)
 		}
 	}
 	for i := range 3 {
-		if got := f.quarantines.Hold(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.HoldFree {
+		if got := f.quarantines.Hold(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.QuarantineNone {
 			t.Errorf("one that ran beside it: %v", got)
 		}
 	}
@@ -77,19 +77,19 @@
 		f.crashUpstream(20*time.Millisecond, crasher, harmless)
 	}
 	for _, d := range []persimmoncross.Digest{crasher, harmless} {
-		if got := f.evaluate(time.Second, d).Stage; got != persimmoncross.HoldWatch {
+		if got := f.evaluate(time.Second, d).Stage; got != persimmoncross.QuarantineIsolate {
 			t.Errorf("%v: %v", d, got)
 		}
 	}
 	f.crashUpstream(20*time.Millisecond, crasher)
-	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+	f.recorder.BeginRun(harmless, "s", "x", f.now).MarkCompleted(f.now)
 	f.crashUpstream(20*time.Millisecond, crasher)
-	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
-	f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
-	if got := f.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldRefuse {
+	f.recorder.BeginRun(harmless, "s", "x", f.now).MarkCompleted(f.now)
+	f.recorder.BeginRun(harmless, "s", "x", f.now).MarkCompleted(f.now)
+	if got := f.evaluate(time.Second, crasher).Stage; got != persimmoncross.QuarantineRefuse {
 		t.Errorf("the cause: %v", got)
 	}
-	if got := f.evaluate(0, harmless).Stage; got != persimmoncross.HoldFree {
+	if got := f.evaluate(0, harmless).Stage; got != persimmoncross.QuarantineNone {
 		t.Errorf("the other: %v", got)
 	}
 }
@@ -104,7 +104,7 @@
 			name: "it came to its end before and between",
 			run: func(f *fixture) {
 				for range 5 {
-					f.recorder.Begin(harmless, "s", "x", f.now).Whole(f.now)
+					f.recorder.BeginRun(harmless, "s", "x", f.now).MarkCompleted(f.now)
 					f.crashUpstream(20*time.Millisecond, harmless)
 				}
 			},
@@ -114,15 +114,15 @@
 			run: func(f *fixture) {
 				var runs []*Run
 				for i := range 6 {
-					r := f.recorder.Begin(harmless, "s", fmt.Sprint("rack", i), f.now)
-					r.Begun(f.now)
+					r := f.recorder.BeginRun(harmless, "s", fmt.Sprint("rack", i), f.now)
+					r.MarkStarted(f.now)
 					runs = append(runs, r)
 				}
 				f.now = f.now.Add(time.Second)
 				for i, r := range runs {
 					f.now = f.now.Add(10 * time.Millisecond)
-					r.Cut(f.now)
-					f.recorder.Ended(fmt.Sprint("rack", i), f.now)
+					r.MarkDisconnected(f.now)
+					f.recorder.InstanceExited(fmt.Sprint("rack", i), f.now)
 				}
 			},
 		},
@@ -130,7 +130,7 @@
 			name: "it runs for long at many others meanwhile",
 			run: func(f *fixture) {
 				for i := range 12 {
-					f.recorder.Begin(harmless, "s", fmt.Sprint("long", i), f.now).Begun(f.now)
+					f.recorder.BeginRun(harmless, "s", fmt.Sprint("long", i), f.now).MarkStarted(f.now)
 				}
 				for range 4 {
 					f.crashUpstream(time.Second, harmless)
@@ -153,7 +153,7 @@
 	for _, tt := range tests {
 		f := newFixture()
 		tt.run(f)
-		if got := f.evaluate(time.Second, harmless); got.Stage == persimmoncross.HoldRefuse {
+		if got := f.evaluate(time.Second, harmless); got.Stage == persimmoncross.QuarantineRefuse {
 			t.Errorf("%s: %+v", tt.name, got)
 		}
 	}
@@ -167,63 +167,63 @@
 		for range 3 {
 			f.crashUpstream(20*time.Millisecond, crasher)
 		}
-		if got := f.evaluate(time.Second-settleTime, crasher); got.Stage != persimmoncross.HoldWatch {
+		if got := f.evaluate(time.Second-settleTime, crasher); got.Stage != persimmoncross.QuarantineIsolate {
 			t.Fatalf("others may know more of these ends: %+v", got)
 		}
-		if got := f.evaluate(settleTime, crasher); got.Stage != persimmoncross.HoldRefuse {
+		if got := f.evaluate(settleTime, crasher); got.Stage != persimmoncross.QuarantineRefuse {
 			t.Fatalf("%+v", got)
 		}
 		return f
 	}
 	idle := refused()
-	if got := idle.evaluate(refuseIdleTimeout-2*time.Second, crasher).Stage; got != persimmoncross.HoldRefuse {
+	if got := idle.evaluate(refuseIdleTimeout-2*time.Second, crasher).Stage; got != persimmoncross.QuarantineRefuse {
 		t.Errorf("before the time: %v", got)
 	}
-	if got := idle.evaluate(3*time.Second, crasher).Stage; got != persimmoncross.HoldFree {
+	if got := idle.evaluate(3*time.Second, crasher).Stage; got != persimmoncross.QuarantineNone {
 		t.Errorf("after it: %v", got)
 	}
 
 	passed := refused()
 	passed.now = passed.now.Add(trialDelays[0])
-	passed.recorder.Asked(crasher, "s", passed.now)
+	passed.recorder.MarkRequested(crasher, "s", passed.now)
 	h := passed.evaluate(0, crasher)
-	if h.Trial != "vm" || h.Try != 1 || !h.Apart() {
+	if h.TrialVM != "vm" || h.TrialCount != 1 || !h.Isolated() {
 		t.Fatalf("%+v", h)
 	}
 	untested := passed.evaluate(trialTimeout, crasher)
-	if untested.Apart() || untested.Stage != persimmoncross.HoldRefuse {
+	if untested.Isolated() || untested.Stage != persimmoncross.QuarantineRefuse {
 		t.Errorf("no copy came: %+v", untested)
 	}
 	passed.now = passed.now.Add(trialDelays[0])
-	passed.recorder.Asked(crasher, "s", passed.now)
-	if h = passed.evaluate(0, crasher); h.Trial != "vm" || h.Try != 1 {
+	passed.recorder.MarkRequested(crasher, "s", passed.now)
+	if h = passed.evaluate(0, crasher); h.TrialVM != "vm" || h.TrialCount != 1 {
 		t.Fatalf("%+v", h)
 	}
-	request := &Copy{
-		Digest:  crasher,
-		Service: "s",
-		Book:    &passed.recorder,
+	request := &Request{
+		Digest:   crasher,
+		Service:  "s",
+		Recorder: &passed.recorder,
 	}
-	if got := request.Stage(h, false); got != persimmoncross.HoldWatch {
+	if got := request.EffectiveStage(h, false); got != persimmoncross.QuarantineIsolate {
 		t.Fatalf("the trial's copy: %v", got)
 	}
-	request.Begin("u", passed.now).Whole(passed.now.Add(time.Millisecond))
-	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldFree {
+	request.BeginRun("u", passed.now).MarkCompleted(passed.now.Add(time.Millisecond))
+	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.QuarantineNone {
 		t.Errorf("it came to its end: %v", got)
 	}
-	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.HoldFree {
+	if got := passed.evaluate(time.Second, crasher).Stage; got != persimmoncross.QuarantineNone {
 		t.Errorf("ends of before count again: %v", got)
 	}
 
 	failed := refused()
 	for try, delay := range trialDelays[:3] {
 		failed.now = failed.now.Add(delay)
-		failed.recorder.Asked(crasher, "s", failed.now)
-		if h := failed.evaluate(0, crasher); h.Trial != "vm" || h.Try != try+1 {
+		failed.recorder.MarkRequested(crasher, "s", failed.now)
+		if h := failed.evaluate(0, crasher); h.TrialVM != "vm" || h.TrialCount != try+1 {
 			t.Fatalf("trial %d: %+v", try+1, h)
 		}
 		failed.crashUpstream(20*time.Millisecond, crasher)
-		if h := failed.evaluate(time.Second, crasher); h.Trial != "" || h.Stage != persimmoncross.HoldRefuse {
+		if h := failed.evaluate(time.Second, crasher); h.TrialVM != "" || h.Stage != persimmoncross.QuarantineRefuse {
 			t.Fatalf("after trial %d: %+v", try+1, h)
 		}
 	}
@@ -238,9 +238,9 @@
 		for range 3 {
 			f.crashUpstream(time.Millisecond, d)
 		}
-		f.recorder.Begin(persimmoncross.Digest{8, byte(i), byte(i >> 8)}, "s", "x", f.now).Whole(f.now)
+		f.recorder.BeginRun(persimmoncross.Digest{8, byte(i), byte(i >> 8)}, "s", "x", f.now).MarkCompleted(f.now)
 	}
-	records, _ := f.recorder.Cases(0, f.now)
+	records, _ := f.recorder.Records(0, f.now)
 	if len(records) > maxRecords || len(f.recorder.records) > maxRecords || len(f.recorder.crashedAt) > 20_000 || len(f.recorder.recentCompleted[0]) > maxRecentCompleted || len(f.recorder.inFlight) > 0 {
 		t.Errorf("%d cases, %d gone, %d whole, %d runs", len(records), len(f.recorder.crashedAt), len(f.recorder.recentCompleted[0]), len(f.recorder.inFlight))
 	}
@@ -249,7 +249,7 @@
 		t.Errorf("%d holds", n)
 	}
 	latest := persimmoncross.Digest{7, byte(4999 & 0xff), byte(4999 >> 8)}
-	if got := f.quarantines.Hold(latest).Stage; got != persimmoncross.HoldRefuse {
+	if got := f.quarantines.Hold(latest).Stage; got != persimmoncross.QuarantineRefuse {
 		t.Errorf("the latest: %v", got)
 	}
 }
@@ -258,22 +258,22 @@
 func BenchmarkEvaluate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		f := newFixture()
-		var records []Case
+		var records []Record
 		for i := range n {
-			records = append(records, Case{
+			records = append(records, Record{
 				Digest:  persimmoncross.Digest{byte(i), byte(i >> 8)},
 				Service: "s",
-				Ends: []End{{
-					Life: fmt.Sprint("u", i/64),
-					At:   f.now,
-					Ran:  time.Duration(i) * time.Millisecond,
+				Crashes: []Crash{{
+					InstanceID: fmt.Sprint("u", i/64),
+					At:         f.now,
+					RunTime:    time.Duration(i) * time.Millisecond,
 				}},
-				Asked: f.now,
+				LastRequested: f.now,
 			})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				Judge(Merge([][]Case{records}, 4096), nil, f.now)
+				Evaluate(Merge([][]Record{records}, 4096), nil, f.now)
 			}
 		})
 	}
--- a/core/coordination/quarantine/play_env_test.go
+++ b/core/coordination/quarantine/simulation_env_test.go
@@ -17,10 +17,10 @@
 	random                *rand.Rand
 	now                   time.Time
 	upstreams             []*simulatedUpstream
-	entries               []*Book
-	quarantines           map[persimmoncross.Digest]Held
+	entries               []*Recorder
+	quarantines           map[persimmoncross.Digest]TrackedQuarantine
 	pendingReports        []recordReport
-	received              map[string][]Case // by entry
+	received              map[string][]Record // by entry
 	pendingNotices        []replacementNotice
 	evaluatedAt           time.Time
 	noIsolation           bool          // requests under suspicion run anywhere
@@ -60,7 +60,7 @@
 	downUntil  time.Time // it is down until then
 	runs       []*simulatedRun
 	// disconnectedEntries are the entries that had an answer cut by this life's end: they send it no more.
-	disconnectedEntries map[*Book]bool
+	disconnectedEntries map[*Recorder]bool
 }
 
 type simulatedRun struct {
@@ -75,7 +75,7 @@
 // simulatedRequest is one caller's request.
 type simulatedRequest struct {
 	name     string
-	entry    *Book
+	entry    *Recorder
 	attempts int
 	workload workload
 }
@@ -96,13 +96,13 @@
 type recordReport struct {
 	dueAt   time.Time
 	entry   string
-	records []Case
+	records []Record
 }
 
 // replacementNotice is when an entry learns of a life's successor.
 type replacementNotice struct {
 	dueAt      time.Time
-	entry      *Book
+	entry      *Recorder
 	instanceID string
 }
 
@@ -116,8 +116,8 @@
 		now:          time.Unix(1000, 0),
 		maxQueueTime: 40 * time.Millisecond,
 		reportDelay:  defaultReportDelay,
-		quarantines:  map[persimmoncross.Digest]Held{},
-		received:     map[string][]Case{},
+		quarantines:  map[persimmoncross.Digest]TrackedQuarantine{},
+		received:     map[string][]Record{},
 		refused:      map[string]int{},
 		lastRefused:  map[string]time.Time{},
 		crasherRuns:  map[string][]time.Time{},
@@ -139,7 +139,7 @@
 func (s *simulation) setEntries(count int) {
 	s.entries = nil
 	for i := range count {
-		s.entries = append(s.entries, &Book{
+		s.entries = append(s.entries, &Recorder{
 			VM: fmt.Sprint("e", i),
 		})
 	}
@@ -180,7 +180,7 @@
 	s.pendingNotices = slices.DeleteFunc(s.pendingNotices, func(notice replacementNotice) bool {
 		due := !s.now.Before(notice.dueAt)
 		if due {
-			notice.entry.Succeeded(notice.instanceID, s.now)
+			notice.entry.InstanceReplaced(notice.instanceID, s.now)
 		}
 		return due
 	})
@@ -200,7 +200,7 @@
 		for _, r := range slices.Clone(u.runs) {
 			if !r.started && !s.now.Before(r.startsAt) && !r.request.workload.noStartSignal {
 				r.started = true
-				r.Begun(s.now)
+				r.MarkStarted(s.now)
 			}
 			if !r.crashesAt.IsZero() && !s.now.Before(r.crashesAt) {
 				s.crashes[r.request.name] = append(s.crashes[r.request.name], s.now)
@@ -209,7 +209,7 @@
 			}
 			if !s.now.Before(r.completesAt) {
 				u.runs = slices.DeleteFunc(u.runs, func(x *simulatedRun) bool { return x == r })
-				r.Whole(s.now)
+				r.MarkCompleted(s.now)
 				s.completed[r.request.workload.name]++
 			}
 		}
@@ -224,16 +224,16 @@
 	u.downUntil = s.now.Add(restartDelay)
 	runs := u.runs
 	u.runs = nil
-	u.disconnectedEntries = map[*Book]bool{}
+	u.disconnectedEntries = map[*Recorder]bool{}
 	for _, r := range runs {
-		r.Cut(s.now)
+		r.MarkDisconnected(s.now)
 		u.disconnectedEntries[r.request.entry] = true
 	}
 	for _, rec := range s.entries {
 		if s.behindProxy {
-			rec.Listens(u.instanceID)
+			rec.InstanceListening(u.instanceID)
 		} else {
-			rec.Ended(u.instanceID, s.now)
+			rec.InstanceExited(u.instanceID, s.now)
 		}
 	}
 	for _, r := range runs {
@@ -246,19 +246,19 @@
 	d := digestOfName(request.name)
 	quarantine := s.quarantines[d]
 	stage := quarantine.Stage
-	isTrial := stage == persimmoncross.HoldRefuse && request.attempts == 0 && quarantine.Trial == request.entry.VM && request.entry.Try(d, quarantine.Try)
+	isTrial := stage == persimmoncross.QuarantineRefuse && request.attempts == 0 && quarantine.TrialVM == request.entry.VM && request.entry.ClaimTrial(d, quarantine.TrialCount)
 	if isTrial {
-		stage = persimmoncross.HoldWatch
+		stage = persimmoncross.QuarantineIsolate
 	}
-	if stage == persimmoncross.HoldRefuse {
+	if stage == persimmoncross.QuarantineRefuse {
 		s.refused[request.name]++
 		s.lastRefused[request.name] = s.now
-		request.entry.Asked(d, "s", s.now)
+		request.entry.MarkRequested(d, "s", s.now)
 		return
 	}
 	reserved := map[*simulatedUpstream]bool{}
 	for d, h := range s.quarantines {
-		if (h.Stage == persimmoncross.HoldWatch || h.Trial != "") && !s.noIsolation {
+		if (h.Stage == persimmoncross.QuarantineIsolate || h.TrialVM != "") && !s.noIsolation {
 			reserved[s.isolatedUpstream(d, s.upstreams)] = true
 		}
 	}
@@ -277,12 +277,12 @@
 	}
 	u := candidates[s.random.IntN(len(candidates))]
 	switch {
-	case stage == persimmoncross.HoldWatch && !s.noIsolation:
-		request.entry.Asked(d, "s", s.now)
+	case stage == persimmoncross.QuarantineIsolate && !s.noIsolation:
+		request.entry.MarkRequested(d, "s", s.now)
 		if u = s.isolatedUpstream(d, s.upstreams); !u.downUntil.IsZero() {
 			s.unavailable[request.workload.name]++
 			if isTrial {
-				request.entry.Untried(d)
+				request.entry.ReleaseTrial(d)
 			}
 			return
 		}
@@ -291,15 +291,15 @@
 	}
 	request.attempts++
 	r := &simulatedRun{
-		Run:      request.entry.Begin(d, "s", u.instanceID, s.now),
+		Run:      request.entry.BeginRun(d, "s", u.instanceID, s.now),
 		request:  request,
 		startsAt: s.now.Add(time.Duration(s.random.Int64N(int64(s.maxQueueTime)))),
 	}
 	if isTrial {
-		r.Trial()
+		r.MarkTrial()
 	}
 	if !u.downUntil.IsZero() {
-		r.Cut(s.now) // by what stands before it
+		r.MarkDisconnected(s.now) // by what stands before it
 		u.disconnectedEntries[request.entry] = true
 		s.send(request)
 		return
@@ -318,7 +318,7 @@
 	for _, u := range upstreams {
 		names = append(names, u.instanceID)
 	}
-	return upstreams[Home(d, names)]
+	return upstreams[RendezvousIndex(d, names)]
 }
 
 // evaluate takes what has come, and brings holds into force.
@@ -328,11 +328,11 @@
 	}
 	s.evaluatedAt = s.now
 	for i, rec := range s.entries {
-		records, _ := rec.Cases(0, s.now)
+		records, _ := rec.Records(0, s.now)
 		jitter := time.Duration(s.random.Int64N(int64(s.jitter) + 1))
 		for _, r := range records {
-			for i := range r.Ends {
-				r.Ends[i].At = r.Ends[i].At.Add(jitter)
+			for i := range r.Crashes {
+				r.Crashes[i].At = r.Crashes[i].At.Add(jitter)
 			}
 		}
 		s.pendingReports = append(s.pendingReports, recordReport{
@@ -351,14 +351,14 @@
 		}
 		return due
 	})
-	for _, c := range Judge(Merge(slices.Collect(maps.Values(s.received)), 4096), s.quarantines, s.now) {
-		if s.quarantines[c.Digest].Hold != c.Hold {
-			s.quarantines[c.Digest] = Held{
-				Hold:  c.Hold,
-				Since: s.now,
+	for _, c := range Evaluate(Merge(slices.Collect(maps.Values(s.received)), 4096), s.quarantines, s.now) {
+		if s.quarantines[c.Digest].Quarantine != c.Quarantine {
+			s.quarantines[c.Digest] = TrackedQuarantine{
+				Quarantine: c.Quarantine,
+				Since:      s.now,
 			}
 		}
-		if c.Stage == persimmoncross.HoldFree {
+		if c.Stage == persimmoncross.QuarantineNone {
 			delete(s.quarantines, c.Digest)
 		}
 	}
--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -96,10 +96,10 @@
 	l.nextSlot = 0
 }
 
-// Unlimited handles an answer without a limit to a request that was sent at the given
+// HandleUnlimited handles an answer without a limit to a request that was sent at the given
 // time, and reports whether it ends the limit. An answer to an earlier request does not:
 // it may be older than the limit.
-func (l *Limiter) Unlimited(sent time.Time) (ended bool) {
+func (l *Limiter) HandleUnlimited(sent time.Time) (ended bool) {
 	if l.rate == 0 || !sent.After(l.lastObserved) {
 		return false
 	}
@@ -113,8 +113,8 @@
 // Rate returns the limit, 0 if there is none.
 func (l *Limiter) Rate() float64 { return l.rate }
 
-// Allows reports whether a request may be sent now.
-func (l *Limiter) Allows(now time.Time) bool {
+// CanSend reports whether a request may be sent now.
+func (l *Limiter) CanSend(now time.Time) bool {
 	if l.rate == 0 {
 		return true
 	}
@@ -122,9 +122,9 @@
 	return slot >= l.nextSlot && elapsed >= 0 && elapsed < slotLength
 }
 
-// Take reports whether a request may be sent now, and uses the slot if so.
-func (l *Limiter) Take(now time.Time) bool {
-	if !l.Allows(now) {
+// TryAcquire reports whether a request may be sent now, and uses the slot if so.
+func (l *Limiter) TryAcquire(now time.Time) bool {
+	if !l.CanSend(now) {
 		return false
 	}
 	l.lastSent = now
@@ -156,8 +156,8 @@
 	return index, sinceFirst - time.Duration(index)*l.period
 }
 
-// Wait returns the expected time until some entry may send a request, 0 without a limit.
-func (l *Limiter) Wait(now time.Time) time.Duration {
+// ExpectedWait returns the expected time until some entry may send a request, 0 without a limit.
+func (l *Limiter) ExpectedWait(now time.Time) time.Duration {
 	if l.rate == 0 {
 		return 0
 	}
--- a/core/coordination/ratelimit/limiter_test.go
+++ b/core/coordination/ratelimit/limiter_test.go
@@ -28,7 +28,7 @@
 func TestSlots(t *testing.T) {
 	l := &Limiter{}
 	for range 2 {
-		if !l.Take(start) || l.Wait(start) != 0 {
+		if !l.TryAcquire(start) || l.ExpectedWait(start) != 0 {
 			t.Fatal("without a limit requests are held back")
 		}
 	}
@@ -42,7 +42,7 @@
 	if l.Weight() != float64(period)/float64(slotLength) || (&Limiter{}).Weight() != 1 {
 		t.Errorf("weight %v", l.Weight())
 	}
-	if wait := l.Wait(start); wait != window+period/8 {
+	if wait := l.ExpectedWait(start); wait != window+period/8 {
 		t.Errorf("wait %v", wait)
 	}
 	first := start.Add(window + period/2)
@@ -59,7 +59,7 @@
 		{2*period + slotLength - time.Millisecond, false},
 		{3 * period, true},
 	} {
-		if got := l.Take(first.Add(tt.at)); got != tt.want {
+		if got := l.TryAcquire(first.Add(tt.at)); got != tt.want {
 			t.Errorf("%v after the first slot: %v", tt.at, got)
 		}
 	}
@@ -70,17 +70,17 @@
 func TestLimitChanges(t *testing.T) {
 	l := &Limiter{}
 	l.SetLimit(2, 8, start, 0)
-	if !l.Take(start) {
+	if !l.TryAcquire(start) {
 		t.Fatal("an entry that has sent nothing is blocked")
 	}
 	later := start.Add(time.Minute)
 	l.SetLimit(4, 8, later, 0)
-	if !l.Take(later) {
+	if !l.TryAcquire(later) {
 		t.Error("blocked by what was sent a minute before")
 	}
 	later = later.Add(window / 2)
 	l.SetLimit(1, 8, later, 0)
-	if l.Allows(later) || !l.Allows(later.Add(window/2)) {
+	if l.CanSend(later) || !l.CanSend(later.Add(window/2)) {
 		t.Error("what was sent half a window before is forgotten with another limit")
 	}
 	period := l.period
@@ -97,14 +97,14 @@
 // Only an answer to a request that was sent after the limit was named ends it.
 func TestHandleUnlimited(t *testing.T) {
 	l := &Limiter{}
-	if l.Unlimited(start) {
+	if l.HandleUnlimited(start) {
 		t.Error("there was none")
 	}
 	l.SetLimit(1, 8, start, 0)
-	if l.Unlimited(start.Add(-time.Millisecond)) || l.Rate() != 1 {
+	if l.HandleUnlimited(start.Add(-time.Millisecond)) || l.Rate() != 1 {
 		t.Error("ended by an answer to a request that was sent before")
 	}
-	if !l.Unlimited(start.Add(time.Second)) || l.Rate() != 0 || !l.Allows(start.Add(time.Second)) {
+	if !l.HandleUnlimited(start.Add(time.Second)) || l.Rate() != 0 || !l.CanSend(start.Add(time.Second)) {
 		t.Error("not ended")
 	}
 }
@@ -127,7 +127,7 @@
 		{2, 4, false, 0},
 		{3, 6, true, 3},
 	} {
-		changes := store.Merge([]Observation{{Life: "a", Rate: tt.rate, At: at(tt.at)}}, at(10))
+		changes := store.Merge([]Observation{{InstanceID: "a", Rate: tt.rate, ObservedAt: at(tt.at)}}, at(10))
 		if len(changes) > 0 != tt.changed || store.Rate("a") != tt.want {
 			t.Errorf("step %d: changes %v, limit %v", i, changes, store.Rate("a"))
 		}
@@ -137,14 +137,14 @@
 	default:
 		t.Error("no signal of the changes")
 	}
-	all, count, _ := store.Since(0, 10)
+	all, count, _ := store.ChangesSince(0, 10)
 	if len(all) != 1 || all[0].Rate != 3 {
 		t.Errorf("told %v", all)
 	}
-	if again, _, _ := store.Since(count, 10); len(again) > 0 {
+	if again, _, _ := store.ChangesSince(count, 10); len(again) > 0 {
 		t.Errorf("returned again: %v", again)
 	}
-	store.Merge([]Observation{{Life: "b", Rate: 1, At: at(10)}}, at(10+int(limitRetention/time.Second)))
+	store.Merge([]Observation{{InstanceID: "b", Rate: 1, ObservedAt: at(10)}}, at(10+int(limitRetention/time.Second)))
 	if store.Rate("a") != 0 || store.Rate("b") != 1 {
 		t.Error("what is old is kept, or what is new forgotten")
 	}
@@ -154,7 +154,7 @@
 func TestStoreBound(t *testing.T) {
 	s := &Store{}
 	for i := range maxObservations + 500 {
-		s.Merge([]Observation{{Life: string(rune(i + 1)), Rate: 1, At: start}}, start)
+		s.Merge([]Observation{{InstanceID: string(rune(i + 1)), Rate: 1, ObservedAt: start}}, start)
 	}
 	if n := len(s.byInstance); n > maxObservations {
 		t.Errorf("%d observations are kept", n)
--- a/core/coordination/ratelimit/play_test.go
+++ b/core/coordination/ratelimit/simulation_test.go
@@ -80,7 +80,7 @@
 				break
 			}
 			e := s.entries[s.random.IntN(len(s.entries))]
-			if e.limiter.Take(s.now) {
+			if e.limiter.TryAcquire(s.now) {
 				inFlight = append(inFlight, answer{
 					sender: e,
 					sent:   s.now,
@@ -100,7 +100,7 @@
 	*restarted = simulatedEntry{
 		isolated: restarted.isolated,
 	}
-	observations, _, _ := other.store.Since(0, 10)
+	observations, _, _ := other.store.ChangesSince(0, 10)
 	s.replicate(restarted, observations)
 }
 
@@ -110,12 +110,12 @@
 		e.firstObserved = s.now
 	}
 	e.limiter.SetLimit(s.rate, len(s.entries), s.now, s.random.Float64())
-	e.store.Merge([]Observation{{Life: "u", Rate: s.rate, At: s.now}}, s.now)
+	e.store.Merge([]Observation{{InstanceID: "u", Rate: s.rate, ObservedAt: s.now}}, s.now)
 	if e.isolated {
 		return
 	}
 	var changes []Observation
-	if changes, e.sentVersion, _ = e.store.Since(e.sentVersion, 10); len(changes) == 0 {
+	if changes, e.sentVersion, _ = e.store.ChangesSince(e.sentVersion, 10); len(changes) == 0 {
 		return
 	}
 	for _, x := range s.entries {
@@ -144,7 +144,7 @@
 		for _, o := range x.to.store.Merge(x.observations, s.now) {
 			x.to.limiter.SetLimit(o.Rate, len(s.entries), s.now, s.random.Float64())
 		}
-		_, x.to.sentVersion, _ = x.to.store.Since(x.to.sentVersion, 10)
+		_, x.to.sentVersion, _ = x.to.store.ChangesSince(x.to.sentVersion, 10)
 	}
 	s.pending = pending
 }
--- a/core/coordination/ratelimit/store.go
+++ b/core/coordination/ratelimit/store.go
@@ -18,9 +18,9 @@
 
 // Observation is the limit that a life of an upstream named at some time.
 type Observation struct {
-	Life string
-	Rate float64 // requests per second; 0: the limit has ended
-	At   time.Time
+	InstanceID string
+	Rate       float64 // requests per second; 0: the limit has ended
+	ObservedAt time.Time
 }
 
 // Store holds the latest observation of each life, and numbers their changes so that they
@@ -48,16 +48,16 @@
 		s.byInstance = map[string]versionedObservation{}
 	}
 	for _, o := range observations {
-		old, known := s.byInstance[o.Life]
+		old, known := s.byInstance[o.InstanceID]
 		switch {
-		case known && !o.At.After(old.At):
+		case known && !o.ObservedAt.After(old.ObservedAt):
 		case !known && o.Rate == 0: // no limit to end
 		case known && sameRate(o.Rate, old.Rate):
-			old.At = o.At
-			s.byInstance[o.Life] = old
+			old.ObservedAt = o.ObservedAt
+			s.byInstance[o.InstanceID] = old
 		default:
 			s.version++
-			s.byInstance[o.Life] = versionedObservation{
+			s.byInstance[o.InstanceID] = versionedObservation{
 				Observation: o,
 				version:     s.version,
 			}
@@ -84,7 +84,7 @@
 	s.prunedAt = now
 	overLimit := len(s.byInstance) > maxObservations
 	for instanceID, o := range s.byInstance {
-		age := now.Sub(o.At)
+		age := now.Sub(o.ObservedAt)
 		if age > limitRetention || o.Rate == 0 && age > clearedRetention || overLimit && o.version+maxObservations/2 <= s.version {
 			delete(s.byInstance, instanceID)
 		}
@@ -106,9 +106,9 @@
 	return s.changed
 }
 
-// Since returns up to limit changes after the version, 0 for all, in their order, the
+// ChangesSince returns up to limit changes after the version, 0 for all, in their order, the
 // version after them, and whether there are more.
-func (s *Store) Since(version uint64, limit int) (observations []Observation, next uint64, more bool) {
+func (s *Store) ChangesSince(version uint64, limit int) (observations []Observation, next uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version == s.version {
--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -9,9 +9,9 @@
 	"persimmoncross/core/coordination/ratelimit"
 )
 
-// Bears reports whether this entry may send the target a request now: the target is not
+// IsAvailable reports whether this entry may send the target a request now: the target is not
 // cold, over the limit that it named, or in a backoff.
-func (t *Target) Bears(now time.Time) bool {
+func (t *Target) IsAvailable(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isAvailableLocked(now)
@@ -19,14 +19,14 @@
 
 // isAvailableLocked is Bears for a caller that holds mu.
 func (t *Target) isAvailableLocked(now time.Time) bool {
-	return t.slowStart.Allows(now) && t.rateLimit.Allows(now) && t.backoff.Remaining(now) == 0
+	return t.slowStart.CanSend(now) && t.rateLimit.CanSend(now) && t.backoff.Remaining(now) == 0
 }
 
 // acquire reports the same, and accounts for a request if so.
 func (t *Target) acquire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.isAvailableLocked(now) && t.rateLimit.Take(now) && t.slowStart.Take(now)
+	return t.isAvailableLocked(now) && t.rateLimit.TryAcquire(now) && t.slowStart.TryAcquire(now)
 }
 
 // Why a target gets no requests from this entry; also names of counters.
@@ -41,10 +41,10 @@
 func (t *Target) availableIn(now time.Time) (wait time.Duration, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if wait = t.rateLimit.Wait(now); wait > 0 {
+	if wait = t.rateLimit.ExpectedWait(now); wait > 0 {
 		reason = blockedLimit
 	}
-	if cold := t.slowStart.Opens().Sub(now); cold > wait {
+	if cold := t.slowStart.NextSendTime().Sub(now); cold > wait {
 		wait, reason = cold, blockedCold
 	}
 	if backoff := t.backoff.Remaining(now); backoff > wait {
@@ -85,12 +85,12 @@
 func (t *Target) endRateLimit(sent time.Time) (ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.rateLimit.Unlimited(sent)
+	return t.rateLimit.HandleUnlimited(sent)
 }
 
 // applyFeedback handles what the head of an answer asks for, to an attempt that began at the
 // given time. A misdirected answer is from another upstream.
-func (c *call) applyFeedback(target *Target, head persimmoncross.PassageHead, start time.Time) {
+func (c *call) applyFeedback(target *Target, head persimmoncross.ProxyResponseHead, start time.Time) {
 	if head.Misdirected {
 		return
 	}
@@ -99,24 +99,24 @@
 		c.relay.incrementCounter("backoff")
 		target.extendBackoff(c.relay.Clock.Now().Add(head.RetryAfter))
 	}
-	if head.Leaving && target.markDraining() {
+	if head.Draining && target.markDraining() {
 		c.relay.incrementCounter("leaving")
-		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Leaving).Msg("upstream is leaving")
+		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Draining).Msg("upstream is leaving")
 	}
 }
 
 // applyRateLimit updates the target's limit and reports changes to the other entries. The
 // absence of a limit from a rejection or a failure means nothing.
-func (c *call) applyRateLimit(target *Target, head persimmoncross.PassageHead, start time.Time) {
+func (c *call) applyRateLimit(target *Target, head persimmoncross.ProxyResponseHead, start time.Time) {
 	r := c.relay
 	now := r.Clock.Now()
 	switch {
-	case head.Limit > 0:
+	case head.RateLimit > 0:
 		r.incrementCounter("limit.named")
 		entryCount := r.View().entryCountOrDefault()
-		if target.setRateLimit(head.Limit, entryCount, now) {
+		if target.setRateLimit(head.RateLimit, entryCount, now) {
 			r.incrementCounter("limit.set")
-			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.Limit).Int("entries", entryCount).Msg("upstream limit set")
+			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream limit set")
 		}
 	case head.NotRun || head.Status >= 500 || !target.endRateLimit(start):
 		return
@@ -124,14 +124,14 @@
 		r.incrementCounter("limit.cleared")
 		r.logEvent(c.passage).Str("upstream", target.Incarnation).Msg("upstream limit cleared")
 	}
-	if r.Limits == nil {
+	if r.RateLimits == nil {
 		return
 	}
-	r.Limits.Merge([]ratelimit.Observation{
+	r.RateLimits.Merge([]ratelimit.Observation{
 		{
-			Life: target.Life(),
-			Rate: head.Limit,
-			At:   now,
+			InstanceID: target.InstanceID(),
+			Rate:       head.RateLimit,
+			ObservedAt: now,
 		},
 	}, now)
 }
@@ -142,7 +142,7 @@
 	now := c.relay.Clock.Now()
 	for _, u := range c.eligibleTargets() {
 		wait, blocked := u.availableIn(now)
-		if !u.Leaves(now) && wait > 0 && (shortest == 0 || wait < shortest) {
+		if !u.IsDraining(now) && wait > 0 && (shortest == 0 || wait < shortest) {
 			shortest, reason = wait, blocked
 		}
 	}
@@ -152,16 +152,16 @@
 // noneAvailable reports whether none of the service's upstreams may get a request now.
 func (c *call) noneAvailable() bool {
 	now := c.relay.Clock.Now()
-	return !slices.ContainsFunc(c.eligibleTargets(), func(u *Target) bool { return !u.Leaves(now) && u.Bears(now) })
+	return !slices.ContainsFunc(c.eligibleTargets(), func(u *Target) bool { return !u.IsDraining(now) && u.IsAvailable(now) })
 }
 
-// MergeLimits adds limits that other entries have observed.
-func (p *Pool) MergeLimits(observations []ratelimit.Observation) {
+// MergeRateLimits adds limits that other entries have observed.
+func (p *Pool) MergeRateLimits(observations []ratelimit.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
-	for _, o := range p.Limits.Merge(observations, now) {
-		if t := p.byInstanceID[o.Life]; t != nil {
+	for _, o := range p.RateLimits.Merge(observations, now) {
+		if t := p.byInstanceID[o.InstanceID]; t != nil {
 			t.setRateLimit(o.Rate, p.entryCountOrDefault(), now)
 		}
 	}
@@ -176,8 +176,8 @@
 	return p.entryCount
 }
 
-// SetEntries sets the number of entries that share the upstreams.
-func (p *Pool) SetEntries(entryCount int) {
+// SetEntryCount sets the number of entries that share the upstreams.
+func (p *Pool) SetEntryCount(entryCount int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.entryCount = entryCount
--- a/core/coordination/relay/backpressure_test.go
+++ b/core/coordination/relay/backpressure_test.go
@@ -13,7 +13,7 @@
 // rateLimitedResponse is a good answer that names a limit.
 func rateLimitedResponse(rate float64) *fakeResponse {
 	a := okResponse("x")
-	a.head.Limit = rate
+	a.head.RateLimit = rate
 	return a
 }
 
@@ -25,8 +25,8 @@
 		responses = append(responses, okResponse("x"))
 	}
 	e, p := newTestEnvWithPool(responses...)
-	p.Limits = &ratelimit.Store{}
-	e.relay.Limits = p.Limits
+	p.RateLimits = &ratelimit.Store{}
+	e.relay.RateLimits = p.RateLimits
 	for range 40 {
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
 			t.Fatal(refusal)
@@ -40,23 +40,23 @@
 	if requestCounts[first.Incarnation] != 1 || len(requestCounts) != 4 {
 		t.Errorf("reached: %v", requestCounts)
 	}
-	limits, _, _ := p.Limits.Since(0, 10)
-	if len(limits) != 1 || limits[0].Life != first.Life() || limits[0].Rate != 0.5 {
+	limits, _, _ := p.RateLimits.ChangesSince(0, 10)
+	if len(limits) != 1 || limits[0].InstanceID != first.InstanceID() || limits[0].Rate != 0.5 {
 		t.Errorf("sent to the other entries: %v", limits)
 	}
 	other, q := newTestEnvWithPool(okResponse("x"), okResponse("x"), okResponse("x"))
-	q.Limits = &ratelimit.Store{}
-	q.MergeLimits(limits)
+	q.RateLimits = &ratelimit.Store{}
+	q.MergeRateLimits(limits)
 	for _, u := range other.targets {
-		if u.Bears(other.clock.Now()) != (u.Life() != first.Life()) {
-			t.Errorf("%s bears requests: %v", u.Incarnation, u.Bears(other.clock.Now()))
+		if u.IsAvailable(other.clock.Now()) != (u.InstanceID() != first.InstanceID()) {
+			t.Errorf("%s bears requests: %v", u.Incarnation, u.IsAvailable(other.clock.Now()))
 		}
 	}
 	later := &Pool{
-		Clock:  other.clock,
-		Limits: q.Limits,
+		Clock:      other.clock,
+		RateLimits: q.RateLimits,
 	}
-	if u := later.Update([]persimmoncross.Upstream{first})[testService][0]; u.Bears(other.clock.Now()) {
+	if u := later.Update([]persimmoncross.Upstream{first})[testService][0]; u.IsAvailable(other.clock.Now()) {
 		t.Error("a life that is listed after its limit is known gets requests")
 	}
 }
@@ -64,8 +64,8 @@
 // Before the number of entries is known, an entry does not use a limit alone.
 func TestRateLimitWithUnknownEntryCount(t *testing.T) {
 	e, p := newTestEnvWithPool()
-	p.Limits = &ratelimit.Store{}
-	p.MergeLimits([]ratelimit.Observation{{Life: e.targets[0].Life(), Rate: 1, At: e.clock.Now()}})
+	p.RateLimits = &ratelimit.Store{}
+	p.MergeRateLimits([]ratelimit.Observation{{InstanceID: e.targets[0].InstanceID(), Rate: 1, ObservedAt: e.clock.Now()}})
 	alone := &Target{
 		targetState: &targetState{},
 	}
@@ -88,8 +88,8 @@
 		{"a failure", failedResponse(500), false},
 	} {
 		e, p := newTestEnvWithPool(tt.response, okResponse("x"), okResponse("x"))
-		p.Limits = &ratelimit.Store{}
-		e.relay.Limits = p.Limits
+		p.RateLimits = &ratelimit.Store{}
+		e.relay.RateLimits = p.RateLimits
 		u := e.targets[0]
 		u.setRateLimit(0.5, 8, time.Now().Add(-time.Hour))
 		e.view.Targets[testService] = e.targets[:1]
@@ -112,7 +112,7 @@
 func TestAllTargetsRateLimited(t *testing.T) {
 	e, p := newTestEnvWithPool()
 	e.clock.(*steppingClock).now = time.Now()
-	p.SetEntries(8)
+	p.SetEntryCount(8)
 	for _, u := range e.targets {
 		u.setRateLimit(1, 8, time.Now())
 	}
--- a/core/coordination/relay/trip.go
+++ b/core/coordination/relay/call.go
@@ -29,15 +29,15 @@
 // call is one passage on its way.
 type call struct {
 	relay          *Relay
-	passage        *persimmoncross.Passage
+	passage        *persimmoncross.ProxyRequest
 	route          *catalog.Route
 	service        string
 	organisation   string
-	quarantineCopy quarantine.Copy
+	quarantineCopy quarantine.Request
 	priority       int
 	residency      residency
 	deadline       time.Time
-	sink           persimmoncross.PassageSink
+	sink           persimmoncross.ProxyResponseSink
 
 	versionFilter     versionFilter
 	upgrade           *register.Upgrade // under way, nil if none is
@@ -58,7 +58,7 @@
 
 // bufferedResponse is a whole answer that was not sent yet.
 type bufferedResponse struct {
-	head persimmoncross.PassageHead
+	head persimmoncross.ProxyResponseHead
 	body []byte
 }
 
@@ -76,8 +76,8 @@
 	r := c.relay
 	defer func() { c.quarantineCopy.Done(c.executions > 0) }()
 	c.triedIncarnations = map[string]bool{}
-	c.lastEventID = c.passage.LastEvent
-	if c.passage.AnyModel {
+	c.lastEventID = c.passage.LastEventID
+	if c.passage.RouterPicksModel {
 		c.modelIndex = c.firstModelIndex()
 	}
 	c.updateVersionFilter()
@@ -91,11 +91,11 @@
 		// for: kept by id it would be forgotten with each copy, and the bound on retries
 		// be a product of copies, entries and runs.
 		stage := c.quarantineStage()
-		if stage == persimmoncross.HoldRefuse {
+		if stage == persimmoncross.QuarantineRefuse {
 			return c.refuseQuarantined(ctx)
 		}
 		target := c.pickTarget(stage)
-		if target == nil && stage == persimmoncross.HoldWatch {
+		if target == nil && stage == persimmoncross.QuarantineIsolate {
 			return c.refuseIsolated(ctx)
 		}
 		if target == nil {
@@ -133,7 +133,7 @@
 	if !ok {
 		return
 	}
-	c.versionFilter = r.Sessions.chooseVersions(u, c.passage.Session, c.passage.ID, upgrade.TrialShare(u.Duration, r.Bounds.ExposureShare), r.Evidence.isHalted(u), r.Clock.Now())
+	c.versionFilter = r.Sessions.chooseVersions(u, c.passage.SessionID, c.passage.ID, upgrade.CanaryShare(u.Duration, r.Config.MaxCanaryShare), r.CanaryStats.isHalted(u), r.Clock.Now())
 	if !u.Stage.Ended() {
 		c.upgrade = &u
 	}
@@ -142,7 +142,7 @@
 // pinSessionVersion binds the session to the version of the upstream that is about to
 // get it. What it returns is called at the attempt's end.
 func (c *call) pinSessionVersion(target *Target) func(now time.Time) {
-	return c.relay.Sessions.Begin(c.service, c.passage.Session, target.Version, c.relay.Clock.Now())
+	return c.relay.Sessions.BeginRun(c.service, c.passage.SessionID, target.Version, c.relay.Clock.Now())
 }
 
 // attempt sends the passage to the target and carries the answer back.
@@ -155,24 +155,24 @@
 	target.inFlight.Add(1)
 	defer target.inFlight.Add(-1)
 	start := r.Clock.Now()
-	c.quarantineRun = c.quarantineCopy.Begin(target.Life(), start)
-	defer func(run *quarantine.Run) { run.Over(r.Clock.Now()) }(c.quarantineRun)
+	c.quarantineRun = c.quarantineCopy.BeginRun(target.InstanceID(), start)
+	defer func(run *quarantine.Run) { run.Close(r.Clock.Now()) }(c.quarantineRun)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	detector := c.startStallDetector(ctx, cancel, target)
 	defer detector.stop()
-	recordModelHead := r.Pressure.awaitHead(c.service, c.modelName(), c.passage.PromptTokens, start)
-	recordTargetHead := target.awaitHead(start, r.Pressure.prefillTime(c.service, c.modelName(), c.passage.PromptTokens))
-	response, err := r.Forwarder.Forward(ctx, &persimmoncross.PassageAttempt{
-		Passage:      c.passage,
-		Upstream:     target.Upstream,
-		Organisation: c.organisation,
-		Model:        c.modelName(),
-		LastEvent:    c.lastEventID,
-		Priority:     c.priority,
-		Deadline:     c.deadline,
-		MaxConns:     c.maxConns(),
-		CopyFrom:     c.prefixSource,
+	recordModelHead := r.ModelStats.awaitHead(c.service, c.modelName(), c.passage.PromptTokens, start)
+	recordTargetHead := target.awaitHead(start, r.ModelStats.prefillTime(c.service, c.modelName(), c.passage.PromptTokens))
+	response, err := r.Forwarder.Forward(ctx, &persimmoncross.ProxyAttempt{
+		Request:           c.passage,
+		Upstream:          target.Upstream,
+		Organisation:      c.organisation,
+		Model:             c.modelName(),
+		LastEventID:       c.lastEventID,
+		Priority:          c.priority,
+		Deadline:          c.deadline,
+		MaxConns:          c.maxConns(),
+		PrefixCacheSource: c.prefixSource,
 	})
 	c.reachedUpstream = c.reachedUpstream || err == nil || mayHaveReachedUpstream(err)
 	executed := err == nil && !response.Head().NotRun
@@ -187,7 +187,7 @@
 	detector.recordHead(r.Clock.Now())
 	if !response.Head().NotRun && !response.Head().Misdirected {
 		r.endOutage(c.service)
-		c.quarantineRun.Begun(r.Clock.Now())
+		c.quarantineRun.MarkStarted(r.Clock.Now())
 	}
 	target.clearSuspicion()
 	target.recordReceived(r.Clock.Now())
@@ -208,7 +208,7 @@
 	}
 	detector.stop() // the body of a plain answer follows its head
 	if head.Status < 500 {
-		r.Evidence.recordDuration(c.upgrade, c.canaryKey(target), r.Clock.Now().Sub(start))
+		r.CanaryStats.recordDuration(c.upgrade, c.canaryKey(target), r.Clock.Now().Sub(start))
 	}
 	return c.forwardResponse(ctx, target, response)
 }
@@ -220,17 +220,17 @@
 }
 
 // logResponseHead tells where an answer began and what was known of the upstream then.
-func (c *call) logResponseHead(target *Target, head persimmoncross.PassageHead, took time.Duration) {
-	event := c.relay.logEvent(c.passage).Str("session", c.passage.Session).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
+func (c *call) logResponseHead(target *Target, head persimmoncross.ProxyResponseHead, took time.Duration) {
+	event := c.relay.logEvent(c.passage).Str("session", c.passage.SessionID).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
 	if head.Load != nil {
 		event.Int("running", head.Load.Running).Int("waiting", head.Load.Waiting)
 	}
-	if head.Limit > 0 {
-		event.Float64("limit", head.Limit)
+	if head.RateLimit > 0 {
+		event.Float64("limit", head.RateLimit)
 	}
 	if c.modelName() != "" {
-		event.Str("model", c.modelName()).Int("prompt", c.passage.PromptTokens).Int("confidence", head.Confidence)
-		event.Dur("outlook", c.expectedWait).Dur("reading", c.relay.Pressure.prefillTime(c.service, c.modelName(), c.passage.PromptTokens)).Bool("copy", c.prefixSource.IsValid())
+		event.Str("model", c.modelName()).Int("prompt", c.passage.PromptTokens).Int("confidence", head.ModelConfidence)
+		event.Dur("outlook", c.expectedWait).Dur("reading", c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.passage.PromptTokens)).Bool("copy", c.prefixSource.IsValid())
 	}
 	event.Msg("head")
 	c.relay.observeDuration("head", took)
@@ -248,25 +248,25 @@
 // recordResult tells the breaker and the evidence of an attempt that ran.
 func (c *call) recordResult(target *Target, failed bool) {
 	target.recordResult(failed, c.relay.Clock.Now())
-	c.relay.Evidence.recordResult(c.upgrade, c.canaryKey(target), failed)
+	c.relay.CanaryStats.recordResult(c.upgrade, c.canaryKey(target), failed)
 }
 
 // canaryKey names what the evidence counts of the target.
-func (c *call) canaryKey(target *Target) TrialKey {
-	k := TrialKey{
+func (c *call) canaryKey(target *Target) CanaryKey {
+	k := CanaryKey{
 		Service: c.service,
 		Version: target.Version,
 		Route:   c.route.Name,
 	}
 	if c.upgrade != nil {
-		k.Order = c.upgrade.Order
+		k.UpgradeOrder = c.upgrade.Order
 	}
 	return k
 }
 
 // asAttemptError returns the error of an attempt; one of another kind has the reason,
 // and the run may have come so far.
-func asAttemptError(err error, reason string, run persimmoncross.Run) *persimmoncross.AttemptError {
+func asAttemptError(err error, reason string, run persimmoncross.RunStatus) *persimmoncross.AttemptError {
 	var e *persimmoncross.AttemptError
 	if errors.As(err, &e) {
 		return e
@@ -280,11 +280,11 @@
 
 // handleAttemptError takes an attempt that gave no head.
 func (c *call) handleAttemptError(ctx context.Context, target *Target, err error) outcome {
-	e := asAttemptError(err, "internal", persimmoncross.Unknown)
+	e := asAttemptError(err, "internal", persimmoncross.RunUnknown)
 	c.lastError = e
 	c.recordCut(ctx, target, e)
 	switch {
-	case ctx.Err() != nil || e.Busy:
+	case ctx.Err() != nil || e.Overloaded:
 		target.recordInconclusive()
 	case e.Run == persimmoncross.NotRun:
 		target.recordUnreachable(c.relay.Clock.Now())
@@ -294,7 +294,7 @@
 	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("run", string(e.Run)).Str("detail", e.Detail).Int("send", c.attempts).Msg("attempt failed")
 	if e.Run != persimmoncross.NotRun {
 		c.executions++
-		if c.route.Repeat == persimmoncross.RepeatNever {
+		if c.route.Repeat == persimmoncross.RetryNever {
 			return outcomeNoRetry
 		}
 	}
@@ -302,7 +302,7 @@
 }
 
 // handleRejection takes an answer that says that nothing ran.
-func (c *call) handleRejection(target *Target, head persimmoncross.PassageHead) outcome {
+func (c *call) handleRejection(target *Target, head persimmoncross.ProxyResponseHead) outcome {
 	reason := "rejected"
 	if head.Misdirected {
 		reason = "misdirected"
@@ -311,10 +311,10 @@
 		target.recordInconclusive()
 	}
 	c.lastError = &persimmoncross.AttemptError{
-		Reason: reason,
-		Run:    persimmoncross.NotRun,
-		Busy:   !head.Misdirected,
-		Status: head.Status,
+		Reason:     reason,
+		Run:        persimmoncross.NotRun,
+		Overloaded: !head.Misdirected,
+		HTTPStatus: head.Status,
 	}
 	event := c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Str("reason", reason).Int("status", head.Status).Int("send", c.attempts)
 	if head.RetryAfter > 0 {
@@ -328,7 +328,7 @@
 // failure that an upstream gave.
 func (c *call) giveUp(ctx context.Context, reason string) *persimmoncross.Refusal {
 	r := c.relay
-	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.passage.Arrived))
+	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.passage.ArrivedAt))
 	if c.lastError != nil {
 		event = event.Str("reason", c.lastError.Reason)
 	}
@@ -344,11 +344,11 @@
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return persimmoncross.Refuse(persimmoncross.CodeDeadline, "the caller left").WithRun(persimmoncross.Unknown)
+		return persimmoncross.NewRefusal(persimmoncross.CodeDeadlineExceeded, "the caller left").WithRunStatus(persimmoncross.RunUnknown)
 	case c.executions > 0 && ctx.Err() != nil:
-		return persimmoncross.Refuse(persimmoncross.CodeDeadline, "no answer in time").WithRun(persimmoncross.Unknown)
+		return persimmoncross.NewRefusal(persimmoncross.CodeDeadlineExceeded, "no answer in time").WithRunStatus(persimmoncross.RunUnknown)
 	case c.executions > 0:
-		return persimmoncross.Refuse(persimmoncross.CodeUpstreamFailed, "the upstream's answer was lost").WithRun(persimmoncross.Unknown)
+		return persimmoncross.NewRefusal(persimmoncross.CodeUpstreamFailed, "the upstream's answer was lost").WithRunStatus(persimmoncross.RunUnknown)
 	}
 	return c.refuseNotRun(wait, blockReason)
 }
@@ -356,7 +356,7 @@
 // refuseNotRun refuses a passage that no upstream has begun. The arguments are the results
 // of availableIn.
 func (c *call) refuseNotRun(wait time.Duration, blockReason string) *persimmoncross.Refusal {
-	busy := c.lastError != nil && c.lastError.Busy
+	busy := c.lastError != nil && c.lastError.Overloaded
 	switch {
 	case busy && !c.noneAvailable():
 		wait = c.timeToHead()
@@ -364,9 +364,9 @@
 		c.relay.incrementCounter("refused." + blockReason)
 	}
 	if busy {
-		return persimmoncross.Refuse(persimmoncross.CodeOverloaded, "no upstream has room").After(c.retryAfter(wait))
+		return persimmoncross.NewRefusal(persimmoncross.CodeOverloaded, "no upstream has room").WithRetryAfter(c.retryAfter(wait))
 	}
-	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "no upstream took the request").After(c.retryAfter(wait))
+	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "no upstream took the request").WithRetryAfter(c.retryAfter(wait))
 }
 
 // logEventWithDigest begins a log logEventWithDigest on a trouble of the passage: its digest joins those of
@@ -378,19 +378,19 @@
 // timeToHead estimates in which time an answer of the service timeToHead now.
 func (c *call) timeToHead() time.Duration {
 	r := c.relay
-	return r.Pressure.timeToHead(c.service, c.modelName(), c.passage.PromptTokens, r.Clock.Now())
+	return r.ModelStats.timeToHead(c.service, c.modelName(), c.passage.PromptTokens, r.Clock.Now())
 }
 
 // retryAfter returns when the caller should come back; expected is when there should
 // be room, 0 if that is not known.
 func (c *call) retryAfter(expectedWait time.Duration) time.Duration {
 	r := c.relay
-	hint := retry.ComeBack{
-		Expected: expectedWait,
-		Lasted:   r.recordRefusal(c.service, c.passage.Arrived),
-		Left:     c.deadline.Sub(r.Clock.Now()),
-		Rank:     c.route.Priority,
-		Ranks:    r.View().Catalog.Ranks(),
+	hint := retry.RetryAfter{
+		ExpectedWait:   expectedWait,
+		OutageAge:      r.recordRefusal(c.service, c.passage.ArrivedAt),
+		UntilDeadline:  c.deadline.Sub(r.Clock.Now()),
+		Priority:       c.route.Priority,
+		PriorityLevels: r.View().Catalog.Ranks(),
 	}
-	return hint.After(rand.Float64())
+	return hint.Delay(rand.Float64())
 }
--- a/core/coordination/relay/leaving_test.go
+++ b/core/coordination/relay/draining_test.go
@@ -18,7 +18,7 @@
 		{"with a rejection", rejectedResponse()},
 		{"with a failure", failedResponse(http.StatusInternalServerError)},
 	} {
-		tt.response.head.Leaving = true
+		tt.response.head.Draining = true
 		responses := []*fakeResponse{tt.response}
 		for range 60 {
 			responses = append(responses, okResponse("x"))
@@ -31,7 +31,7 @@
 		}
 		first := e.forwarder.attempts[0].Upstream
 		for _, a := range e.forwarder.attempts[1:] {
-			if a.Upstream.Life() == first.Life() {
+			if a.Upstream.InstanceID() == first.InstanceID() {
 				t.Errorf("%s: an upstream that leaves got another request", tt.name)
 				break
 			}
@@ -39,7 +39,7 @@
 		// A later list that does not show it yet changes nothing.
 		first.Slots++
 		for _, u := range p.Update([]persimmoncross.Upstream{first})[testService] {
-			if !u.Leaves(e.clock.Now()) {
+			if !u.IsDraining(e.clock.Now()) {
 				t.Errorf("%s: it is forgotten with the next list", tt.name)
 			}
 		}
--- a/core/coordination/relay/env_test.go
+++ b/core/coordination/relay/env_test.go
@@ -58,7 +58,7 @@
 
 // fakeResponse is what a stand-in upstream answers to one attempt.
 type fakeResponse struct {
-	head        persimmoncross.PassageHead
+	head        persimmoncross.ProxyResponseHead
 	body        string
 	interrupted bool // the body breaks off
 	err         *persimmoncross.AttemptError
@@ -67,7 +67,7 @@
 	forwarder   *fakeForwarder
 }
 
-func (r *fakeResponse) Head() persimmoncross.PassageHead { return r.head }
+func (r *fakeResponse) Head() persimmoncross.ProxyResponseHead { return r.head }
 
 func (r *fakeResponse) Read(p []byte) (int, error) {
 	n, err := r.reader.Read(p)
@@ -92,11 +92,11 @@
 	responses []*fakeResponse
 
 	mu            sync.Mutex // guards all below
-	attempts      []*persimmoncross.PassageAttempt
+	attempts      []*persimmoncross.ProxyAttempt
 	openResponses int
 }
 
-func (f *fakeForwarder) Forward(_ context.Context, a *persimmoncross.PassageAttempt) (persimmoncross.PassageAnswer, error) {
+func (f *fakeForwarder) Forward(_ context.Context, a *persimmoncross.ProxyAttempt) (persimmoncross.ProxyResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.attempts)
@@ -125,11 +125,11 @@
 
 // recordingSink is a caller.
 type recordingSink struct {
-	head *persimmoncross.PassageHead
+	head *persimmoncross.ProxyResponseHead
 	body bytes.Buffer
 }
 
-func (r *recordingSink) Head(h persimmoncross.PassageHead) error {
+func (r *recordingSink) WriteHead(h persimmoncross.ProxyResponseHead) error {
 	if r.head != nil {
 		return errors.New("a second head")
 	}
@@ -202,13 +202,13 @@
 	}
 	for _, r := range []struct {
 		name   string
-		repeat persimmoncross.Repeat
+		repeat persimmoncross.RetryMode
 		stream bool
 	}{
-		{"once", persimmoncross.RepeatNever, false},
-		{"safe", persimmoncross.RepeatFreely, false},
-		{"stream", persimmoncross.RepeatResume, true},
-		{"fixed", persimmoncross.RepeatNever, true},
+		{"once", persimmoncross.RetryNever, false},
+		{"safe", persimmoncross.RetryFreely, false},
+		{"stream", persimmoncross.RetryResume, true},
+		{"fixed", persimmoncross.RetryNever, true},
 	} {
 		c.Routes = append(c.Routes, &catalog.Route{
 			Name:        r.name,
@@ -238,19 +238,19 @@
 		Forwarder: e.forwarder,
 		View:      func() *View { return e.view },
 		Clock:     e.clock,
-		Bounds: Bounds{
-			RetryShare:    0.9,
-			RetryWindow:   10 * time.Second,
-			RetrySlack:    60,
-			ExposureShare: 0.15,
+		Config: Config{
+			RetryBudgetRatio:   0.9,
+			RetryBudgetWindow:  10 * time.Second,
+			RetryBudgetMinimum: 60,
+			MaxCanaryShare:     0.15,
 		},
 		Sessions: &Sessions{
-			Idle: 5 * time.Second,
+			IdleTimeout: 5 * time.Second,
 		},
-		Evidence: &Evidence{},
-		Book:     &quarantine.Book{},
-		Pressure: &Pressure{},
-		Cascade: cascade.Confidence{
+		CanaryStats:        &CanaryStats{},
+		QuarantineRecorder: &quarantine.Recorder{},
+		ModelStats:         &ModelStats{},
+		Cascade: cascade.EscalationPolicy{
 			Thresholds: []int{55, 55},
 		},
 		Metrics: metrics.NewRegistry(),
@@ -260,26 +260,26 @@
 }
 
 // serve sends a passage on the route.
-func (e *testEnv) serve(t *testing.T, route string, change func(p *persimmoncross.Passage)) *persimmoncross.Refusal {
+func (e *testEnv) serve(t *testing.T, route string, change func(p *persimmoncross.ProxyRequest)) *persimmoncross.Refusal {
 	t.Helper()
-	p := &persimmoncross.Passage{
-		ID:      "id",
-		Method:  http.MethodPost,
-		Host:    "h",
-		Path:    "/" + route + "/x",
-		Target:  "/" + route + "/x",
-		Key:     testKey,
-		Arrived: e.clock.Now(),
+	p := &persimmoncross.ProxyRequest{
+		ID:             "id",
+		Method:         http.MethodPost,
+		Host:           "h",
+		Path:           "/" + route + "/x",
+		RequestTarget:  "/" + route + "/x",
+		IdempotencyKey: testKey,
+		ArrivedAt:      e.clock.Now(),
 	}
 	if change != nil {
 		change(p)
 	}
 	// The deadlines of contexts are of the system's clock.
 	e.view.Catalog.Routes[0].Timeout = 20 * time.Second
-	p.Arrived = time.Now()
+	p.ArrivedAt = time.Now()
 	if l, ok := e.clock.(*steppingClock); ok {
 		l.mu.Lock()
-		l.now = p.Arrived
+		l.now = p.ArrivedAt
 		l.mu.Unlock()
 	}
 	return e.relay.Serve(context.Background(), p, e.sink)
@@ -288,10 +288,10 @@
 // okResponse is a good answer that is no stream.
 func okResponse(body string) *fakeResponse {
 	return &fakeResponse{
-		head: persimmoncross.PassageHead{
-			Status:     http.StatusOK,
-			Signed:     true,
-			Confidence: -1,
+		head: persimmoncross.ProxyResponseHead{
+			Status:          http.StatusOK,
+			HasSignature:    true,
+			ModelConfidence: -1,
 		},
 		body: body,
 	}
@@ -307,13 +307,13 @@
 // rejectedResponse says that nothing ran.
 func rejectedResponse() *fakeResponse {
 	a := failedResponse(http.StatusServiceUnavailable)
-	a.head.Signed = false
+	a.head.HasSignature = false
 	a.head.NotRun = true
 	return a
 }
 
 // lostResponse is an attempt whose answer never came.
-func lostResponse(run persimmoncross.Run) *fakeResponse {
+func lostResponse(run persimmoncross.RunStatus) *fakeResponse {
 	return &fakeResponse{
 		err: &persimmoncross.AttemptError{
 			Reason: "cut",
--- a/core/coordination/relay/fleet.go
+++ b/core/coordination/relay/fleetload.go
@@ -13,13 +13,13 @@
 
 // FleetLoad is what all entries together know of an upstream.
 type FleetLoad struct {
-	Life     string
-	Told     *persimmoncross.Load // by the upstream, without its slots; nil: not lately
-	Age      time.Duration        // of Told, at the controller
-	Work     time.Duration        // that the prompts take to be read whose answers have not begun
-	Doubters int                  // entries
-	Heard    bool                 // bytes came from it lately
-	Silence  time.Duration        // since then, at the controller
+	InstanceID        string
+	Reported          *persimmoncross.UpstreamLoad // by the upstream, without its slots; nil: not lately
+	ReportAge         time.Duration                // of Told, at the controller
+	PrefillTime       time.Duration                // that the prompts take to be read whose answers have not begun
+	SuspectingEntries int                          // entries
+	Received          bool                         // bytes came from it lately
+	SinceReceived     time.Duration                // since then, at the controller
 }
 
 // fleetState is the same, kept with its target.
@@ -30,43 +30,43 @@
 
 // reportedAt returns when the target reportedAt its load, zero if not lately.
 func (f fleetState) reportedAt() time.Time {
-	if f.Told == nil {
+	if f.Reported == nil {
 		return time.Time{}
 	}
-	return f.asOf.Add(-f.Age)
+	return f.asOf.Add(-f.ReportAge)
 }
 
 // receivedAt returns when bytes came from the target to any entry, zero if not lately.
 func (f fleetState) receivedAt() time.Time {
-	if !f.Heard {
+	if !f.Received {
 		return time.Time{}
 	}
-	return f.asOf.Add(-f.Silence)
+	return f.asOf.Add(-f.SinceReceived)
 }
 
 // EntryLoad is what this entry knows of an upstream.
 type EntryLoad struct {
-	Life    string
-	Told    *persimmoncross.Load // nil: nothing since the call before
-	At      time.Time            // of Told
-	Work    time.Duration        // of this entry's own prompts
-	Doubted bool
-	Heard   bool          // bytes came since the call before
-	Silence time.Duration // since then
+	InstanceID    string
+	Reported      *persimmoncross.UpstreamLoad // nil: nothing since the call before
+	ReportedAt    time.Time                    // of Told
+	PrefillTime   time.Duration                // of this entry's own prompts
+	Suspected     bool
+	Received      bool          // bytes came since the call before
+	SinceReceived time.Duration // since then
 }
 
-// Loads returns what this entry knows that the others may not.
-func (p *Pool) Loads() []EntryLoad {
+// CollectLoads returns what this entry knows that the others may not.
+func (p *Pool) CollectLoads() []EntryLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	var loads []EntryLoad
 	for instanceID, t := range p.byInstanceID {
 		l := t.collectLoad(now)
-		if l.Told == nil && l.Work == 0 && !l.Doubted && !l.Heard {
+		if l.Reported == nil && l.PrefillTime == 0 && !l.Suspected && !l.Received {
 			continue
 		}
-		l.Life = instanceID
+		l.InstanceID = instanceID
 		loads = append(loads, l)
 	}
 	return loads
@@ -76,30 +76,30 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := EntryLoad{
-		Doubted: t.addressReuse.Holds(now) || t.suspicion.Told(t.breaker.Open(), now),
+		Suspected: t.addressReuse.IsActive(now) || t.suspicion.ShouldReport(t.breaker.IsOpen(), now),
 	}
 	if t.loadUnpublished {
 		reported := t.reportedLoad
-		l.Told = &reported
-		l.At = t.reportedAt
+		l.Reported = &reported
+		l.ReportedAt = t.reportedAt
 		t.loadUnpublished = false
 	}
 	if received := t.lastReceived.Load(); received > t.lastReceivedPublished {
-		l.Heard = true
-		l.Silence = max(now.Sub(t.clockOrigin.Add(time.Duration(received))), 0)
+		l.Received = true
+		l.SinceReceived = max(now.Sub(t.clockOrigin.Add(time.Duration(received))), 0)
 		t.lastReceivedPublished = received
 	}
-	_, l.Work = t.pendingSince(time.Time{})
+	_, l.PrefillTime = t.pendingSince(time.Time{})
 	return l
 }
 
-// Learn takes what all entries know.
-func (p *Pool) Learn(loads []FleetLoad) {
+// ApplyFleetLoads takes what all entries know.
+func (p *Pool) ApplyFleetLoads(loads []FleetLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	asOf := p.Clock.Now().Add(-fleetLoadDelay)
 	for _, l := range loads {
-		if t := p.byInstanceID[l.Life]; t != nil {
+		if t := p.byInstanceID[l.InstanceID]; t != nil {
 			t.applyFleetLoad(l, asOf)
 		}
 	}
@@ -123,12 +123,12 @@
 	if now.Sub(t.fleet.asOf) > maxLoadAge {
 		return false
 	}
-	shared := outlier.Shared{
-		Doubters: t.fleet.Doubters,
-		Word:     now.Sub(t.fleet.reportedAt()) - fleetLoadDelay,
-		Entries:  entryCount,
+	shared := outlier.FleetSuspicion{
+		SuspectingEntries: t.fleet.SuspectingEntries,
+		LoadReportAge:     now.Sub(t.fleet.reportedAt()) - fleetLoadDelay,
+		Entries:           entryCount,
 	}
-	return shared.Avoided(chance)
+	return shared.ShouldAvoid(chance)
 }
 
 // isSuspectedByOthers reports whether so many entries doubt the target that it is not
@@ -136,7 +136,7 @@
 func (t *Target) isSuspectedByOthers(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet.Doubters >= outlier.Doubters && now.Sub(t.fleet.asOf) <= maxLoadAge
+	return t.fleet.SuspectingEntries >= outlier.SuspicionQuorum && now.Sub(t.fleet.asOf) <= maxLoadAge
 }
 
 // pendingSince counts the requests whose heads are awaited and that were sent after the
@@ -161,7 +161,7 @@
 		return own
 	}
 	_, sentSince := t.pendingSince(t.fleet.asOf)
-	return max(t.fleet.Work+sentSince, own)
+	return max(t.fleet.PrefillTime+sentSince, own)
 }
 
 // fleetRequestEstimate estimates the requests at the target from what it told any entry. It is
@@ -176,5 +176,5 @@
 	if !newer {
 		return t.requestEstimate(now)
 	}
-	return max(float64(fleet.Told.Running+fleet.Told.Waiting+sentSince), float64(t.inFlight.Load()))
+	return max(float64(fleet.Reported.Running+fleet.Reported.Waiting+sentSince), float64(t.inFlight.Load()))
 }
--- a/core/coordination/relay/fleet_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -16,7 +16,7 @@
 	tests := []struct {
 		name        string
 		prefillTime time.Duration // that others await at the home
-		reported    *persimmoncross.Load
+		reported    *persimmoncross.UpstreamLoad
 		elapsed     time.Duration // after the account came
 		reread      time.Duration
 		wantMoved   bool
@@ -43,7 +43,7 @@
 		},
 		{
 			name: "every slot is taken",
-			reported: &persimmoncross.Load{
+			reported: &persimmoncross.UpstreamLoad{
 				Running: 10,
 				Waiting: 4,
 			},
@@ -54,8 +54,8 @@
 		all := newTargets(4)
 		home := placeByPrefix(all, "part", 0, now)
 		home.applyFleetLoad(FleetLoad{
-			Work: tt.prefillTime,
-			Told: tt.reported,
+			PrefillTime: tt.prefillTime,
+			Reported:    tt.reported,
 		}, now)
 		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != home) != tt.wantMoved {
 			t.Errorf("%s: moved: %v, want %v", tt.name, got != home, tt.wantMoved)
@@ -78,28 +78,28 @@
 	}
 	target := p.Update([]persimmoncross.Upstream{u})["s"][0]
 	recordHead := target.awaitHead(clock.Now(), time.Second)
-	target.recordLoad(&persimmoncross.Load{
+	target.recordLoad(&persimmoncross.UpstreamLoad{
 		Running: 3,
 		Waiting: 2,
 	}, clock.Now())
-	first := p.Loads()
-	if len(first) != 1 || first[0].Work != time.Second || first[0].Told == nil || first[0].Told.Waiting != 2 {
+	first := p.CollectLoads()
+	if len(first) != 1 || first[0].PrefillTime != time.Second || first[0].Reported == nil || first[0].Reported.Waiting != 2 {
 		t.Fatalf("the account is %+v", first)
 	}
-	if next := p.Loads(); len(next) != 1 || next[0].Told != nil || next[0].Work != time.Second {
+	if next := p.CollectLoads(); len(next) != 1 || next[0].Reported != nil || next[0].PrefillTime != time.Second {
 		t.Errorf("the next account is %+v", next)
 	}
 	recordHead(clock.Now(), true)
-	if last := p.Loads(); len(last) != 0 {
+	if last := p.CollectLoads(); len(last) != 0 {
 		t.Errorf("the account after the answer began is %+v", last)
 	}
-	p.Learn([]FleetLoad{
+	p.ApplyFleetLoads([]FleetLoad{
 		{
-			Life: u.Life(),
-			Work: 3 * time.Second,
+			InstanceID:  u.InstanceID(),
+			PrefillTime: 3 * time.Second,
 		},
 		{
-			Life: "gone",
+			InstanceID: "gone",
 		},
 	})
 	if got := target.pendingPrefill(clock.Now()); got != 3*time.Second {
@@ -114,7 +114,7 @@
 // The time that a model takes to read is what grows with the prompt, however long
 // the queue is meanwhile.
 func TestPrefillTimeEstimate(t *testing.T) {
-	p := &Pressure{}
+	p := &ModelStats{}
 	now := time.Unix(100, 0)
 	if got := p.prefillTime("s", "m", 1000); got != 0 {
 		t.Errorf("an unknown model reads in %v", got)
@@ -133,7 +133,7 @@
 // until it answers one of them.
 func TestTargetSuspectedByFleetIsAvoided(t *testing.T) {
 	now := time.Unix(100, 0)
-	load := &persimmoncross.Load{}
+	load := &persimmoncross.UpstreamLoad{}
 	tests := []struct {
 		name    string
 		load    FleetLoad
@@ -144,14 +144,14 @@
 		{
 			name: "one entry doubts it: it may be cut off by itself",
 			load: FleetLoad{
-				Doubters: 1,
+				SuspectingEntries: 1,
 			},
 			chance: 0.9,
 		},
 		{
 			name: "two do",
 			load: FleetLoad{
-				Doubters: 2,
+				SuspectingEntries: 2,
 			},
 			chance:  0.9,
 			avoided: true,
@@ -159,25 +159,25 @@
 		{
 			name: "a few requests try",
 			load: FleetLoad{
-				Doubters: 2,
+				SuspectingEntries: 2,
 			},
 			chance: 0.01,
 		},
 		{
 			name: "it has answered another entry",
 			load: FleetLoad{
-				Doubters: 2,
-				Told:     load,
-				Age:      300 * time.Millisecond,
+				SuspectingEntries: 2,
+				Reported:          load,
+				ReportAge:         300 * time.Millisecond,
 			},
 			chance: 0.9,
 		},
 		{
 			name: "it answered before it was lost",
 			load: FleetLoad{
-				Doubters: 2,
-				Told:     load,
-				Age:      outlier.WordAge + time.Millisecond,
+				SuspectingEntries: 2,
+				Reported:          load,
+				ReportAge:         outlier.MaxLoadReportAge + time.Millisecond,
 			},
 			chance:  0.9,
 			avoided: true,
@@ -185,7 +185,7 @@
 		{
 			name: "the account is old",
 			load: FleetLoad{
-				Doubters: 2,
+				SuspectingEntries: 2,
 			},
 			elapsed: maxLoadAge + time.Millisecond,
 			chance:  0.9,
@@ -205,19 +205,19 @@
 	now := time.Unix(100, 0)
 	u := newTargets(1)[0]
 	u.recordResult(true, now)
-	if u.collectLoad(now).Doubted {
+	if u.collectLoad(now).Suspected {
 		t.Error("one failure is a doubt")
 	}
 	u.markSuspected(now)
-	if !u.collectLoad(now.Add(2*outlier.SuspectFirst)).Doubted || u.collectLoad(now.Add(outlier.DoubtKept+time.Millisecond)).Doubted {
+	if !u.collectLoad(now.Add(2*outlier.InitialSuspicion)).Suspected || u.collectLoad(now.Add(outlier.SuspicionRetention+time.Millisecond)).Suspected {
 		t.Error("a doubt is told for as long as nothing is known, within its bound")
 	}
 	u.clearSuspicion()
-	if u.collectLoad(now).Doubted {
+	if u.collectLoad(now).Suspected {
 		t.Error("an upstream that answered is doubted")
 	}
 	u.recordMisdirected(now)
-	if !u.collectLoad(now).Doubted {
+	if !u.collectLoad(now).Suspected {
 		t.Error("an address that another upstream has is not told")
 	}
 }
@@ -227,18 +227,18 @@
 	now := time.Unix(100, 0)
 	u := newTargets(1)[0]
 	u.applyFleetLoad(FleetLoad{
-		Heard:   true,
-		Silence: 200 * time.Millisecond,
+		Received:      true,
+		SinceReceived: 200 * time.Millisecond,
 	}, now)
 	if u.receivedSince(now.Add(-100*time.Millisecond)) || !u.receivedSince(now.Add(-300*time.Millisecond)) {
 		t.Error("the age of what others heard does not count")
 	}
 	u.recordReceived(u.clockOrigin.Add(time.Second))
 	l := u.collectLoad(u.clockOrigin.Add(1100 * time.Millisecond))
-	if !l.Heard || l.Silence != 100*time.Millisecond {
+	if !l.Received || l.SinceReceived != 100*time.Millisecond {
 		t.Errorf("the account is %+v", l)
 	}
-	if l := u.collectLoad(u.clockOrigin.Add(1200 * time.Millisecond)); l.Heard {
+	if l := u.collectLoad(u.clockOrigin.Add(1200 * time.Millisecond)); l.Received {
 		t.Error("one sign of life is told twice")
 	}
 }
@@ -253,7 +253,7 @@
 		t.Errorf("at its home a prompt copies from %s", from.Incarnation)
 	}
 	home.applyFleetLoad(FleetLoad{
-		Work: time.Second,
+		PrefillTime: time.Second,
 	}, now)
 	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if spilled == home || from != home {
@@ -273,7 +273,7 @@
 	for _, busy := range []bool{false, true} {
 		e := newTestEnv(okResponse("x"))
 		e.view.Catalog.Routes[1].Sticky = true
-		prompt := []persimmoncross.Part{
+		prompt := []persimmoncross.PromptPart{
 			{
 				ID:     "shared",
 				Tokens: 5000,
@@ -287,13 +287,13 @@
 		if busy {
 			home.awaitHead(time.Now(), 10*time.Second)
 		}
-		e.serve(t, "safe", func(p *persimmoncross.Passage) { p.Prompt = prompt })
+		e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) { p.PromptParts = prompt })
 		a := e.forwarder.attempts[0]
 		if got := a.Upstream.Incarnation == home.Incarnation; got == busy {
 			t.Errorf("busy %v: at home %v", busy, got)
 		}
-		if got := a.CopyFrom.IsValid(); got != busy {
-			t.Errorf("busy %v: copies from %v", busy, a.CopyFrom)
+		if got := a.PrefixCacheSource.IsValid(); got != busy {
+			t.Errorf("busy %v: copies from %v", busy, a.PrefixCacheSource)
 		}
 	}
 }
--- a/core/coordination/relay/pressure.go
+++ b/core/coordination/relay/modelstats.go
@@ -8,12 +8,12 @@
 	"persimmoncross/core/coordination/forecast"
 )
 
-// Pressure keeps, for each service and model, what this entry saw of the times in
+// ModelStats keeps, for each service and model, what this entry saw of the times in
 // which answers began, and of the model's opinions of them.
-type Pressure struct {
+type ModelStats struct {
 	mu            sync.Mutex // guards all below
-	headForecasts map[modelKey]*forecast.Heads
-	confidences   map[modelKey]*cascade.Opinions
+	headForecasts map[modelKey]*forecast.FirstTokenEstimator
+	confidences   map[modelKey]*cascade.ConfidenceStats
 }
 
 type modelKey struct {
@@ -22,17 +22,17 @@
 }
 
 // headForecast returns the model's times. The caller holds mu.
-func (s *Pressure) headForecast(service, model string) *forecast.Heads {
+func (s *ModelStats) headForecast(service, model string) *forecast.FirstTokenEstimator {
 	k := modelKey{
 		service: service,
 		model:   model,
 	}
 	if s.headForecasts == nil {
-		s.headForecasts = map[modelKey]*forecast.Heads{}
+		s.headForecasts = map[modelKey]*forecast.FirstTokenEstimator{}
 	}
 	h := s.headForecasts[k]
 	if h == nil {
-		h = &forecast.Heads{}
+		h = &forecast.FirstTokenEstimator{}
 		s.headForecasts[k] = h
 	}
 	return h
@@ -40,36 +40,36 @@
 
 // awaitHead notes that a head is awaited, and returns what ends the wait; ok tells
 // whether the head came.
-func (s *Pressure) awaitHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
+func (s *ModelStats) awaitHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.headForecast(service, model)
-	id := h.Await(promptTokens, now)
+	id := h.TrackRequest(promptTokens, now)
 	return func(now time.Time, received bool) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		h.Came(id, received, now)
+		h.RecordFirstToken(id, received, now)
 	}
 }
 
 // prefillTime estimates how long the model takes to read a prompt of so many tokens,
 // without what it waits for that; zero if nothing is known.
-func (s *Pressure) prefillTime(service, model string, promptTokens int) time.Duration {
+func (s *ModelStats) prefillTime(service, model string, promptTokens int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.headForecast(service, model).Reading(promptTokens)
+	return s.headForecast(service, model).PrefillTime(promptTokens)
 }
 
 // timeToHead returns how long the model takes to begin an answer to a prompt of so
 // many tokens now; zero if nothing is known.
-func (s *Pressure) timeToHead(service, model string, promptTokens int, now time.Time) time.Duration {
+func (s *ModelStats) timeToHead(service, model string, promptTokens int, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.headForecast(service, model).Begin(promptTokens, now)
+	return s.headForecast(service, model).TimeToFirstToken(promptTokens, now)
 }
 
 // recordConfidence notes whether an answer of the model was doubted.
-func (s *Pressure) recordConfidence(service, model string, low bool) {
+func (s *ModelStats) recordConfidence(service, model string, low bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := modelKey{
@@ -77,16 +77,16 @@
 		model:   model,
 	}
 	if s.confidences == nil {
-		s.confidences = map[modelKey]*cascade.Opinions{}
+		s.confidences = map[modelKey]*cascade.ConfidenceStats{}
 	}
 	if s.confidences[k] == nil {
-		s.confidences[k] = &cascade.Opinions{}
+		s.confidences[k] = &cascade.ConfidenceStats{}
 	}
-	s.confidences[k].Take(low)
+	s.confidences[k].Record(low)
 }
 
 // lowConfidenceShare returns the share of the model's answers lately that were lowConfidenceShare.
-func (s *Pressure) lowConfidenceShare(service, model string) float64 {
+func (s *ModelStats) lowConfidenceShare(service, model string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.confidences[modelKey{
@@ -94,7 +94,7 @@
 		model:   model,
 	}]
 	if o == nil {
-		o = &cascade.Opinions{}
+		o = &cascade.ConfidenceStats{}
 	}
-	return o.Doubted()
+	return o.LowConfidenceRate()
 }
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -15,9 +15,9 @@
 const retryRoundDelay = 40 * time.Millisecond
 
 // pickTarget returns the upstream for the next attempt, nil if there is none.
-func (c *call) pickTarget(stage persimmoncross.HoldStage) *Target {
+func (c *call) pickTarget(stage persimmoncross.QuarantineStage) *Target {
 	c.prefixSource = netip.AddrPort{}
-	if stage == persimmoncross.HoldWatch {
+	if stage == persimmoncross.QuarantineIsolate {
 		return c.pickIsolated()
 	}
 	eligible := c.eligibleTargets()
@@ -34,7 +34,7 @@
 		if !target.acquire(now) {
 			continue // a concurrent request took the slot, or set a backoff
 		}
-		c.expectedWait = target.placementCandidate(now).Outlook()
+		c.expectedWait = target.placementCandidate(now).ExpectedWait()
 		if source != nil {
 			c.prefixSource = source.Address
 		}
@@ -54,10 +54,10 @@
 // placementPrompt returns what placing needs to know of the passage's placementPrompt.
 func (c *call) placementPrompt() placement.Prompt {
 	p := placement.Prompt{
-		Reread: c.relay.Pressure.prefillTime(c.service, c.modelName(), c.passage.SharedTokens()),
+		PrefixPrefillTime: c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.passage.SharedPromptTokens()),
 	}
 	if c.route.Sticky {
-		p.Home = prefixKey(c.passage, c.modelName())
+		p.PrefixKey = prefixKey(c.passage, c.modelName())
 	}
 	return p
 }
@@ -65,19 +65,19 @@
 // prefixKey returns the key by which a prompt finds the upstreams that hold its
 // shared parts: the last part is the request's own, the one before it is the
 // deepest that others share.
-func prefixKey(p *persimmoncross.Passage, model string) string {
-	n := len(p.Prompt)
+func prefixKey(p *persimmoncross.ProxyRequest, model string) string {
+	n := len(p.PromptParts)
 	if n == 0 {
 		return ""
 	}
-	return model + "\x00" + p.Prompt[max(n-2, 0)].ID
+	return model + "\x00" + p.PromptParts[max(n-2, 0)].ID
 }
 
 // linkCost returns what the link to the target is expected to cost the answer.
 func (c *call) linkCost(target *Target, now time.Time) time.Duration {
 	tokens := 0
 	if c.route.Stream {
-		tokens = c.passage.OutputTokens
+		tokens = c.passage.MaxOutputTokens
 	}
 	return c.relay.linkCost(target.DataCentre, tokens, now)
 }
@@ -88,10 +88,10 @@
 	candidates := make([]placement.Candidate, len(targets))
 	for i, u := range targets {
 		candidates[i] = u.placementCandidate(now)
-		candidates[i].Link = linkCost(u)
+		candidates[i].LinkDelay = linkCost(u)
 	}
 	targetIndex, sourceIndex := placement.Place(candidates, p, rand.Uint64())
-	if sourceIndex != placement.None {
+	if sourceIndex != placement.NoCandidate {
 		source = targets[sourceIndex]
 	}
 	return targets[targetIndex], source
@@ -99,11 +99,11 @@
 
 func (c *call) candidateTargets(eligible []*Target, matches func(*Target) bool) []*Target {
 	now := c.relay.Clock.Now()
-	entryCount := c.relay.View().Entries
+	entryCount := c.relay.View().EntryCount
 	chance := rand.Float64()
 	var trusted, available []*Target
 	for _, u := range eligible {
-		if u.Leaves(now) || c.triedIncarnations[u.Incarnation] || !matches(u) || !u.Bears(now) {
+		if u.IsDraining(now) || c.triedIncarnations[u.Incarnation] || !matches(u) || !u.IsAvailable(now) {
 			continue
 		}
 		available = append(available, u)
@@ -122,7 +122,7 @@
 // time.
 func (c *call) awaitRetryRound(ctx context.Context) bool {
 	r := c.relay
-	if len(c.triedIncarnations) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.passage.Arrived) > startupWaitTimeout) {
+	if len(c.triedIncarnations) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.passage.ArrivedAt) > startupWaitTimeout) {
 		return false
 	}
 	if c.executions > 0 || c.attempts >= maxAttempts || c.noneAvailable() {
--- a/core/coordination/relay/decide_test.go
+++ b/core/coordination/relay/placement_test.go
@@ -14,7 +14,7 @@
 // The estimate follows the prompt's size, and sees a queue in the heads that
 // are awaited before any of them has come.
 func TestTimeToHeadEstimate(t *testing.T) {
-	p := &Pressure{}
+	p := &ModelStats{}
 	now := time.Unix(0, 0)
 	for i := range 200 {
 		prompt := 1000 + 500*(i%9)
@@ -64,8 +64,8 @@
 
 func newPrompt(prefix string, reread time.Duration) placement.Prompt {
 	return placement.Prompt{
-		Home:   prefix,
-		Reread: reread,
+		PrefixKey:         prefix,
+		PrefixPrefillTime: reread,
 	}
 }
 
@@ -169,7 +169,7 @@
 func TestCanaryKeepsRunningSessions(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := &Sessions{
-		Idle: 5 * time.Second,
+		IdleTimeout: 5 * time.Second,
 	}
 	u := register.Upgrade{
 		Service: "s",
@@ -182,7 +182,7 @@
 			session = name
 		}
 	}
-	endRun := s.Begin("s", session, "v1", now)
+	endRun := s.BeginRun("s", session, "v1", now)
 	if s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute)).targetOnly {
 		t.Error("a session was moved while its request ran")
 	}
@@ -197,17 +197,17 @@
 
 // Failures count by version and route; a few of them brake the entry itself.
 func TestCanaryFailuresHaltEntry(t *testing.T) {
-	e := &Evidence{}
+	e := &CanaryStats{}
 	u := register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   7,
 	}
-	oldKey := TrialKey{
-		Service: "s",
-		Version: "v1",
-		Route:   "r",
-		Order:   7,
+	oldKey := CanaryKey{
+		Service:      "s",
+		Version:      "v1",
+		Route:        "r",
+		UpgradeOrder: 7,
 	}
 	newKey := oldKey
 	newKey.Version = "v2"
@@ -220,10 +220,10 @@
 		t.Error("10 failures of 20 do not brake")
 	}
 	old := e.Counts()[oldKey]
-	if old.Runs != 20 || old.Failed != 0 || old.Timed != 20 || math.Abs(old.Time-2) > 1e-9 || math.Abs(old.Square-0.2) > 1e-9 {
+	if old.Executions != 20 || old.Failed != 0 || old.DurationCount != 20 || math.Abs(old.DurationSum-2) > 1e-9 || math.Abs(old.DurationSquareSum-0.2) > 1e-9 {
 		t.Errorf("the old version's count is %+v", old)
 	}
-	e.Forget(map[uint64]bool{})
+	e.Prune(map[uint64]bool{})
 	if len(e.Counts()) != 0 || e.isHalted(u) {
 		t.Error("an upgrade that is over is still counted")
 	}
@@ -233,8 +233,8 @@
 func TestPoolKeepsTargetState(t *testing.T) {
 	var gone []string
 	p := &Pool{
-		Clock: frozenClock{},
-		Gone:  func(id string) { gone = append(gone, id) },
+		Clock:     frozenClock{},
+		OnRemoved: func(id string) { gone = append(gone, id) },
 	}
 	u := persimmoncross.Upstream{
 		Incarnation: "u",
@@ -243,17 +243,17 @@
 	}
 	first := p.Update([]persimmoncross.Upstream{u})["s"][0]
 	first.inFlight.Add(3)
-	u.Leaving = true
+	u.Draining = true
 	second := p.Update([]persimmoncross.Upstream{u})["s"][0]
-	if !second.Leaves(time.Unix(0, 0)) || second.inFlight.Load() != 3 {
-		t.Errorf("leaves %v, %d in flight", second.Leaves(time.Unix(0, 0)), second.inFlight.Load())
+	if !second.IsDraining(time.Unix(0, 0)) || second.inFlight.Load() != 3 {
+		t.Errorf("leaves %v, %d in flight", second.IsDraining(time.Unix(0, 0)), second.inFlight.Load())
 	}
 	first.inFlight.Add(-3)
 	if n := second.inFlight.Load(); n != 0 {
 		t.Errorf("%d in flight after the end", n)
 	}
 	p.Update(nil)
-	if len(gone) != 1 || gone[0] != u.Life() {
+	if len(gone) != 1 || gone[0] != u.InstanceID() {
 		t.Errorf("gone: %v", gone)
 	}
 }
@@ -269,21 +269,21 @@
 		Stage:   register.Prepare,
 	}
 	one := &Sessions{
-		Idle: 5 * time.Second,
+		IdleTimeout: 5 * time.Second,
 	}
 	for i := range 200 {
-		one.Begin("s", fmt.Sprint("session", i), "v1", now)(now)
+		one.BeginRun("s", fmt.Sprint("session", i), "v1", now)(now)
 		if one.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now).targetOnly {
 			t.Fatal("a session is on trial while the trial is prepared")
 		}
 	}
-	u.Kept = one.Recent(u, share, now.Add(time.Second))
+	u.Kept = one.SessionsToPin(u, share, now.Add(time.Second))
 	if n := len(u.Kept); n < 20 || n > 60 {
 		t.Errorf("%d of 200 sessions are kept, want about %.0f", n, 200*share)
 	}
 	u.Stage = register.Trial
 	other := &Sessions{
-		Idle: 5 * time.Second,
+		IdleTimeout: 5 * time.Second,
 	}
 	onCanary := 0
 	for i := range 400 {
@@ -298,7 +298,7 @@
 	if onCanary == 0 {
 		t.Error("no new session takes part in the trial")
 	}
-	if n := len(one.Recent(u, share, now.Add(time.Minute))); n != 0 {
+	if n := len(one.SessionsToPin(u, share, now.Add(time.Minute))); n != 0 {
 		t.Errorf("%d idle sessions are kept", n)
 	}
 }
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -40,7 +40,7 @@
 	lastReceived  atomic.Int64 // nanoseconds since origin at which bytes came last
 
 	mu               sync.Mutex // guards all below
-	reportedLoad     persimmoncross.Load
+	reportedLoad     persimmoncross.UpstreamLoad
 	inFlightAtReport int64 // requests of this entry when told came
 	reportedAt       time.Time
 	// lastReceivedPublished is heard when it was last passed on.
@@ -55,9 +55,9 @@
 
 	breaker      outlier.Breaker
 	suspicion    outlier.Suspicion
-	addressReuse outlier.Stranger
-	pauses       outlier.Pauses
-	slowStart    slowstart.Gate
+	addressReuse outlier.Misdirection
+	pauses       outlier.PauseTracker
+	slowStart    slowstart.Pacer
 	rateLimit    ratelimit.Limiter
 	backoff      ratelimit.Backoff
 	draining     bool // an answer said that the upstream is leaving
@@ -69,15 +69,15 @@
 	prefillTime time.Duration // that its prompt takes to be read
 }
 
-// Leaves reports whether the target gets no new work: the list or an answer says that it
+// IsDraining reports whether the target gets no new work: the list or an answer says that it
 // is leaving, or another upstream answers at its address.
-func (t *Target) Leaves(now time.Time) bool {
-	if t.Leaving {
+func (t *Target) IsDraining(now time.Time) bool {
+	if t.Draining {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.draining || t.addressReuse.Holds(now)
+	return t.draining || t.addressReuse.IsActive(now)
 }
 
 // markDraining stops new work to the target: its answers announce that it is leaving, which is
@@ -94,12 +94,12 @@
 func (t *Target) recordMisdirected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaker.Forget()
-	t.addressReuse.Found(now)
+	t.breaker.AbandonProbe()
+	t.addressReuse.Record(now)
 }
 
 // recordLoad takes the load that an answer told.
-func (t *Target) recordLoad(load *persimmoncross.Load, now time.Time) {
+func (t *Target) recordLoad(load *persimmoncross.UpstreamLoad, now time.Time) {
 	if load == nil {
 		return
 	}
@@ -128,23 +128,23 @@
 func (t *Target) markSuspected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.suspicion.Doubt(now)
+	t.suspicion.Suspect(now)
 }
 
 // recordAttempt notes that an attempt starts.
 func (t *Target) recordAttempt() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaker.Begin()
+	t.breaker.StartAttempt()
 }
 
 // recordResult takes the outcome of an attempt that may have run.
 func (t *Target) recordResult(failed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaker.Note(failed, now)
+	t.breaker.RecordOutcome(failed, now)
 	if failed {
-		t.suspicion.Fail(now)
+		t.suspicion.RecordFailure(now)
 	}
 }
 
@@ -152,37 +152,37 @@
 func (t *Target) recordUnreachable(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaker.Note(true, now)
-	t.suspicion.Doubt(now)
+	t.breaker.RecordOutcome(true, now)
+	t.suspicion.Suspect(now)
 }
 
 // recordInconclusive takes an attempt that tells nothing of the target.
 func (t *Target) recordInconclusive() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaker.Forget()
+	t.breaker.AbandonProbe()
 }
 
 // clearSuspicion ends the suspicion: the target has answered.
 func (t *Target) clearSuspicion() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.suspicion.Trust()
-	t.addressReuse.Gone()
+	t.suspicion.Clear()
+	t.addressReuse.Clear()
 }
 
 // isSuspected reports whether other targets are to be preferred.
 func (t *Target) isSuspected(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.breaker.Allows(now) || t.suspicion.Holds(now)
+	return !t.breaker.Allows(now) || t.suspicion.IsActive(now)
 }
 
 // recordPause notes the recordPause before an event of a stream.
 func (t *Target) recordPause(d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pauses.Take(d, now)
+	t.pauses.Record(d, now)
 }
 
 // longestPause returns the longest pause between events of its streams lately.
@@ -246,13 +246,13 @@
 // placementCandidate returns what placing needs to know of the target.
 func (t *Target) placementCandidate(now time.Time) placement.Candidate {
 	return placement.Candidate{
-		ID:      t.Incarnation,
-		Slots:   t.Slots,
-		Weight:  t.entryWeight(now),
-		Share:   t.utilization(now),
-		Crowd:   t.fleetRequestEstimate(now),
-		Head:    t.timeToHead(now),
-		Reading: t.pendingPrefill(now),
+		ID:                t.Incarnation,
+		Slots:             t.Slots,
+		HashWeight:        t.entryWeight(now),
+		SlotUtilization:   t.utilization(now),
+		InflightRequests:  t.fleetRequestEstimate(now),
+		TimeToFirstToken:  t.timeToHead(now),
+		QueuedPrefillTime: t.pendingPrefill(now),
 	}
 }
 
@@ -265,18 +265,18 @@
 // before Update.
 type Pool struct {
 	Clock persimmoncross.Clock
-	// Gone is called for each life that left the list; may be nil.
-	Gone func(life string)
-	// Again is called for each life that has another in its place, under its name or
+	// OnRemoved is called for each life that left the list; may be nil.
+	OnRemoved func(life string)
+	// OnReplaced is called for each life that has another in its place, under its name or
 	// at its address; may be nil.
-	Again func(was, is persimmoncross.Upstream)
-	// Limits are those that this entry or others have observed.
-	Limits *ratelimit.Store
+	OnReplaced func(was, is persimmoncross.Upstream)
+	// RateLimits are those that this entry or others have observed.
+	RateLimits *ratelimit.Store
 
 	mu            sync.Mutex // guards all below
 	byInstanceID  map[string]*Target
-	coldInstances map[string]slowstart.Cold // that were told, and are not over
-	entryCount    int                       // that share the upstreams; 0: not known yet
+	coldInstances map[string]slowstart.ColdUpstream // that were told, and are not over
+	entryCount    int                               // that share the upstreams; 0: not known yet
 }
 
 // Update takes the list and returns the targets by service.
@@ -287,11 +287,11 @@
 	p.byInstanceID = make(map[string]*Target, len(upstreams))
 	services := map[string][]*Target{}
 	for _, u := range upstreams {
-		instanceID := u.Life()
+		instanceID := u.InstanceID()
 		t := p.updateTarget(old[instanceID], u)
 		p.applyKnownCold(t, u)
-		if old[instanceID] == nil && p.Limits != nil {
-			t.setRateLimit(p.Limits.Rate(instanceID), p.entryCountOrDefault(), p.Clock.Now())
+		if old[instanceID] == nil && p.RateLimits != nil {
+			t.setRateLimit(p.RateLimits.Rate(instanceID), p.entryCountOrDefault(), p.Clock.Now())
 		}
 		p.byInstanceID[instanceID] = t
 		services[u.Service] = append(services[u.Service], t)
@@ -310,12 +310,12 @@
 		}
 		byName[t.Incarnation] = t.Upstream
 		byAddress[t.Address] = t.Upstream
-		if p.Gone != nil {
-			p.Gone(instanceID)
+		if p.OnRemoved != nil {
+			p.OnRemoved(instanceID)
 		}
 	}
 	for instanceID, t := range p.byInstanceID {
-		if old[instanceID] != nil || p.Again == nil {
+		if old[instanceID] != nil || p.OnReplaced == nil {
 			continue
 		}
 		previous, ok := byName[t.Incarnation]
@@ -323,14 +323,14 @@
 			previous, ok = byAddress[t.Address]
 		}
 		if ok {
-			p.Again(previous, t.Upstream)
+			p.OnReplaced(previous, t.Upstream)
 		}
 	}
 }
 
 // updateTarget keeps what is known of a life; its facts on the list may change.
 func (p *Pool) updateTarget(old *Target, u persimmoncross.Upstream) *Target {
-	if old != nil && old.Leaving == u.Leaving && old.Version == u.Version && old.Slots == u.Slots && old.Service == u.Service &&
+	if old != nil && old.Draining == u.Draining && old.Version == u.Version && old.Slots == u.Slots && old.Service == u.Service &&
 		old.DataCentre == u.DataCentre && slices.Equal(old.Models, u.Models) {
 		return old
 	}
--- a/core/coordination/relay/hold.go
+++ b/core/coordination/relay/quarantine.go
@@ -12,16 +12,16 @@
 // themselves at most: with more of them they run among the others.
 const maxReservedFraction = 0.25
 
-// Reserve returns the lives of the upstreams at which requests under suspicion run,
+// ReservedInstances returns the lives of the upstreams at which requests under suspicion run,
 // by the list.
-func Reserve(quarantines map[persimmoncross.Digest]persimmoncross.Hold, targets map[string][]*Target) map[string]bool {
+func ReservedInstances(quarantines map[persimmoncross.Digest]persimmoncross.Quarantine, targets map[string][]*Target) map[string]bool {
 	reserved := map[string]bool{}
 	for _, h := range quarantines {
-		if !h.Apart() {
+		if !h.Isolated() {
 			continue
 		}
 		if u := isolationTarget(h.Digest, targets[h.Service]); u != nil {
-			reserved[u.Life()] = true
+			reserved[u.InstanceID()] = true
 		}
 	}
 	return reserved
@@ -33,17 +33,17 @@
 	for i, u := range targets {
 		names[i] = u.Incarnation
 	}
-	if index := quarantine.Home(digest, names); index >= 0 {
+	if index := quarantine.RendezvousIndex(digest, names); index >= 0 {
 		return targets[index]
 	}
 	return nil
 }
 
 // quarantineStage returns what is done with the passage's request.
-func (c *call) quarantineStage() persimmoncross.HoldStage {
-	wasTrial := c.quarantineCopy.Trial()
-	stage := c.quarantineCopy.Stage(c.relay.View().Holds[c.quarantineCopy.Digest], c.executions > 0)
-	if !wasTrial && c.quarantineCopy.Trial() {
+func (c *call) quarantineStage() persimmoncross.QuarantineStage {
+	wasTrial := c.quarantineCopy.IsTrial()
+	stage := c.quarantineCopy.EffectiveStage(c.relay.View().Quarantines[c.quarantineCopy.Digest], c.executions > 0)
+	if !wasTrial && c.quarantineCopy.IsTrial() {
 		c.relay.incrementCounter("quarantine.tried")
 	}
 	return stage
@@ -55,11 +55,11 @@
 // would have all of them for a cause.
 func (c *call) pickIsolated() *Target {
 	c.relay.incrementCounter("quarantine.watched")
-	c.relay.Book.Asked(c.quarantineCopy.Digest, c.service, c.relay.Clock.Now())
+	c.relay.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, c.relay.Clock.Now())
 	var matching, others []*Target
 	for _, u := range c.eligibleTargets() {
 		switch {
-		case u.Leaves(c.relay.Clock.Now()):
+		case u.IsDraining(c.relay.Clock.Now()):
 		case c.versionFilter.matches(u):
 			matching = append(matching, u)
 		case !c.versionFilter.strict:
@@ -80,10 +80,10 @@
 // the next end there is to cut few.
 func (c *call) excludeReserved(candidates []*Target) []*Target {
 	v := c.relay.View()
-	if len(v.Reserved) == 0 || len(candidates) == 0 {
+	if len(v.ReservedInstances) == 0 || len(candidates) == 0 {
 		return candidates
 	}
-	free := slices.DeleteFunc(slices.Clone(candidates), func(u *Target) bool { return v.Reserved[u.Life()] })
+	free := slices.DeleteFunc(slices.Clone(candidates), func(u *Target) bool { return v.ReservedInstances[u.InstanceID()] })
 	if float64(len(free)) < (1-maxReservedFraction)*float64(len(candidates)) {
 		return candidates
 	}
@@ -94,13 +94,13 @@
 // known is not said not to have.
 func (c *call) refuseQuarantined(ctx context.Context) *persimmoncross.Refusal {
 	r := c.relay
-	r.Book.Asked(c.quarantineCopy.Digest, c.service, r.Clock.Now())
+	r.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, r.Clock.Now())
 	r.incrementCounter("quarantine.refused")
 	if c.executions > 0 || c.headSent {
 		return c.giveUp(ctx, "quarantine")
 	}
 	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: upstreams end under this request")
-	return persimmoncross.Refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").After(quarantine.RefusedFor)
+	return persimmoncross.NewRefusal(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").WithRetryAfter(quarantine.RetryAfter)
 }
 
 // refuseIsolated refuses a copy of a request under suspicion whose upstream takes none now. It
@@ -111,25 +111,25 @@
 		return c.giveUp(ctx, "quarantine")
 	}
 	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: the upstream for this request takes none now")
-	return persimmoncross.Refuse(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").After(c.retryAfter(0))
+	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").WithRetryAfter(c.retryAfter(0))
 }
 
 // recordCut tells the book that an answer broke off, or never began, with its connection,
 // and lets it be found out whether the upstream has ended.
 func (c *call) recordCut(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
 	r := c.relay
-	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.Cut || !c.quarantineRun.Cut(r.Clock.Now()) {
+	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.ConnectionLost || !c.quarantineRun.MarkDisconnected(r.Clock.Now()) {
 		return
 	}
 	r.incrementCounter("quarantine.probed")
 	run, upstream := c.quarantineRun, target.Upstream
 	go func() {
-		blamed, gone := run.Look(ctx, r.Prober, upstream.Address, r.Clock)
+		blamed, gone := run.ProbeUpstream(ctx, r.Prober, upstream.Address, r.Clock)
 		if !gone {
 			r.incrementCounter("quarantine.lived")
 			return
 		}
 		r.incrementCounter("quarantine.ended")
-		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
+		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
 	}()
 }
--- a/core/coordination/relay/hold_test.go
+++ b/core/coordination/relay/quarantine_test.go
@@ -17,21 +17,21 @@
 func (f fakeProber) Gone(context.Context, netip.AddrPort) bool { return bool(f) }
 
 // addQuarantine puts a hold on what serve sends on the route.
-func (e *testEnv) addQuarantine(route string, h persimmoncross.Hold) persimmoncross.Digest {
+func (e *testEnv) addQuarantine(route string, h persimmoncross.Quarantine) persimmoncross.Digest {
 	d := quarantine.DigestOf("o", http.MethodPost, "h", "/"+route+"/x", [32]byte{})
 	h.Digest = d
 	h.Service = testService
-	e.view.Holds = map[persimmoncross.Digest]persimmoncross.Hold{
+	e.view.Quarantines = map[persimmoncross.Digest]persimmoncross.Quarantine{
 		d: h,
 	}
-	e.view.Reserved = Reserve(e.view.Holds, e.view.Targets)
+	e.view.ReservedInstances = ReservedInstances(e.view.Quarantines, e.view.Targets)
 	return d
 }
 
 // cutResponse is an attempt whose connection ended.
 func cutResponse() *fakeResponse {
-	a := lostResponse(persimmoncross.Unknown)
-	a.err.Cut = true
+	a := lostResponse(persimmoncross.RunUnknown)
+	a.err.ConnectionLost = true
 	return a
 }
 
@@ -39,17 +39,17 @@
 // back soon.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	e := newTestEnv(okResponse("x"))
-	e.addQuarantine("safe", persimmoncross.Hold{
-		Stage: persimmoncross.HoldRefuse,
+	e.addQuarantine("safe", persimmoncross.Quarantine{
+		Stage: persimmoncross.QuarantineRefuse,
 	})
 	refusal := e.serve(t, "safe", nil)
-	if refusal == nil || refusal.Code != persimmoncross.CodeQuarantined || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter < quarantine.RefusedFor {
+	if refusal == nil || refusal.Code != persimmoncross.CodeQuarantined || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter < quarantine.RetryAfter {
 		t.Errorf("%+v", refusal)
 	}
 	if len(e.forwarder.attempts) != 0 {
 		t.Error("it was sent on")
 	}
-	if refusal := e.serve(t, "safe", func(p *persimmoncross.Passage) { p.Content[0] = 1 }); refusal != nil {
+	if refusal := e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) { p.BodyDigest[0] = 1 }); refusal != nil {
 		t.Errorf("another body: %v", refusal)
 	}
 }
@@ -59,8 +59,8 @@
 	e := newTestEnv()
 	first := cutResponse()
 	first.onAttempt = func() {
-		e.addQuarantine("safe", persimmoncross.Hold{
-			Stage: persimmoncross.HoldRefuse,
+		e.addQuarantine("safe", persimmoncross.Quarantine{
+			Stage: persimmoncross.QuarantineRefuse,
 		})
 	}
 	e.forwarder.responses = []*fakeResponse{first, okResponse("x")}
@@ -77,8 +77,8 @@
 // one is down it goes nowhere else, and is not said to have run.
 func TestSuspectRequestIsIsolated(t *testing.T) {
 	e := newTestEnv()
-	d := e.addQuarantine("safe", persimmoncross.Hold{
-		Stage: persimmoncross.HoldWatch,
+	d := e.addQuarantine("safe", persimmoncross.Quarantine{
+		Stage: persimmoncross.QuarantineIsolate,
 	})
 	isolated := isolationTarget(d, e.targets).Incarnation
 	for range 40 {
@@ -86,9 +86,9 @@
 	}
 	for i := range 40 {
 		suspect := i%2 == 0
-		refusal := e.serve(t, "safe", func(p *persimmoncross.Passage) {
+		refusal := e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) {
 			if !suspect {
-				p.Content[0] = byte(i)
+				p.BodyDigest[0] = byte(i)
 			}
 		})
 		if refusal != nil {
@@ -111,19 +111,19 @@
 // A trial runs once, at the VM that is to make it; what it shows is told.
 func TestQuarantineTrialRunsOnce(t *testing.T) {
 	e := newTestEnv(okResponse("x"), okResponse("y"))
-	e.relay.Book.VM = "vm"
-	e.addQuarantine("safe", persimmoncross.Hold{
-		Stage: persimmoncross.HoldRefuse,
-		Trial: "another",
-		Try:   1,
+	e.relay.QuarantineRecorder.VM = "vm"
+	e.addQuarantine("safe", persimmoncross.Quarantine{
+		Stage:      persimmoncross.QuarantineRefuse,
+		TrialVM:    "another",
+		TrialCount: 1,
 	})
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
 		t.Fatal("the trial of another VM ran here")
 	}
-	digest := e.addQuarantine("safe", persimmoncross.Hold{
-		Stage: persimmoncross.HoldRefuse,
-		Trial: "vm",
-		Try:   1,
+	digest := e.addQuarantine("safe", persimmoncross.Quarantine{
+		Stage:      persimmoncross.QuarantineRefuse,
+		TrialVM:    "vm",
+		TrialCount: 1,
 	})
 	if refusal := e.serve(t, "safe", nil); refusal != nil {
 		t.Fatal(refusal)
@@ -131,8 +131,8 @@
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
 		t.Error("a second copy ran")
 	}
-	cases, _ := e.relay.Book.Cases(0, e.clock.Now())
-	if len(cases) != 1 || cases[0].Digest != digest || cases[0].Cleared.IsZero() {
+	cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
+	if len(cases) != 1 || cases[0].Digest != digest || cases[0].ClearedAt.IsZero() {
 		t.Errorf("%+v", cases)
 	}
 }
@@ -152,8 +152,8 @@
 		for !probed() {
 			time.Sleep(time.Millisecond)
 		}
-		cases, _ := e.relay.Book.Cases(0, e.clock.Now())
-		if (len(cases) == 1 && len(cases[0].Ends) == 1) != gone {
+		cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
+		if (len(cases) == 1 && len(cases[0].Crashes) == 1) != gone {
 			t.Errorf("gone %v: %+v", gone, cases)
 		}
 	}
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -24,12 +24,12 @@
 
 // View is what an entry knows of the fleet at a moment. It never changes.
 type View struct {
-	Catalog  *catalog.Catalog // nil: none is known yet
-	Upgrades map[string]register.Upgrade
-	Targets  map[string][]*Target // by service, without the data centres that are evacuated
-	Entries  int                  // how many entries share the upstreams' connections
-	Holds    map[persimmoncross.Digest]persimmoncross.Hold
-	Reserved map[string]bool // lives of upstreams: see [Reserve]
+	Catalog           *catalog.Catalog // nil: none is known yet
+	Upgrades          map[string]register.Upgrade
+	Targets           map[string][]*Target // by service, without the data centres that are evacuated
+	EntryCount        int                  // how many entries share the upstreams' connections
+	Quarantines       map[persimmoncross.Digest]persimmoncross.Quarantine
+	ReservedInstances map[string]bool // lives of upstreams: see [Reserve]
 }
 
 // defaultEntryCount is how many entries are assumed while their number is not known.
@@ -37,20 +37,20 @@
 
 // entryCountOrDefault returns how many share what the operator and the upstreams allow.
 func (v *View) entryCountOrDefault() int {
-	if v == nil || v.Entries == 0 {
+	if v == nil || v.EntryCount == 0 {
 		return defaultEntryCount
 	}
-	return v.Entries
+	return v.EntryCount
 }
 
-// Bounds are what the operator allows, from the local settings.
-type Bounds struct {
-	RetryShare    float64       // extra arrivals at a service for each request to it
-	RetryWindow   time.Duration // over which they are counted
-	RetrySlack    float64       // extra arrivals beside that, of all entries together
-	ExposureShare float64       // of a service's requests, for a version on trial
-	SessionIdle   time.Duration // after which a session may move to another version
-	Objective     time.Duration // used for a route that declares none
+// Config are what the operator allows, from the local settings.
+type Config struct {
+	RetryBudgetRatio        float64       // extra arrivals at a service for each request to it
+	RetryBudgetWindow       time.Duration // over which they are counted
+	RetryBudgetMinimum      float64       // extra arrivals beside that, of all entries together
+	MaxCanaryShare          float64       // of a service's requests, for a version on trial
+	SessionIdleTimeout      time.Duration // after which a session may move to another version
+	DefaultLatencyObjective time.Duration // used for a route that declares none
 }
 
 // Of the operator's bound on retries: what all entries together use of the share
@@ -65,24 +65,24 @@
 
 // Relay serves passages. The exported fields are set before use.
 type Relay struct {
-	Forwarder persimmoncross.Forwarder
-	Prober    persimmoncross.Prober // nil: nothing is found out of upstreams
-	View      func() *View
-	Clock     persimmoncross.Clock
-	Bounds    Bounds
-	Regions   map[string]string // of data centres
-	Sessions  *Sessions
-	Evidence  *Evidence
-	Book      *quarantine.Book
-	Limits    *ratelimit.Store // shared with the other entries; nil: limits stay local
-	Pressure  *Pressure
-	Cascade   cascade.Confidence
-	Metrics   metrics.Registry
-	Log       zerolog.Logger
+	Forwarder          persimmoncross.Forwarder
+	Prober             persimmoncross.Prober // nil: nothing is found out of upstreams
+	View               func() *View
+	Clock              persimmoncross.Clock
+	Config             Config
+	RegionByDataCentre map[string]string // of data centres
+	Sessions           *Sessions
+	CanaryStats        *CanaryStats
+	QuarantineRecorder *quarantine.Recorder
+	RateLimits         *ratelimit.Store // shared with the other entries; nil: limits stay local
+	ModelStats         *ModelStats
+	Cascade            cascade.EscalationPolicy
+	Metrics            metrics.Registry
+	Log                zerolog.Logger
 
 	mu           sync.Mutex // guards all below
-	retryBudgets map[string]*retry.Window
-	links        outlier.Links
+	retryBudgets map[string]*retry.Budget
+	links        outlier.LossyLinks
 	// outages are those for which callers are refused, by service; the settings' is
 	// under "".
 	outages map[string]*outage
@@ -107,24 +107,24 @@
 
 // Serve answers the passage through the sink. It returns why there is no whole
 // answer; then the sink has got nothing, or an answer that must be cut off.
-func (r *Relay) Serve(ctx context.Context, p *persimmoncross.Passage, sink persimmoncross.PassageSink) *persimmoncross.Refusal {
+func (r *Relay) Serve(ctx context.Context, p *persimmoncross.ProxyRequest, sink persimmoncross.ProxyResponseSink) *persimmoncross.Refusal {
 	r.incrementCounter("passages")
 	v := r.awaitView(ctx)
 	if v == nil || v.Catalog == nil {
-		retryAfter := retry.ComeBack{
-			Lasted: r.recordRefusal("", p.Arrived),
-			Left:   p.Deadline.Sub(r.Clock.Now()),
+		retryAfter := retry.RetryAfter{
+			OutageAge:     r.recordRefusal("", p.ArrivedAt),
+			UntilDeadline: p.Deadline.Sub(r.Clock.Now()),
 		}
-		return persimmoncross.Refuse(persimmoncross.CodeNoLease, "this VM has no settings yet").After(retryAfter.After(rand.Float64()))
+		return persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "this VM has no settings yet").WithRetryAfter(retryAfter.Delay(rand.Float64()))
 	}
 	route := v.Catalog.Route(p.Host, p.Path)
 	if route == nil {
-		return persimmoncross.Refuse(persimmoncross.CodePathUnknown, "no route for %s%s", p.Host, p.Path)
+		return persimmoncross.NewRefusal(persimmoncross.CodePathUnknown, "no route for %s%s", p.Host, p.Path)
 	}
 	var organisation *catalog.Organisation
 	if v.Catalog.Keyed && !route.Open {
-		if organisation = v.Catalog.Holder(p.Key); organisation == nil {
-			return persimmoncross.Refuse(persimmoncross.CodeKeyUnknown, "no organisation holds the key")
+		if organisation = v.Catalog.Holder(p.IdempotencyKey); organisation == nil {
+			return persimmoncross.NewRefusal(persimmoncross.CodeKeyUnknown, "no organisation holds the key")
 		}
 	}
 	c := &call{
@@ -136,19 +136,19 @@
 	}
 	c.priority = v.Catalog.Rank(route, organisation)
 	c.residency = residency{
-		regionByDataCentre: r.Regions,
+		regionByDataCentre: r.RegionByDataCentre,
 		routeRegions:       route.Homes,
 	}
 	if organisation != nil {
 		c.organisation = organisation.Name
 		c.residency.organisationRegions = organisation.Homes
 	}
-	c.quarantineCopy = quarantine.Copy{
-		Digest:  quarantine.DigestOf(c.organisation, p.Method, p.Host, p.Target, p.Content),
-		Service: c.service,
-		Book:    r.Book,
+	c.quarantineCopy = quarantine.Request{
+		Digest:   quarantine.DigestOf(c.organisation, p.Method, p.Host, p.RequestTarget, p.BodyDigest),
+		Service:  c.service,
+		Recorder: r.QuarantineRecorder,
 	}
-	c.deadline = p.Arrived.Add(route.Timeout)
+	c.deadline = p.ArrivedAt.Add(route.Timeout)
 	if !p.Deadline.IsZero() && p.Deadline.Before(c.deadline) {
 		c.deadline = p.Deadline
 	}
@@ -197,14 +197,14 @@
 func (r *Relay) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryBudget(service).Request(r.Bounds.RetryShare*retryRatioFactor, r.Clock.Now())
+	r.retryBudget(service).RecordRequest(r.Config.RetryBudgetRatio*retryRatioFactor, r.Clock.Now())
 }
 
 // takeRetry takes a retry at the service out, and reports whether there was one.
 func (r *Relay) takeRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retryBudget(service).Retry(r.Clock.Now())
+	return r.retryBudget(service).TryRetry(r.Clock.Now())
 }
 
 // retryBudgetLeft returns which part of the retries at the service that a window allows
@@ -214,25 +214,25 @@
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
 	b := r.retryBudget(service)
-	if left := b.Left(now); left >= 1 {
-		return left / b.Allowed(now)
+	if left := b.Remaining(now); left >= 1 {
+		return left / b.Limit(now)
 	}
 	return 0
 }
 
 // retryBudget returns the service's. The caller holds mu.
-func (r *Relay) retryBudget(service string) *retry.Window {
+func (r *Relay) retryBudget(service string) *retry.Budget {
 	if r.retryBudgets == nil {
-		r.retryBudgets = map[string]*retry.Window{}
+		r.retryBudgets = map[string]*retry.Budget{}
 	}
 	b := r.retryBudgets[service]
 	if b == nil {
-		b = &retry.Window{
-			Length: r.Bounds.RetryWindow,
+		b = &retry.Budget{
+			Window: r.Config.RetryBudgetWindow,
 		}
 		r.retryBudgets[service] = b
 	}
-	b.Spare = retryMinimumFactor * r.Bounds.RetrySlack / float64(r.View().entryCountOrDefault())
+	b.BaseAllowance = retryMinimumFactor * r.Config.RetryBudgetMinimum / float64(r.View().entryCountOrDefault())
 	return b
 }
 
@@ -267,7 +267,7 @@
 // after so long a wait.
 func (r *Relay) recordEventBatch(dataCentre string, wait time.Duration, events int, now time.Time) {
 	r.mu.Lock()
-	stalled := r.links.Came(dataCentre, wait, events, now)
+	stalled := r.links.RecordEvents(dataCentre, wait, events, now)
 	r.mu.Unlock()
 	if stalled {
 		r.incrementCounter("held-up." + dataCentre)
@@ -279,7 +279,7 @@
 func (r *Relay) linkCost(dataCentre string, tokens int, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.links.Cost(dataCentre, tokens, now)
+	return r.links.ExpectedDelay(dataCentre, tokens, now)
 }
 
 func (r *Relay) incrementCounter(name string) {
@@ -292,6 +292,6 @@
 	r.Metrics.GetOrRegister("relay."+name, newHistogram).(metrics.Histogram).Update(duration.Milliseconds())
 }
 
-func (r *Relay) logEvent(p *persimmoncross.Passage) *zerolog.Event {
+func (r *Relay) logEvent(p *persimmoncross.ProxyRequest) *zerolog.Event {
 	return r.Log.Info().Str("request", p.ID)
 }
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -9,7 +9,7 @@
 
 func TestRetryDecisions(t *testing.T) {
 	const (
-		cut    = persimmoncross.Unknown
+		cut    = persimmoncross.RunUnknown
 		unsent = persimmoncross.NotRun
 	)
 	tests := []struct {
@@ -20,7 +20,7 @@
 		body      string
 		status    int // of what the caller got; 0: a refusal
 		refusal   persimmoncross.Code
-		run       persimmoncross.Run
+		run       persimmoncross.RunStatus
 	}{
 		{
 			name:      "answered",
@@ -36,7 +36,7 @@
 			responses: []*fakeResponse{lostResponse(cut)},
 			attempts:  1,
 			refusal:   persimmoncross.CodeUpstreamFailed,
-			run:       persimmoncross.Unknown,
+			run:       persimmoncross.RunUnknown,
 		},
 		{
 			name:      "what did not run is",
@@ -108,7 +108,7 @@
 			}},
 			attempts: 1,
 			refusal:  persimmoncross.CodeUpstreamFailed,
-			run:      persimmoncross.Unknown,
+			run:      persimmoncross.RunUnknown,
 		},
 	}
 	for _, tt := range tests {
@@ -144,7 +144,7 @@
 // another one has.
 func TestRetryPicksAnotherUpstream(t *testing.T) {
 	e := newTestEnv(lostResponse(persimmoncross.NotRun), lostResponse(persimmoncross.NotRun), okResponse("x"))
-	e.targets[0].Leaving = true
+	e.targets[0].Draining = true
 	if r := e.serve(t, "once", nil); r != nil {
 		t.Fatal(r)
 	}
@@ -165,7 +165,7 @@
 		t.Fatal(r)
 	}
 	for _, u := range e.targets {
-		if got := u.Leaves(began); got != (u.Incarnation == e.forwarder.attempts[0].Upstream.Incarnation) {
+		if got := u.IsDraining(began); got != (u.Incarnation == e.forwarder.attempts[0].Upstream.Incarnation) {
 			t.Errorf("%s leaves: %v", u.Incarnation, got)
 		}
 	}
@@ -199,7 +199,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := newTestEnv(okResponse("x"))
-			r := e.serve(t, tt.route, func(p *persimmoncross.Passage) { p.Key = tt.key })
+			r := e.serve(t, tt.route, func(p *persimmoncross.ProxyRequest) { p.IdempotencyKey = tt.key })
 			if r == nil || r.Status() != tt.status || r.Run != persimmoncross.NotRun {
 				t.Errorf("refusal %v, want status %d", r, tt.status)
 			}
@@ -216,7 +216,7 @@
 	e := newTestEnv(okResponse("x"))
 	view := e.view
 	e.relay.View = func() *View { return &View{} }
-	r := e.serve(t, "nowhere", func(p *persimmoncross.Passage) { p.Key = "" })
+	r := e.serve(t, "nowhere", func(p *persimmoncross.ProxyRequest) { p.IdempotencyKey = "" })
 	if r == nil || r.Status() != http.StatusServiceUnavailable || r.RetryAfter <= 0 || r.Run != persimmoncross.NotRun {
 		t.Fatalf("refusal %v", r)
 	}
@@ -236,7 +236,7 @@
 	e := newTestEnv()
 	failed := 0
 	for range 40 {
-		e.forwarder.responses = append(e.forwarder.responses, lostResponse(persimmoncross.Unknown))
+		e.forwarder.responses = append(e.forwarder.responses, lostResponse(persimmoncross.RunUnknown))
 	}
 	for range 12 {
 		if e.serve(t, "safe", nil) != nil {
--- a/core/coordination/relay/homes_test.go
+++ b/core/coordination/relay/residency_test.go
@@ -27,10 +27,10 @@
 		for _, route := range []string{"once", "safe", "stream"} {
 			var responses []*fakeResponse
 			for range 60 {
-				responses = append(responses, rejectedResponse(), lostResponse(persimmoncross.Unknown), okResponse("x"))
+				responses = append(responses, rejectedResponse(), lostResponse(persimmoncross.RunUnknown), okResponse("x"))
 			}
 			e := newTestEnv(responses...)
-			e.relay.Regions = map[string]string{"a": "north", "b": "south"}
+			e.relay.RegionByDataCentre = map[string]string{"a": "north", "b": "south"}
 			pool := &Pool{
 				Clock: e.clock,
 			}
@@ -50,9 +50,9 @@
 				allowed[id] = len(tt.allowed) > 0 && strings.Contains(tt.allowed, id)
 			}
 			for i := range 20 {
-				refusal := e.serve(t, route, func(p *persimmoncross.Passage) {
+				refusal := e.serve(t, route, func(p *persimmoncross.ProxyRequest) {
 					p.ID = fmt.Sprint("id", i)
-					p.Prompt = []persimmoncross.Part{{ID: fmt.Sprint("x", i%3), Tokens: 5000}, {ID: fmt.Sprint("own", i), Tokens: 10}}
+					p.PromptParts = []persimmoncross.PromptPart{{ID: fmt.Sprint("x", i%3), Tokens: 5000}, {ID: fmt.Sprint("own", i), Tokens: 10}}
 				})
 				if tt.allowed == "" && (refusal == nil || refusal.Run != persimmoncross.NotRun) {
 					t.Errorf("%s, %s: %v", tt.name, route, refusal)
--- a/core/coordination/relay/answer.go
+++ b/core/coordination/relay/response.go
@@ -26,7 +26,7 @@
 }
 
 // forwardResponse carries an answer that is no stream of events.
-func (c *call) forwardResponse(ctx context.Context, target *Target, response persimmoncross.PassageAnswer) outcome {
+func (c *call) forwardResponse(ctx context.Context, target *Target, response persimmoncross.ProxyResponse) outcome {
 	head := response.Head()
 	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBody))
 	if err != nil {
@@ -35,7 +35,7 @@
 	if len(body) == maxBufferedBody {
 		return c.forwardLargeResponse(ctx, target, head, body, response)
 	}
-	c.quarantineRun.Whole(c.relay.Clock.Now())
+	c.quarantineRun.MarkCompleted(c.relay.Clock.Now())
 	if head.Status >= http.StatusInternalServerError && c.canRetry() {
 		if c.fallback == nil {
 			c.fallback = &bufferedResponse{
@@ -44,9 +44,9 @@
 			}
 		}
 		c.lastError = &persimmoncross.AttemptError{
-			Reason: "status",
-			Run:    persimmoncross.Ran,
-			Status: head.Status,
+			Reason:     "status",
+			Run:        persimmoncross.Ran,
+			HTTPStatus: head.Status,
 		}
 		c.logEventWithDigest().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", c.attempts).Msg("upstream failed")
 		return outcomeRetry
@@ -54,9 +54,9 @@
 	if c.headSent {
 		// A failure in place of the rest of a stream can't be sent any more.
 		c.lastError = &persimmoncross.AttemptError{
-			Reason: "status",
-			Run:    persimmoncross.Ran,
-			Status: head.Status,
+			Reason:     "status",
+			Run:        persimmoncross.Ran,
+			HTTPStatus: head.Status,
 		}
 		return outcomeRetry
 	}
@@ -66,16 +66,16 @@
 
 // canRetry reports whether the passage may run at another upstream.
 func (c *call) canRetry() bool {
-	return c.route.Repeat != persimmoncross.RepeatNever && c.executions < c.maxExecutions() && c.attempts < maxAttempts
+	return c.route.Repeat != persimmoncross.RetryNever && c.executions < c.maxExecutions() && c.attempts < maxAttempts
 }
 
 // sendBuffered sends a whole answer. A caller that is gone needs none.
-func (c *call) sendBuffered(head persimmoncross.PassageHead, body []byte) {
+func (c *call) sendBuffered(head persimmoncross.ProxyResponseHead, body []byte) {
 	c.headSent = true
 	if c.passage.Method != http.MethodHead {
 		head.Header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	if c.sink.Head(head) != nil {
+	if c.sink.WriteHead(head) != nil {
 		return
 	}
 	if len(body) > 0 && c.sink.Write(body) != nil {
@@ -85,9 +85,9 @@
 }
 
 // forwardLargeResponse passes on an answer that is too forwardLargeResponse to be kept.
-func (c *call) forwardLargeResponse(ctx context.Context, target *Target, head persimmoncross.PassageHead, body []byte, rest io.Reader) outcome {
+func (c *call) forwardLargeResponse(ctx context.Context, target *Target, head persimmoncross.ProxyResponseHead, body []byte, rest io.Reader) outcome {
 	c.headSent = true
-	if c.sink.Head(head) != nil || c.sink.Write(body) != nil {
+	if c.sink.WriteHead(head) != nil || c.sink.Write(body) != nil {
 		return outcomeDone
 	}
 	b := readBuffers.Get().(*[readBufferSize]byte)
@@ -98,7 +98,7 @@
 			return outcomeDone
 		}
 		if errors.Is(err, io.EOF) {
-			c.quarantineRun.Whole(c.relay.Clock.Now())
+			c.quarantineRun.MarkCompleted(c.relay.Clock.Now())
 			c.sink.Flush()
 			return outcomeDone
 		}
@@ -118,7 +118,7 @@
 		c.recordResult(target, true)
 	}
 	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("answer broke off")
-	if c.route.Repeat == persimmoncross.RepeatNever || (c.headSent && c.route.Repeat != persimmoncross.RepeatResume) {
+	if c.route.Repeat == persimmoncross.RetryNever || (c.headSent && c.route.Repeat != persimmoncross.RetryResume) {
 		return outcomeNoRetry
 	}
 	return outcomeRetry
@@ -126,14 +126,14 @@
 
 // forwardStream carries events as they come, only whole ones. What breaks off goes on
 // at another upstream after the last event that the caller has.
-func (c *call) forwardStream(ctx context.Context, target *Target, response persimmoncross.PassageAnswer, detector *stallDetector) outcome {
+func (c *call) forwardStream(ctx context.Context, target *Target, response persimmoncross.ProxyResponse, detector *stallDetector) outcome {
 	head := response.Head()
-	if c.escalateModel(head.Confidence) {
+	if c.escalateModel(head.ModelConfidence) {
 		return outcomeRetry
 	}
 	if !c.headSent {
 		c.headSent = true
-		if c.sink.Head(head) != nil {
+		if c.sink.WriteHead(head) != nil {
 			return outcomeDone
 		}
 		if c.sink.Flush() != nil {
@@ -171,7 +171,7 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF) && len(pending) == 0:
-			c.quarantineRun.Whole(c.relay.Clock.Now())
+			c.quarantineRun.MarkCompleted(c.relay.Clock.Now())
 			c.recordCompletedStream(target, timing)
 			return outcomeDone
 		case errors.Is(err, io.EOF):
@@ -191,10 +191,10 @@
 		Detail: "an event does not follow the one before",
 	}
 	errIncompleteEvent = &persimmoncross.AttemptError{
-		Reason: "half",
-		Run:    persimmoncross.Ran,
-		Cut:    true,
-		Detail: "the stream ends inside an event",
+		Reason:         "half",
+		Run:            persimmoncross.Ran,
+		ConnectionLost: true,
+		Detail:         "the stream ends inside an event",
 	}
 )
 
@@ -226,7 +226,7 @@
 func (c *call) recordCompletedStream(target *Target, timing streamTiming) {
 	took := c.relay.Clock.Now().Sub(timing.headReceived)
 	if timing.events >= minPacedEvents {
-		c.relay.Evidence.recordDuration(c.upgrade, c.canaryKey(target), took/time.Duration(timing.events-1))
+		c.relay.CanaryStats.recordDuration(c.upgrade, c.canaryKey(target), took/time.Duration(timing.events-1))
 	}
 	c.relay.logEvent(c.passage).Str("route", c.route.Name).Str("upstream", target.Incarnation).Str("datacentre", target.DataCentre).Str("version", target.Version).Str("model", c.modelName()).
 		Int("events", timing.events).Dur("took", took).Dur("pause", timing.longestPause).Int("pauseAt", timing.eventsBeforePause).Int("atOnce", timing.eventsAfterPause).Int("sends", c.attempts).Msg("answered")
--- a/core/coordination/relay/life_test.go
+++ b/core/coordination/relay/restart_test.go
@@ -16,7 +16,7 @@
 	start := func(ms int64) time.Time { return time.UnixMilli(ms) }
 	original := persimmoncross.Upstream{
 		Incarnation: "u",
-		Started:     start(1_000_000),
+		StartedAt:   start(1_000_000),
 		Service:     "s",
 		Address:     netip.MustParseAddrPort("10.0.0.1:80"),
 		Slots:       4,
@@ -26,22 +26,22 @@
 		change(&u)
 		return u
 	}
-	withoutStart := with(func(u *persimmoncross.Upstream) { u.Started = time.Time{} })
+	withoutStart := with(func(u *persimmoncross.Upstream) { u.StartedAt = time.Time{} })
 	for _, tt := range []struct {
 		name              string
 		previous, current persimmoncross.Upstream
 		restarted         bool
 	}{
 		{"unchanged", original, original, false},
-		{"leaves", original, with(func(u *persimmoncross.Upstream) { u.Leaving = true }), false},
+		{"leaves", original, with(func(u *persimmoncross.Upstream) { u.Draining = true }), false},
 		{"another version", original, with(func(u *persimmoncross.Upstream) { u.Version = "v2" }), false},
-		{"started again", original, with(func(u *persimmoncross.Upstream) { u.Started = start(1_000_001) }), true},
-		{"a start before, as by a clock that was set back", original, with(func(u *persimmoncross.Upstream) { u.Started = start(500) }), true},
-		{"a start in the future", original, with(func(u *persimmoncross.Upstream) { u.Started = now.Add(time.Hour) }), true},
+		{"started again", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(1_000_001) }), true},
+		{"a start before, as by a clock that was set back", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(500) }), true},
+		{"a start in the future", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = now.Add(time.Hour) }), true},
 		{"its start is learned late", withoutStart, original, true},
 		{"its start is not told any more", original, withoutStart, true},
 		{"at another address, no start is told", withoutStart, with(func(u *persimmoncross.Upstream) {
-			u.Started = time.Time{}
+			u.StartedAt = time.Time{}
 			u.Address = netip.MustParseAddrPort("10.0.0.9:80")
 		}), true},
 		{"no start is ever told", withoutStart, withoutStart, false},
@@ -49,14 +49,14 @@
 		var removed []string
 		var replaced []persimmoncross.Upstream
 		p := &Pool{
-			Clock: frozenClock{},
-			Gone:  func(life string) { removed = append(removed, life) },
-			Again: func(was, is persimmoncross.Upstream) { replaced = append(replaced, was, is) },
+			Clock:      frozenClock{},
+			OnRemoved:  func(life string) { removed = append(removed, life) },
+			OnReplaced: func(was, is persimmoncross.Upstream) { replaced = append(replaced, was, is) },
 		}
 		before := p.Update([]persimmoncross.Upstream{tt.previous})["s"][0]
 		// All that an entry can know of an upstream.
 		before.inFlight.Add(2)
-		before.recordLoad(&persimmoncross.Load{
+		before.recordLoad(&persimmoncross.UpstreamLoad{
 			Running: 4,
 			Waiting: 9,
 		}, now)
@@ -68,30 +68,30 @@
 		before.recordUnreachable(now)
 		before.recordMisdirected(now)
 		before.recordPause(3*time.Second, now)
-		p.Learn([]FleetLoad{
+		p.ApplyFleetLoads([]FleetLoad{
 			{
-				Life:     tt.previous.Life(),
-				Work:     20 * time.Second,
-				Doubters: 5,
+				InstanceID:        tt.previous.InstanceID(),
+				PrefillTime:       20 * time.Second,
+				SuspectingEntries: 5,
 			},
 		})
 		after := p.Update([]persimmoncross.Upstream{tt.current})["s"][0]
-		p.Learn([]FleetLoad{
+		p.ApplyFleetLoads([]FleetLoad{
 			{
-				Life:     tt.previous.Life(), // of a controller that has the list of before
-				Work:     30 * time.Second,
-				Doubters: 6,
+				InstanceID:        tt.previous.InstanceID(), // of a controller that has the list of before
+				PrefillTime:       30 * time.Second,
+				SuspectingEntries: 6,
 			},
 		})
 		retained := after.inFlight.Load() != 0 || after.requestEstimate(now) != 0 || after.pendingPrefill(now) != 0 || after.timeToHead(now) != 0 ||
-			after.isSuspected(now) || after.isSuspectedByOthers(now) || after.longestPause(now) != 0 || !after.Leaving && after.Leaves(now)
+			after.isSuspected(now) || after.isSuspectedByOthers(now) || after.longestPause(now) != 0 || !after.Draining && after.IsDraining(now)
 		if retained == tt.restarted {
 			t.Errorf("%s: what was known is used: %v", tt.name, retained)
 		}
-		if len(removed) == 1 != tt.restarted || tt.restarted && removed[0] != tt.previous.Life() {
+		if len(removed) == 1 != tt.restarted || tt.restarted && removed[0] != tt.previous.InstanceID() {
 			t.Errorf("%s: lives that are over: %v", tt.name, removed)
 		}
-		if len(replaced) == 2 != tt.restarted || tt.restarted && (replaced[0].Life() != tt.previous.Life() || replaced[1].Life() != tt.current.Life()) {
+		if len(replaced) == 2 != tt.restarted || tt.restarted && (replaced[0].InstanceID() != tt.previous.InstanceID() || replaced[1].InstanceID() != tt.current.InstanceID()) {
 			t.Errorf("%s: told of %v", tt.name, replaced)
 		}
 		before.inFlight.Add(-2)
@@ -117,11 +117,11 @@
 		if u.Incarnation != first {
 			continue
 		}
-		if !u.Leaves(began) || u.Leaves(now.Add(time.Minute)) {
-			t.Errorf("left alone now %v, in a minute %v", u.Leaves(began), u.Leaves(now.Add(time.Minute)))
+		if !u.IsDraining(began) || u.IsDraining(now.Add(time.Minute)) {
+			t.Errorf("left alone now %v, in a minute %v", u.IsDraining(began), u.IsDraining(now.Add(time.Minute)))
 		}
 		u.clearSuspicion()
-		if u.Leaves(began) {
+		if u.IsDraining(began) {
 			t.Error("the one that answers is left alone")
 		}
 	}
--- a/core/coordination/relay/comeback_test.go
+++ b/core/coordination/relay/retryafter_test.go
@@ -12,13 +12,13 @@
 // to come back, 0 if it was served.
 func serveRetryAfter(t *testing.T, e *testEnv) time.Duration {
 	t.Helper()
-	r := e.relay.Serve(context.Background(), &persimmoncross.Passage{
-		ID:      "id",
-		Host:    "h",
-		Path:    "/once/x",
-		Target:  "/once/x",
-		Key:     testKey,
-		Arrived: e.clock.Now(),
+	r := e.relay.Serve(context.Background(), &persimmoncross.ProxyRequest{
+		ID:             "id",
+		Host:           "h",
+		Path:           "/once/x",
+		RequestTarget:  "/once/x",
+		IdempotencyKey: testKey,
+		ArrivedAt:      e.clock.Now(),
 	}, &recordingSink{})
 	if r == nil {
 		return 0
@@ -86,7 +86,7 @@
 	for range maxAttempts {
 		e.forwarder.responses = append(e.forwarder.responses, rejectedResponse())
 	}
-	recordHead := e.relay.Pressure.awaitHead(testService, "", 0, clock.Now())
+	recordHead := e.relay.ModelStats.awaitHead(testService, "", 0, clock.Now())
 	recordHead(clock.Now().Add(1500*time.Millisecond), true)
 	if after := serveRetryAfter(t, e); after < 1500*time.Millisecond || after > 2250*time.Millisecond {
 		t.Errorf("heads come after 1.5 s, and a caller is sent away for %v", after)
--- a/core/coordination/relay/upgrade.go
+++ b/core/coordination/relay/sessions.go
@@ -17,8 +17,8 @@
 // Sessions remembers on which version of a service each session ran last, so
 // that an upgrade does not move it. The exported fields are set before use.
 type Sessions struct {
-	// Idle is the pause after which a session's next request may run anywhere.
-	Idle time.Duration
+	// IdleTimeout is the pause after which a session's next request may run anywhere.
+	IdleTimeout time.Duration
 
 	mu       sync.Mutex // guards last
 	lastRuns map[string]lastRun
@@ -30,9 +30,9 @@
 	active  int
 }
 
-// Begin remembers that a run of the session begins on the version; what it
+// BeginRun remembers that a run of the session begins on the version; what it
 // returns is called when the run has ended.
-func (s *Sessions) Begin(service, session, version string, now time.Time) func(now time.Time) {
+func (s *Sessions) BeginRun(service, session, version string, now time.Time) func(now time.Time) {
 	if session == "" {
 		return func(time.Time) {}
 	}
@@ -65,7 +65,7 @@
 
 func (s *Sessions) evictIdle(now time.Time) {
 	for key, run := range s.lastRuns {
-		if run.active <= 0 && now.Sub(run.at) > s.Idle {
+		if run.active <= 0 && now.Sub(run.at) > s.IdleTimeout {
 			delete(s.lastRuns, key)
 		}
 	}
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.lastRuns[service+"\x00"+session]
-	if !ok || r.active <= 0 && now.Sub(r.at) > s.Idle {
+	if !ok || r.active <= 0 && now.Sub(r.at) > s.IdleTimeout {
 		return ""
 	}
 	return r.version
@@ -131,9 +131,9 @@
 // SessionHash is the name by which entries tell of a session.
 func SessionHash(session string) uint64 { return xxhash.Sum64String(session) }
 
-// Recent returns the sessions that a trial with the share would take and that
+// SessionsToPin returns the sessions that a trial with the share would take and that
 // ran on another version than the target within Idle, or run there now.
-func (s *Sessions) Recent(u register.Upgrade, share float64, now time.Time) []uint64 {
+func (s *Sessions) SessionsToPin(u register.Upgrade, share float64, now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var hashes []uint64
@@ -143,7 +143,7 @@
 		if !ok || r.version == u.Target || hashFraction(u.Service, session, "") >= share {
 			continue
 		}
-		if r.active > 0 || now.Sub(r.at) <= s.Idle {
+		if r.active > 0 || now.Sub(r.at) <= s.IdleTimeout {
 			hashes = append(hashes, SessionHash(session))
 		}
 	}
--- a/core/coordination/relay/cold.go
+++ b/core/coordination/relay/slowstart.go
@@ -8,15 +8,15 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// Chill takes lives that have become cold, with the pause that this entry keeps where it
+// SetCold takes lives that have become cold, with the pause that this entry keeps where it
 // is an owner, else 0. Each is warm when its time is over.
-func (p *Pool) Chill(updates map[string]slowstart.Cold) {
+func (p *Pool) SetCold(updates map[string]slowstart.ColdUpstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	next := maps.Clone(updates)
 	for instanceID, c := range p.coldInstances {
-		if _, updated := next[instanceID]; !updated && c.Until.After(now) {
+		if _, updated := next[instanceID]; !updated && c.ColdUntil.After(now) {
 			next[instanceID] = c
 		}
 	}
@@ -28,16 +28,16 @@
 	}
 }
 
-// Expect takes all upstreams of a data centre for cold, by service for so long, until
+// AssumeCold takes all upstreams of a data centre for cold, by service for so long, until
 // another word comes.
-func (p *Pool) Expect(dataCentre string, durationByService map[string]time.Duration) {
+func (p *Pool) AssumeCold(dataCentre string, durationByService map[string]time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	for instanceID, t := range p.byInstanceID {
-		if duration := durationByService[t.Service]; duration > 0 && t.DataCentre == dataCentre && !p.coldInstances[instanceID].Until.After(now) {
-			t.setCold(slowstart.Cold{
-				Until: now.Add(duration),
+		if duration := durationByService[t.Service]; duration > 0 && t.DataCentre == dataCentre && !p.coldInstances[instanceID].ColdUntil.After(now) {
+			t.setCold(slowstart.ColdUpstream{
+				ColdUntil: now.Add(duration),
 			})
 		}
 	}
@@ -47,21 +47,21 @@
 // the list's own. The caller holds mu.
 func (p *Pool) applyKnownCold(t *Target, u persimmoncross.Upstream) {
 	now := p.Clock.Now()
-	if c, known := p.coldInstances[u.Life()]; known && c.Until.After(now) {
+	if c, known := p.coldInstances[u.InstanceID()]; known && c.ColdUntil.After(now) {
 		t.setCold(c)
 		return
 	}
-	if u.Cold > 0 {
-		t.setCold(slowstart.Cold{
-			Until: now.Add(u.Cold),
+	if u.SlowStartRemaining > 0 {
+		t.setCold(slowstart.ColdUpstream{
+			ColdUntil: now.Add(u.SlowStartRemaining),
 		})
 	}
 }
 
-func (t *Target) setCold(c slowstart.Cold) {
+func (t *Target) setCold(c slowstart.ColdUpstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slowStart.Cold(c)
+	t.slowStart.SetCold(c)
 }
 
 // entryWeight returns for how many entries this one sends to the target.
--- a/core/coordination/relay/cold_test.go
+++ b/core/coordination/relay/slowstart_test.go
@@ -34,17 +34,17 @@
 	}
 	e, p := newTestEnvWithPool(responses...)
 	now := time.Now()
-	colds := map[string]slowstart.Cold{}
+	colds := map[string]slowstart.ColdUpstream{}
 	for i, u := range e.targets[:3] {
-		c := slowstart.Cold{
-			Until: now.Add(time.Hour),
+		c := slowstart.ColdUpstream{
+			ColdUntil: now.Add(time.Hour),
 		}
 		if i == 0 {
-			c.Pause = time.Minute
+			c.Interval = time.Minute
 		}
-		colds[u.Life()] = c
+		colds[u.InstanceID()] = c
 	}
-	p.Chill(colds)
+	p.SetCold(colds)
 	requestCounts := map[string]int{}
 	for range 20 {
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
@@ -57,8 +57,8 @@
 	if requestCounts["u1"] != 1 || requestCounts["u2"]+requestCounts["u3"] != 0 || requestCounts["u4"] != 19 {
 		t.Errorf("reached: %v", requestCounts)
 	}
-	p.Chill(map[string]slowstart.Cold{}) // told of no more: their time is not over
-	if e.targets[1].Bears(now) || !e.targets[1].Bears(now.Add(time.Hour)) {
+	p.SetCold(map[string]slowstart.ColdUpstream{}) // told of no more: their time is not over
+	if e.targets[1].IsAvailable(now) || !e.targets[1].IsAvailable(now.Add(time.Hour)) {
 		t.Error("what was told of is warm too soon, or never")
 	}
 }
@@ -67,9 +67,9 @@
 // ran, and when to come back.
 func TestAllTargetsCold(t *testing.T) {
 	e, p := newTestEnvWithPool()
-	p.Expect("a", map[string]time.Duration{testService: 3 * time.Second})
+	p.AssumeCold("a", map[string]time.Duration{testService: 3 * time.Second})
 	e.clock.(*steppingClock).now = time.Now()
-	p.Expect("a", map[string]time.Duration{testService: 3 * time.Second})
+	p.AssumeCold("a", map[string]time.Duration{testService: 3 * time.Second})
 	for _, route := range []string{"once", "safe", "stream"} {
 		refusal := e.serve(t, route, nil)
 		if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.Code != persimmoncross.CodeNoUpstream {
@@ -90,14 +90,14 @@
 	for i, id := range []string{"n1", "n2", "n3"} {
 		list[i].Incarnation = id
 	}
-	list[2].Cold = time.Second
-	p.Chill(map[string]slowstart.Cold{
-		list[1].Life(): {
-			Until: now.Add(2 * time.Second),
+	list[2].SlowStartRemaining = time.Second
+	p.SetCold(map[string]slowstart.ColdUpstream{
+		list[1].InstanceID(): {
+			ColdUntil: now.Add(2 * time.Second),
 		},
 	})
 	for _, u := range p.Update(list)[testService] {
-		if want := u.Incarnation == "n1"; u.Bears(now) != want {
+		if want := u.Incarnation == "n1"; u.IsAvailable(now) != want {
 			t.Errorf("%s bears requests: %v", u.Incarnation, !want)
 		}
 	}
--- a/core/coordination/relay/watch.go
+++ b/core/coordination/relay/stalldetector.go
@@ -48,13 +48,13 @@
 		start: r.Clock.Now(),
 		done:  make(chan struct{}),
 	}
-	if c.route.Repeat == persimmoncross.RepeatNever || c.executions+1 >= c.maxExecutions() || c.attempts >= maxAttempts {
+	if c.route.Repeat == persimmoncross.RetryNever || c.executions+1 >= c.maxExecutions() || c.attempts >= maxAttempts {
 		return detector
 	}
-	silence := outlier.Silence{
-		Expected:  c.timeToHead(),
-		Objective: c.latencyObjective(),
-		Pause:     c.route.Pause,
+	silence := outlier.IdleState{
+		ExpectedHeaderWait: c.timeToHead(),
+		Objective:          c.latencyObjective(),
+		PauseLimit:         c.route.Pause,
 	}
 	go func() {
 		for {
@@ -86,13 +86,13 @@
 
 // isStalled reports whether the attempt is to be ended. s holds what is known of the
 // passage.
-func (d *stallDetector) isStalled(target *Target, silence outlier.Silence, now time.Time) bool {
-	silence.Begun = d.headReceived.Load()
-	silence.Streams = int(target.activeStreams.Load())
-	silence.Usual = target.longestPause(now)
-	silence.Reading = target.pendingPrefill(now)
-	silence.Doubted = target.isSuspectedByOthers(now)
-	limit, ok := silence.Limit()
+func (d *stallDetector) isStalled(target *Target, silence outlier.IdleState, now time.Time) bool {
+	silence.HeaderReceived = d.headReceived.Load()
+	silence.ActiveStreams = int(target.activeStreams.Load())
+	silence.RecentPause = target.longestPause(now)
+	silence.PendingPrefill = target.pendingPrefill(now)
+	silence.SuspectedByOthers = target.isSuspectedByOthers(now)
+	limit, ok := silence.Timeout()
 	lastReceived := d.start.Add(time.Duration(d.lastReceived.Load()))
 	return ok && now.Sub(lastReceived) >= limit && !target.receivedSince(now.Add(-limit))
 }
@@ -108,7 +108,7 @@
 	target.markSuspected(c.relay.Clock.Now())
 	c.lastError = &persimmoncross.AttemptError{
 		Reason: "silent",
-		Run:    persimmoncross.Unknown,
+		Run:    persimmoncross.RunUnknown,
 	}
 	c.logEventWithDigest().Str("upstream", target.Incarnation).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream is silent")
 	return outcomeRetry
--- a/core/coordination/relay/watch_test.go
+++ b/core/coordination/relay/stalldetector_test.go
@@ -56,7 +56,7 @@
 		relay:   e.relay,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 		service: testService,
-		passage: &persimmoncross.Passage{},
+		passage: &persimmoncross.ProxyRequest{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -101,7 +101,7 @@
 			relay:      e.relay,
 			route:      e.view.Catalog.Route("h", tt.path),
 			service:    testService,
-			passage:    &persimmoncross.Passage{},
+			passage:    &persimmoncross.ProxyRequest{},
 			executions: tt.runs,
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 		if u == home {
 			waiting = 9
 		}
-		u.recordLoad(&persimmoncross.Load{
+		u.recordLoad(&persimmoncross.UpstreamLoad{
 			Running: 12 - waiting,
 			Waiting: waiting,
 			Slots:   10,
@@ -134,7 +134,7 @@
 		t.Error("nine prompts that are read at once turn others away")
 	}
 	home.applyFleetLoad(FleetLoad{
-		Work: 2 * time.Second,
+		PrefillTime: 2 * time.Second,
 	}, now)
 	if got := placeByPrefix(all, "part", 0, now); got == home {
 		t.Error("a home with 2 s of reading before it takes more")
@@ -144,7 +144,7 @@
 	}
 	// More at the home than it has slots for, and room elsewhere.
 	home.applyFleetLoad(FleetLoad{}, now)
-	home.recordLoad(&persimmoncross.Load{
+	home.recordLoad(&persimmoncross.UpstreamLoad{
 		Running: 10,
 		Waiting: 9,
 		Slots:   10,
@@ -161,26 +161,26 @@
 	canceled chan struct{} // closed when the first attempt is ended for that
 }
 
-func (f *stallingForwarder) Forward(ctx context.Context, a *persimmoncross.PassageAttempt) (persimmoncross.PassageAnswer, error) {
+func (f *stallingForwarder) Forward(ctx context.Context, a *persimmoncross.ProxyAttempt) (persimmoncross.ProxyResponse, error) {
 	got, err := f.fakeForwarder.Forward(ctx, a)
 	if len(f.attempts) > 1 {
 		return got, err
 	}
 	return &stallingResponse{
-		PassageAnswer: got,
+		ProxyResponse: got,
 		ctx:           ctx,
 		forwarder:     f,
 	}, err
 }
 
 type stallingResponse struct {
-	persimmoncross.PassageAnswer
+	persimmoncross.ProxyResponse
 	ctx       context.Context
 	forwarder *stallingForwarder
 }
 
 func (r *stallingResponse) Read(p []byte) (int, error) {
-	n, _ := r.PassageAnswer.Read(p)
+	n, _ := r.ProxyResponse.Read(p)
 	if n > 0 {
 		return n, nil
 	}
@@ -213,12 +213,12 @@
 	e.relay.Forwarder = f
 	ended := make(chan *persimmoncross.Refusal)
 	go func() {
-		ended <- e.relay.Serve(context.Background(), &persimmoncross.Passage{
-			ID:      "id",
-			Host:    "h",
-			Path:    "/stream/x",
-			Key:     testKey,
-			Arrived: clock.Now(),
+		ended <- e.relay.Serve(context.Background(), &persimmoncross.ProxyRequest{
+			ID:             "id",
+			Host:           "h",
+			Path:           "/stream/x",
+			IdempotencyKey: testKey,
+			ArrivedAt:      clock.Now(),
 		}, e.sink)
 	}()
 	<-f.stalled
@@ -251,7 +251,7 @@
 	if pause < 600*time.Millisecond || pause > 900*time.Millisecond {
 		t.Errorf("it went on after %v", pause)
 	}
-	if len(f.attempts) != 2 || f.attempts[1].LastEvent != "1" {
+	if len(f.attempts) != 2 || f.attempts[1].LastEventID != "1" {
 		t.Fatalf("%d attempts", len(f.attempts))
 	}
 	for _, u := range e.targets {
@@ -273,7 +273,7 @@
 		relay:   e.relay,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 		service: testService,
-		passage: &persimmoncross.Passage{},
+		passage: &persimmoncross.ProxyRequest{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -91,8 +91,8 @@
 				t.Errorf("the caller got %q, want %q", got, tt.body)
 			}
 			for i, a := range e.forwarder.attempts {
-				if a.LastEvent != tt.lastEventIDs[i] {
-					t.Errorf("attempt %d goes on after %q, want %q", i, a.LastEvent, tt.lastEventIDs[i])
+				if a.LastEventID != tt.lastEventIDs[i] {
+					t.Errorf("attempt %d goes on after %q, want %q", i, a.LastEventID, tt.lastEventIDs[i])
 				}
 			}
 		})
@@ -135,11 +135,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			small := streamResponse(eventStream("1"), false)
-			small.head.Confidence = tt.confidence
+			small.head.ModelConfidence = tt.confidence
 			large := streamResponse(eventStream("1", "2"), false)
-			large.head.Confidence = 10
+			large.head.ModelConfidence = 10
 			e := newTestEnv(small, large)
-			if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
+			if r := e.serve(t, "stream", func(p *persimmoncross.ProxyRequest) { p.RouterPicksModel = true }); r != nil {
 				t.Fatal(r)
 			}
 			var models []string
@@ -164,11 +164,11 @@
 // model's.
 func TestNoEscalationAfterStreamBegan(t *testing.T) {
 	small := streamResponse(eventStream("1"), true)
-	small.head.Confidence = 80
+	small.head.ModelConfidence = 80
 	rest := streamResponse(eventStream("2"), false)
-	rest.head.Confidence = 5
+	rest.head.ModelConfidence = 5
 	e := newTestEnv(small, rest)
-	if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
+	if r := e.serve(t, "stream", func(p *persimmoncross.ProxyRequest) { p.RouterPicksModel = true }); r != nil {
 		t.Fatal(r)
 	}
 	if got := e.sink.body.String(); got != eventStream("1", "2") {
@@ -188,8 +188,8 @@
 	}
 	now := e.clock.Now()
 	e.relay.recordEventBatch("b", 300*time.Millisecond, 3, now)
-	passage := &persimmoncross.Passage{
-		OutputTokens: 400,
+	passage := &persimmoncross.ProxyRequest{
+		MaxOutputTokens: 400,
 	}
 	c := &call{
 		relay:   e.relay,
@@ -250,28 +250,28 @@
 		{"those for failures, a long prompt", 62, 60_000, "small"},
 	} {
 		e := newTestEnv(&fakeResponse{
-			head: persimmoncross.PassageHead{
-				Status:     http.StatusOK,
-				Confidence: 90,
+			head: persimmoncross.ProxyResponseHead{
+				Status:          http.StatusOK,
+				ModelConfidence: 90,
 			},
 			body: "id: 1\ndata: x\n\n",
 		})
-		e.relay.Bounds.RetrySlack = 0
+		e.relay.Config.RetryBudgetMinimum = 0
 		e.clock.(*steppingClock).advance(time.Since(e.clock.Now())) // to where serve sets it
 		for i := range 100 {
 			e.relay.countRequest(testService)
 			prompt := 500 + 100*(i%9)
-			recordHead := e.relay.Pressure.awaitHead(testService, "large", prompt, e.clock.Now())
+			recordHead := e.relay.ModelStats.awaitHead(testService, "large", prompt, e.clock.Now())
 			recordHead(e.clock.Now().Add(time.Duration(prompt)*50*time.Microsecond), true)
-			e.relay.Pressure.recordConfidence(testService, "small", i%5 < 3)
+			e.relay.ModelStats.recordConfidence(testService, "small", i%5 < 3)
 		}
 		for range tt.takenRetries {
 			if !e.relay.takeRetry(testService) {
 				t.Fatalf("%s: no retry is left", tt.name)
 			}
 		}
-		if refusal := e.serve(t, "stream", func(p *persimmoncross.Passage) {
-			p.AnyModel = true
+		if refusal := e.serve(t, "stream", func(p *persimmoncross.ProxyRequest) {
+			p.RouterPicksModel = true
 			p.PromptTokens = tt.tokens
 		}); refusal != nil {
 			t.Fatalf("%s: %v", tt.name, refusal)
@@ -286,16 +286,16 @@
 // answer that comes is taken.
 func TestAnyModelOnRouteWithoutModels(t *testing.T) {
 	e := newTestEnv(&fakeResponse{
-		head: persimmoncross.PassageHead{
-			Status:     http.StatusOK,
-			Confidence: 5,
+		head: persimmoncross.ProxyResponseHead{
+			Status:          http.StatusOK,
+			ModelConfidence: 5,
 		},
 		body: eventStream("1"),
 	})
 	for _, r := range e.view.Catalog.Routes {
 		r.Models = nil
 	}
-	if r := e.serve(t, "stream", func(p *persimmoncross.Passage) { p.AnyModel = true }); r != nil {
+	if r := e.serve(t, "stream", func(p *persimmoncross.ProxyRequest) { p.RouterPicksModel = true }); r != nil {
 		t.Fatalf("refused: %v", r)
 	}
 	if len(e.forwarder.attempts) != 1 {
--- a/core/coordination/retry/window.go
+++ b/core/coordination/retry/budget.go
@@ -7,13 +7,13 @@
 // buckets is the number of parts in which a window moves on.
 const buckets = 20
 
-// Window bounds the retries in any span of its length by what the requests in it
+// Budget bounds the retries in any span of its length by what the requests in it
 // bring. What a calm span has left is there at once for the many requests that one lost
 // upstream cuts, where a bucket would hold a few. It has no lock and no clock; the caller guards it.
-type Window struct {
-	Length time.Duration // of the span
-	Spare  float64       // retries allowed beside what the requests bring
-	Floor  float64       // retries allowed at least, however few requests came
+type Budget struct {
+	Window        time.Duration // of the span
+	BaseAllowance float64       // retries allowed beside what the requests bring
+	MinAllowance  float64       // retries allowed at least, however few requests came
 
 	bucketStart time.Time // of the newest slice
 	earned      [buckets]float64
@@ -21,37 +21,37 @@
 	current     int
 }
 
-// Request counts a request, which brings a share of a retry.
-func (b *Window) Request(credit float64, now time.Time) {
+// RecordRequest counts a request, which brings a share of a retry.
+func (b *Budget) RecordRequest(credit float64, now time.Time) {
 	b.advance(now)
 	b.earned[b.current] += credit
 }
 
-// Retry counts a retry, and reports whether it may be made; one that may not is
+// TryRetry counts a retry, and reports whether it may be made; one that may not is
 // not counted.
-func (b *Window) Retry(now time.Time) bool {
-	if b.Left(now) < 1 {
+func (b *Budget) TryRetry(now time.Time) bool {
+	if b.Remaining(now) < 1 {
 		return false
 	}
 	b.used[b.current]++
 	return true
 }
 
-// Left returns how many retries are left now.
-func (b *Window) Left(now time.Time) float64 {
+// Remaining returns how many retries are left now.
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.advance(now)
 	_, used := b.totals()
-	return b.Allowed(now) - float64(used)
+	return b.Limit(now) - float64(used)
 }
 
-// Allowed returns how many retries the span up to now may hold.
-func (b *Window) Allowed(now time.Time) float64 {
+// Limit returns how many retries the span up to now may hold.
+func (b *Budget) Limit(now time.Time) float64 {
 	b.advance(now)
 	earned, _ := b.totals()
-	return max(b.Spare+earned, b.Floor)
+	return max(b.BaseAllowance+earned, b.MinAllowance)
 }
 
-func (b *Window) totals() (earned float64, used int) {
+func (b *Budget) totals() (earned float64, used int) {
 	for i := range buckets {
 		earned += b.earned[i]
 		used += b.used[i]
@@ -61,8 +61,8 @@
 
 // advance forgets what is older than the span. The oldest slice goes as a whole, so
 // that the span is never longer than its length.
-func (b *Window) advance(now time.Time) {
-	bucketLength := max(b.Length/buckets, 1)
+func (b *Budget) advance(now time.Time) {
+	bucketLength := max(b.Window/buckets, 1)
 	if b.bucketStart.IsZero() {
 		b.bucketStart = now
 	}
--- a/core/coordination/retry/comeback.go
+++ b/core/coordination/retry/retryafter.go
@@ -21,35 +21,35 @@
 	deadlineFraction = 1.0 / 3
 )
 
-// ComeBack is what is known when a caller is refused for a trouble that ends.
-type ComeBack struct {
-	Expected time.Duration // until there is room; 0: not known
-	Lasted   time.Duration // how long the trouble has lasted
-	Left     time.Duration // that the caller has; 0: not told
-	Rank     int           // of the request, 0 is the most urgent
-	Ranks    int           // that there are
+// RetryAfter is what is known when a caller is refused for a trouble that ends.
+type RetryAfter struct {
+	ExpectedWait   time.Duration // until there is room; 0: not known
+	OutageAge      time.Duration // how long the trouble has lasted
+	UntilDeadline  time.Duration // that the caller has; 0: not told
+	Priority       int           // of the request, 0 is the most urgent
+	PriorityLevels int           // that there are
 }
 
-// After returns when the caller should come back. chance is in [0, 1). A trouble
+// Delay returns when the caller should come back. chance is in [0, 1). A trouble
 // of which nothing else is known is expected to last as long again as it has
 // lasted (bench return). Where it is known when there is room, the more urgent come first; where
 // it is not, the first to come back are no better off, and the order is by chance.
-func (c ComeBack) After(random float64) time.Duration {
-	base, position := c.Expected, c.jitterPosition(random)
+func (r RetryAfter) Delay(random float64) time.Duration {
+	base, position := r.ExpectedWait, r.jitterPosition(random)
 	if base <= 0 {
-		base, position = max(c.Lasted, 0)+unknownOutageDelay, random
+		base, position = max(r.OutageAge, 0)+unknownOutageDelay, random
 	}
 	base = min(max(base, minRetryAfter), maxRetryAfter)
 	delay := base + time.Duration(jitterFraction*position*float64(base))
-	if c.Left > 0 {
-		delay = min(delay, time.Duration(deadlineFraction*float64(c.Left)))
+	if r.UntilDeadline > 0 {
+		delay = min(delay, time.Duration(deadlineFraction*float64(r.UntilDeadline)))
 	}
 	return max(delay, minRetryAfter)
 }
 
 // jitterPosition returns where in the spread the caller comes, 0 to 1: the more urgent its
 // request, the sooner.
-func (c ComeBack) jitterPosition(random float64) float64 {
-	levels := max(c.Ranks, 1)
-	return (float64(min(max(c.Rank, 0), levels-1)) + random) / float64(levels)
+func (r RetryAfter) jitterPosition(random float64) float64 {
+	levels := max(r.PriorityLevels, 1)
+	return (float64(min(max(r.Priority, 0), levels-1)) + random) / float64(levels)
 }
--- a/core/coordination/rollout/evidence.go
+++ b/core/coordination/rollout/collector.go
@@ -1,7 +1,7 @@
 // Package rollout judges versions while they serve: what each entry saw of
 // them, pooled over the entries, against the versions they replace.
 //
-// An entry notes each run in its [Evidence], which also brakes a version at
+// An entry notes each run in its [Collector], which also brakes a version at
 // that entry at once. The leader of the settings pools the entries' counts and
 // asks a [Judge] whether the roll-out goes on, goes back, or waits; what it
 // decides is committed, so that the next leader goes on from there.
@@ -31,49 +31,49 @@
 
 // Tally counts what was seen of one version from one organisation.
 type Tally struct {
-	Runs   uint64
-	Bad    uint64 // of Runs: failed
-	Pairs  uint64 // runs compared with one of another version just before, one of the two slow
-	Slower uint64 // of Pairs: this version's was the slow one
-	Rated  uint64 // answers that were rated
-	Poor   uint64 // of Rated
+	Runs            uint64
+	FailedRuns      uint64 // of Runs: failed
+	DiscordantPairs uint64 // runs compared with one of another version just before, one of the two slow
+	SlowerPairs     uint64 // of Pairs: this version's was the slow one
+	Ratings         uint64 // answers that were rated
+	PoorRatings     uint64 // of Rated
 }
 
 // Add adds another's counts.
 func (t *Tally) Add(o Tally) {
 	t.Runs += o.Runs
-	t.Bad += o.Bad
-	t.Pairs += o.Pairs
-	t.Slower += o.Slower
-	t.Rated += o.Rated
-	t.Poor += o.Poor
+	t.FailedRuns += o.FailedRuns
+	t.DiscordantPairs += o.DiscordantPairs
+	t.SlowerPairs += o.SlowerPairs
+	t.Ratings += o.Ratings
+	t.PoorRatings += o.PoorRatings
 }
 
-// Subject is what a tally is about.
-type Subject struct {
-	Version      persimmoncross.Version
+// TallyKey is what a tally is about.
+type TallyKey struct {
+	Version      persimmoncross.ModelVersion
 	Organisation string
 }
 
-// Evidence is what this process saw since it started.
-type Evidence struct {
+// Collector is what this process saw since it started.
+type Collector struct {
 	Judge Judge
 	Clock persimmoncross.Clock
 
 	mu                  sync.Mutex // guards all below
-	tallies             map[Subject]*Tally
-	consecutiveFailures map[persimmoncross.Version]int // in a row
-	exposures           map[persimmoncross.Version]exposure
+	tallies             map[TallyKey]*Tally
+	consecutiveFailures map[persimmoncross.ModelVersion]int // in a row
+	exposures           map[persimmoncross.ModelVersion]exposure
 	latencies           map[string]*modelLatency // by model
-	plans               map[persimmoncross.Version]Plan
+	plans               map[persimmoncross.ModelVersion]Plan
 }
 
 // Plan is a roll-out in force, as this entry must keep to it.
 type Plan struct {
-	Old    persimmoncross.Version
-	Stage  int
-	Budget int     // runs that this entry may give the version in the stage
-	Margin float64 // excess rate of bad runs that makes the version bad
+	Baseline    persimmoncross.ModelVersion
+	Stage       int
+	StageBudget int     // runs that this entry may give the version in the stage
+	Margin      float64 // excess rate of bad runs that makes the version bad
 }
 
 // exposure counts what a version got in a stage.
@@ -98,7 +98,7 @@
 }
 
 // SetPlans replaces the roll-outs in force, by the version rolled out.
-func (e *Evidence) SetPlans(plans map[persimmoncross.Version]Plan) {
+func (e *Collector) SetPlans(plans map[persimmoncross.ModelVersion]Plan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.plans = plans
@@ -106,7 +106,7 @@
 
 // Note takes the outcome of one run; first is the time to its first token, 0
 // if there was none.
-func (e *Evidence) Note(v persimmoncross.Version, organisation string, failed bool, timeToFirstToken time.Duration) {
+func (e *Collector) Note(v persimmoncross.ModelVersion, organisation string, failed bool, timeToFirstToken time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureMaps()
@@ -118,7 +118,7 @@
 	t := e.tally(v, organisation)
 	t.Runs++
 	if failed {
-		t.Bad++
+		t.FailedRuns++
 		e.consecutiveFailures[v]++
 		return
 	}
@@ -126,7 +126,7 @@
 	e.recordLatency(t, v, timeToFirstToken)
 }
 
-func (e *Evidence) recordLatency(t *Tally, v persimmoncross.Version, timeToFirstToken time.Duration) {
+func (e *Collector) recordLatency(t *Tally, v persimmoncross.ModelVersion, timeToFirstToken time.Duration) {
 	m := e.latencies[v.Model]
 	if m == nil {
 		m = &modelLatency{
@@ -161,35 +161,35 @@
 	if control == slow {
 		return
 	}
-	t.Pairs++
+	t.DiscordantPairs++
 	if slow {
-		t.Slower++
+		t.SlowerPairs++
 	}
 }
 
 // Rated takes a rating of one answer.
-func (e *Evidence) Rated(v persimmoncross.Version, organisation string, poor bool) {
+func (e *Collector) Rated(v persimmoncross.ModelVersion, organisation string, poor bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureMaps()
 	t := e.tally(v, organisation)
-	t.Rated++
+	t.Ratings++
 	if poor {
-		t.Poor++
+		t.PoorRatings++
 	}
 }
 
 // Sample reports whether an answer of the version should be rated: each of a
 // version that is being rolled out, and of the one it replaces somewhat more
 // than that, so that the rater's work stays bounded by the roll-outs' budgets.
-func (e *Evidence) Sample(v persimmoncross.Version) bool {
+func (e *Collector) Sample(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, rolling := e.plans[v]; rolling {
 		return true
 	}
 	for to, p := range e.plans {
-		if p.Old == v {
+		if p.Baseline == v {
 			return e.ratingCount(v) < 2*e.ratingCount(to)+minBaselineRatings
 		}
 	}
@@ -197,11 +197,11 @@
 }
 
 // ratingCount counts the ratings of a version from all organisations.
-func (e *Evidence) ratingCount(v persimmoncross.Version) uint64 {
+func (e *Collector) ratingCount(v persimmoncross.ModelVersion) uint64 {
 	var n uint64
 	for s, t := range e.tallies {
 		if s.Version == v {
-			n += t.Rated
+			n += t.Ratings
 		}
 	}
 	return n
@@ -210,7 +210,7 @@
 // Expose asks whether this entry may give the version a new session or request
 // that could go elsewhere, and counts it. Only versions that are being rolled
 // out are ever refused.
-func (e *Evidence) Expose(v persimmoncross.Version) bool {
+func (e *Collector) Expose(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p, rolling := e.plans[v]
@@ -223,7 +223,7 @@
 		x.budgetUsed = 0
 		x.budgetStart = now
 	}
-	if x.budgetUsed >= p.Budget || e.consecutiveFailures[v] >= maxConsecutiveFailures || e.isBad(v, p) {
+	if x.budgetUsed >= p.StageBudget || e.consecutiveFailures[v] >= maxConsecutiveFailures || e.isBad(v, p) {
 		return false
 	}
 	x.budgetUsed++
@@ -232,7 +232,7 @@
 }
 
 // currentExposure returns what the version got in the stage of the plan.
-func (e *Evidence) currentExposure(v persimmoncross.Version, p Plan) exposure {
+func (e *Collector) currentExposure(v persimmoncross.ModelVersion, p Plan) exposure {
 	if current, ok := e.exposures[v]; ok && current.stage == p.Stage {
 		return current
 	}
@@ -244,10 +244,10 @@
 
 // StageRuns returns, for each version being rolled out, its stage and the runs
 // that ended in it at this entry.
-func (e *Evidence) StageRuns() map[persimmoncross.Version]StageRuns {
+func (e *Collector) StageRuns() map[persimmoncross.ModelVersion]StageRuns {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	all := map[persimmoncross.Version]StageRuns{}
+	all := map[persimmoncross.ModelVersion]StageRuns{}
 	for v, x := range e.exposures {
 		all[v] = StageRuns{
 			Stage: x.stage,
@@ -264,41 +264,41 @@
 }
 
 // isBad reports whether this entry's own evidence is already enough.
-func (e *Evidence) isBad(v persimmoncross.Version, p Plan) bool {
-	pool := Pool{
-		Margin: p.Margin,
-		New:    map[string]Tally{},
-		Old:    map[string]Tally{},
+func (e *Collector) isBad(v persimmoncross.ModelVersion, p Plan) bool {
+	pool := PooledEvidence{
+		Margin:    p.Margin,
+		Candidate: map[string]Tally{},
+		Baseline:  map[string]Tally{},
 	}
 	for s, t := range e.tallies {
-		pool.Take(s, *t, v, p.Old)
+		pool.Add(s, *t, v, p.Baseline)
 	}
-	return e.Judge.Bad(pool) != ""
+	return e.Judge.BadReason(pool) != ""
 }
 
 // Tallies returns a copy of the counts.
-func (e *Evidence) Tallies() map[Subject]Tally {
+func (e *Collector) Tallies() map[TallyKey]Tally {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	all := map[Subject]Tally{}
+	all := map[TallyKey]Tally{}
 	for s, t := range e.tallies {
 		all[s] = *t
 	}
 	return all
 }
 
-func (e *Evidence) ensureMaps() {
+func (e *Collector) ensureMaps() {
 	if e.tallies != nil {
 		return
 	}
-	e.tallies = map[Subject]*Tally{}
-	e.consecutiveFailures = map[persimmoncross.Version]int{}
-	e.exposures = map[persimmoncross.Version]exposure{}
+	e.tallies = map[TallyKey]*Tally{}
+	e.consecutiveFailures = map[persimmoncross.ModelVersion]int{}
+	e.exposures = map[persimmoncross.ModelVersion]exposure{}
 	e.latencies = map[string]*modelLatency{}
 }
 
-func (e *Evidence) tally(v persimmoncross.Version, organisation string) *Tally {
-	s := Subject{
+func (e *Collector) tally(v persimmoncross.ModelVersion, organisation string) *Tally {
+	s := TallyKey{
 		Version:      v,
 		Organisation: organisation,
 	}
--- a/core/coordination/rollout/evalue.go
+++ b/core/coordination/rollout/evalue.go
@@ -6,7 +6,7 @@
 // way from the limit to certain failure.
 var alternativeRates = []float64{0.03, 0.08, 0.2, 0.4, 0.7, 0.95}
 
-// Evalue returns the evidence that bad of runs fail more often than the limit
+// EValue returns the evidence that bad of runs fail more often than the limit
 // allows: the likelihood of the counts under a mixture of worse rates, divided
 // by that under the limit.
 //
@@ -14,7 +14,7 @@
 // supermartingale that starts at 1, so the chance that it ever reaches 1/a is
 // at most a (Ville's inequality), however often it is looked at. It depends on
 // the counts alone: the entries' counts can be added in any order.
-func Evalue(runs, failedRuns uint64, limit float64) float64 {
+func EValue(runs, failedRuns uint64, limit float64) float64 {
 	if runs == 0 {
 		return 1
 	}
--- a/core/coordination/rollout/judge.go
+++ b/core/coordination/rollout/judge.go
@@ -23,20 +23,20 @@
 	Alpha float64 // 0 is DefaultAlpha
 }
 
-// Pool is the evidence of all entries on one roll-out.
-type Pool struct {
-	Margin float64
-	New    map[string]Tally // of the version rolled out, by organisation
-	Old    map[string]Tally // of the version it replaces
+// PooledEvidence is the evidence of all entries on one roll-out.
+type PooledEvidence struct {
+	Margin    float64
+	Candidate map[string]Tally // of the version rolled out, by organisation
+	Baseline  map[string]Tally // of the version it replaces
 }
 
-// Take adds a tally, if it is about one of the two versions.
-func (p Pool) Take(s Subject, t Tally, candidate, baseline persimmoncross.Version) {
-	target := p.New
+// Add adds a tally, if it is about one of the two versions.
+func (p PooledEvidence) Add(s TallyKey, t Tally, candidate, baseline persimmoncross.ModelVersion) {
+	target := p.Candidate
 	switch s.Version {
 	case candidate:
 	case baseline:
-		target = p.Old
+		target = p.Baseline
 	default:
 		return
 	}
@@ -45,8 +45,8 @@
 	target[s.Organisation] = sum
 }
 
-// Total returns the counts over all organisations.
-func Total(byOrganisation map[string]Tally) Tally {
+// SumTallies returns the counts over all organisations.
+func SumTallies(byOrganisation map[string]Tally) Tally {
 	var sum Tally
 	for _, t := range byOrganisation {
 		sum.Add(t)
@@ -63,68 +63,68 @@
 	alphaShare  float64 // of the allowed error
 }
 
-// Bad returns why the version is bad, "" if the evidence does not say so.
+// BadReason returns why the version is bad, "" if the evidence does not say so.
 //
 // It is asked whether the version fails, is slow, or is rated poor more often
 // than the old one by more than the margin; and whether it fails or is rated
 // poor so for one of the organisations. Each question has a quarter of the
 // allowed error, the last two kinds together.
-func (j Judge) Bad(p Pool) string {
+func (j Judge) BadReason(p PooledEvidence) string {
 	alpha := j.Alpha
 	if alpha == 0 {
 		alpha = DefaultAlpha
 	}
 	for _, q := range p.checks() {
-		if q.bad > 0 && Evalue(q.runs, q.bad, q.limit) >= 1/(alpha*q.alphaShare) {
+		if q.bad > 0 && EValue(q.runs, q.bad, q.limit) >= 1/(alpha*q.alphaShare) {
 			return fmt.Sprintf("%d of %d %s, more than the %.3f allowed", q.bad, q.runs, q.description, q.limit)
 		}
 	}
 	return ""
 }
 
-func (p Pool) checks() []check {
+func (p PooledEvidence) checks() []check {
 	margin := p.Margin
 	if margin == 0 {
 		margin = DefaultMargin
 	}
-	candidate, baseline := Total(p.New), Total(p.Old)
+	candidate, baseline := SumTallies(p.Candidate), SumTallies(p.Baseline)
 	list := []check{
 		{
 			description: "runs failed",
 			runs:        candidate.Runs,
-			bad:         candidate.Bad,
-			limit:       upperConfidenceBound(baseline.Runs, baseline.Bad) + margin,
+			bad:         candidate.FailedRuns,
+			limit:       upperConfidenceBound(baseline.Runs, baseline.FailedRuns) + margin,
 			alphaShare:  0.25,
 		},
 		{
 			description: "unlike pairs of runs had this version as the slow one",
-			runs:        candidate.Pairs,
-			bad:         candidate.Slower,
+			runs:        candidate.DiscordantPairs,
+			bad:         candidate.SlowerPairs,
 			limit:       maxSlowerShare,
 			alphaShare:  0.25,
 		},
 		{
 			description: "answers were rated poor",
-			runs:        candidate.Rated,
-			bad:         candidate.Poor,
-			limit:       upperConfidenceBound(baseline.Rated, baseline.Poor) + margin,
+			runs:        candidate.Ratings,
+			bad:         candidate.PoorRatings,
+			limit:       upperConfidenceBound(baseline.Ratings, baseline.PoorRatings) + margin,
 			alphaShare:  0.25,
 		},
 	}
-	share := 0.125 / float64(max(1, len(p.New)))
-	for _, name := range slices.Sorted(maps.Keys(p.New)) {
-		t, o := p.New[name], p.Old[name]
+	share := 0.125 / float64(max(1, len(p.Candidate)))
+	for _, name := range slices.Sorted(maps.Keys(p.Candidate)) {
+		t, o := p.Candidate[name], p.Baseline[name]
 		list = append(list, check{
 			description: "runs of " + name + " failed",
 			runs:        t.Runs,
-			bad:         t.Bad,
-			limit:       upperConfidenceBound(o.Runs, o.Bad) + margin,
+			bad:         t.FailedRuns,
+			limit:       upperConfidenceBound(o.Runs, o.FailedRuns) + margin,
 			alphaShare:  share,
 		}, check{
 			description: "answers to " + name + " were rated poor",
-			runs:        t.Rated,
-			bad:         t.Poor,
-			limit:       upperConfidenceBound(o.Rated, o.Poor) + margin,
+			runs:        t.Ratings,
+			bad:         t.PoorRatings,
+			limit:       upperConfidenceBound(o.Ratings, o.PoorRatings) + margin,
 			alphaShare:  share,
 		})
 	}
@@ -136,19 +136,19 @@
 
 // The decisions.
 const (
-	Wait Decision = iota // for more evidence
-	Go                   // to the next stage, or to the end
-	Back                 // withdraw the version
+	DecisionWait     Decision = iota // for more evidence
+	DecisionAdvance                  // to the next stage, or to the end
+	DecisionRollBack                 // withdraw the version
 )
 
 // Decide judges a stage. It is passed when as many runs as the budget have
 // ended in it and none of the questions went against the version.
-func (j Judge) Decide(p Pool, budget int, stageRuns uint64) (Decision, string) {
-	if reason := j.Bad(p); reason != "" {
-		return Back, reason
+func (j Judge) Decide(p PooledEvidence, budget int, stageRuns uint64) (Decision, string) {
+	if reason := j.BadReason(p); reason != "" {
+		return DecisionRollBack, reason
 	}
 	if stageRuns >= uint64(budget) {
-		return Go, fmt.Sprintf("%d runs without evidence against the version", stageRuns)
+		return DecisionAdvance, fmt.Sprintf("%d runs without evidence against the version", stageRuns)
 	}
-	return Wait, ""
+	return DecisionWait, ""
 }
