--- a/core/coordination/rollout/rollout_test.go
+++ b/core/coordination/rollout/rollout_test.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	candidate = persimmoncross.ParseVersion("m@2")
-	baseline  = persimmoncross.ParseVersion("m@1")
+	candidate = persimmoncross.ParseModelVersion("m@2")
+	baseline  = persimmoncross.ParseModelVersion("m@1")
 )
 
 // Looked at after every run, the evidence against a version at the limit must
@@ -25,7 +25,7 @@
 			if r.Float64() < limit {
 				bad++
 			}
-			if Evalue(n, bad, limit) >= 1/alpha {
+			if EValue(n, bad, limit) >= 1/alpha {
 				falseAlarms++
 				break
 			}
@@ -71,7 +71,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Evalue(c.runs, c.bad, 0.05); got < c.least || got > c.most {
+			if got := EValue(c.runs, c.bad, 0.05); got < c.least || got > c.most {
 				t.Errorf("got %g, want %g to %g", got, c.least, c.most)
 			}
 		})
@@ -92,18 +92,18 @@
 					Runs: 50,
 				},
 			},
-			want: Wait,
+			want: DecisionWait,
 		},
 		{
 			name: "a whole budget of good runs",
 			fresh: map[string]Tally{
 				"a": {
-					Runs: 120,
-					Bad:  2,
+					Runs:       120,
+					FailedRuns: 2,
 				},
 			},
 			stage: 100,
-			want:  Go,
+			want:  DecisionAdvance,
 		},
 		{
 			name: "a budget of runs, but in earlier stages",
@@ -113,17 +113,17 @@
 				},
 			},
 			stage: 70,
-			want:  Wait,
+			want:  DecisionWait,
 		},
 		{
 			name: "failures",
 			fresh: map[string]Tally{
 				"a": {
-					Runs: 20,
-					Bad:  8,
+					Runs:       20,
+					FailedRuns: 8,
 				},
 			},
-			want: Back,
+			want: DecisionRollBack,
 		},
 		{
 			name: "one organisation only",
@@ -132,44 +132,44 @@
 					Runs: 300,
 				},
 				"b": {
-					Runs: 10,
-					Bad:  8,
+					Runs:       10,
+					FailedRuns: 8,
 				},
 			},
-			want: Back,
+			want: DecisionRollBack,
 		},
 		{
 			name: "poor answers",
 			fresh: map[string]Tally{
 				"a": {
-					Runs:  30,
-					Rated: 20,
-					Poor:  12,
+					Runs:        30,
+					Ratings:     20,
+					PoorRatings: 12,
 				},
 			},
-			want: Back,
+			want: DecisionRollBack,
 		},
 		{
 			name: "slow runs",
 			fresh: map[string]Tally{
 				"a": {
-					Runs:   30,
-					Pairs:  30,
-					Slower: 28,
+					Runs:            30,
+					DiscordantPairs: 30,
+					SlowerPairs:     28,
 				},
 			},
-			want: Back,
+			want: DecisionRollBack,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := Pool{
-				New: c.fresh,
-				Old: map[string]Tally{
+			p := PooledEvidence{
+				Candidate: c.fresh,
+				Baseline: map[string]Tally{
 					"a": {
-						Runs:  2000,
-						Bad:   20,
-						Rated: 500,
-						Poor:  10,
+						Runs:        2000,
+						FailedRuns:  20,
+						Ratings:     500,
+						PoorRatings: 10,
 					},
 				},
 			}
@@ -181,14 +181,14 @@
 }
 
 func TestExposeStopsAtBudgetAndAfterFailures(t *testing.T) {
-	plan := map[persimmoncross.Version]Plan{
+	plan := map[persimmoncross.ModelVersion]Plan{
 		candidate: {
-			Old:    baseline,
-			Budget: 10,
+			Baseline:    baseline,
+			StageBudget: 10,
 		},
 	}
 	t.Run("budget", func(t *testing.T) {
-		e := &Evidence{
+		e := &Collector{
 			Clock: persimmoncross.SystemClock{},
 		}
 		e.SetPlans(plan)
@@ -205,11 +205,11 @@
 			t.Errorf("%d exposed, want 10", given)
 		}
 		// The next stage has a budget of its own.
-		e.SetPlans(map[persimmoncross.Version]Plan{
+		e.SetPlans(map[persimmoncross.ModelVersion]Plan{
 			candidate: {
-				Old:    baseline,
-				Stage:  1,
-				Budget: 10,
+				Baseline:    baseline,
+				Stage:       1,
+				StageBudget: 10,
 			},
 		})
 		if !e.Expose(candidate) {
@@ -217,7 +217,7 @@
 		}
 	})
 	t.Run("brake", func(t *testing.T) {
-		e := &Evidence{
+		e := &Collector{
 			Clock: persimmoncross.SystemClock{},
 		}
 		e.SetPlans(plan)
@@ -231,12 +231,12 @@
 }
 
 func TestSlowThresholdComesFromBaselineRuns(t *testing.T) {
-	e := &Evidence{
+	e := &Collector{
 		Clock: persimmoncross.SystemClock{},
 	}
-	e.SetPlans(map[persimmoncross.Version]Plan{
+	e.SetPlans(map[persimmoncross.ModelVersion]Plan{
 		candidate: {
-			Old: baseline,
+			Baseline: baseline,
 		},
 	})
 	for i := range 200 {
@@ -246,11 +246,11 @@
 		e.Note(baseline, "a", false, 100*time.Millisecond)
 		e.Note(candidate, "a", false, 300*time.Millisecond)
 	}
-	got := e.Tallies()[Subject{
+	got := e.Tallies()[TallyKey{
 		Version:      candidate,
 		Organisation: "a",
 	}]
-	if got.Pairs != 20 || got.Slower != 20 {
+	if got.DiscordantPairs != 20 || got.SlowerPairs != 20 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -259,23 +259,23 @@
 // nor does slowness that no run of the old one can be compared with (a good
 // version was withdrawn so in CI, on a busy machine).
 func TestUpstreamSlowdownIsNotBlamedOnVersion(t *testing.T) {
-	e := &Evidence{
+	e := &Collector{
 		Clock: persimmoncross.SystemClock{},
 	}
-	e.SetPlans(map[persimmoncross.Version]Plan{
+	e.SetPlans(map[persimmoncross.ModelVersion]Plan{
 		candidate: {
-			Old: baseline,
+			Baseline: baseline,
 		},
 	})
 	judge := func() string {
-		p := Pool{
-			New: map[string]Tally{},
-			Old: map[string]Tally{},
+		p := PooledEvidence{
+			Candidate: map[string]Tally{},
+			Baseline:  map[string]Tally{},
 		}
 		for s, n := range e.Tallies() {
-			p.Take(s, n, candidate, baseline)
+			p.Add(s, n, candidate, baseline)
 		}
-		return Judge{}.Bad(p)
+		return Judge{}.BadReason(p)
 	}
 	for i := range 200 {
 		e.Note(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
--- a/core/coordination/routing/backoff.go
+++ b/core/coordination/routing/backoff.go
@@ -13,8 +13,8 @@
 	inner ratelimit.Backoff
 }
 
-// BackOff keeps this VM's requests from the upstream until then.
-func (u *Upstream) BackOff(until time.Time) {
+// SetBackoff keeps this VM's requests from the upstream until then.
+func (u *Upstream) SetBackoff(until time.Time) {
 	u.backoff.mu.Lock()
 	defer u.backoff.mu.Unlock()
 	u.backoff.inner.Extend(until)
@@ -32,9 +32,9 @@
 	b.inner = ratelimit.Backoff{}
 }
 
-// AvailableIn returns how long it takes until the first upstream that is eligible for the
+// MinBackoffRemaining returns how long it takes until the first upstream that is eligible for the
 // choice leaves its backoff, 0 if none is in one.
-func (t *Table) AvailableIn(c Choice) time.Duration {
+func (t *Table) MinBackoffRemaining(c PickInfo) time.Duration {
 	now := t.Clock.Now()
 	shortest := time.Duration(0)
 	for _, u := range t.upstreamsByName() {
--- a/core/coordination/routing/bench_test.go
+++ b/core/coordination/routing/bench_test.go
@@ -22,8 +22,8 @@
 			t := newTable(n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			c := Choice{
-				Version: persimmoncross.ParseVersion("m@1"),
+			c := PickInfo{
+				Version: persimmoncross.ParseModelVersion("m@1"),
 				Prompt:  make([]byte, 4096),
 			}
 			b.ReportAllocs()
@@ -48,10 +48,10 @@
 	}
 	t := &Table{
 		Clock: persimmoncross.SystemClock{},
-		Placer: &Expected{
+		Picker: &ExpectedLatency{
 			Random: rand.New(rand.NewPCG(1, 2)),
 		},
-		Entries: func() int { return 8 },
+		LiveEntries: func() int { return 8 },
 	}
 	t.Update(&settings.Snapshot{
 		File: file,
--- a/core/coordination/routing/breaker.go
+++ b/core/coordination/routing/breaker.go
@@ -21,11 +21,11 @@
 // service's is under the zero version.
 type versionBreakers struct {
 	mu        sync.Mutex // guards byVersion
-	byVersion map[persimmoncross.Version]*Breaker
+	byVersion map[persimmoncross.ModelVersion]*Breaker
 }
 
 // Breaker returns the upstream's breaker for the version.
-func (u *Upstream) Breaker(v persimmoncross.Version) *Breaker {
+func (u *Upstream) Breaker(v persimmoncross.ModelVersion) *Breaker {
 	c := &u.breakers
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 			Clock: u.clock,
 		}
 		if c.byVersion == nil {
-			c.byVersion = map[persimmoncross.Version]*Breaker{}
+			c.byVersion = map[persimmoncross.ModelVersion]*Breaker{}
 		}
 		c.byVersion[v] = b
 	}
@@ -50,13 +50,13 @@
 	c.byVersion = nil
 }
 
-// Broken reports whether work of any version is kept from the upstream.
-func (u *Upstream) Broken() bool {
+// HasOpenBreaker reports whether work of any version is kept from the upstream.
+func (u *Upstream) HasOpenBreaker() bool {
 	c := &u.breakers
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, b := range c.byVersion {
-		if b.Open() {
+		if b.IsOpen() {
 			return true
 		}
 	}
@@ -70,37 +70,37 @@
 	return b.breaker.Allows(b.Clock.Now())
 }
 
-// Begin is [outlier.Breaker.Begin].
+// Begin is [outlier.Breaker.StartAttempt].
 func (b *Breaker) Begin() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breaker.Begin()
+	b.breaker.StartAttempt()
 }
 
-// Note is [outlier.Breaker.Note].
-func (b *Breaker) Note(failed bool) {
+// RecordResult is [outlier.Breaker.RecordResult].
+func (b *Breaker) RecordResult(failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breaker.Note(failed, b.Clock.Now())
+	b.breaker.RecordOutcome(failed, b.Clock.Now())
 }
 
-// Forget is [outlier.Breaker.Forget].
-func (b *Breaker) Forget() {
+// Abandon is [outlier.Breaker.Abandon].
+func (b *Breaker) Abandon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breaker.Forget()
+	b.breaker.AbandonProbe()
 }
 
-// Errors is [outlier.Breaker.Errors].
-func (b *Breaker) Errors() float64 {
+// ErrorRate is [outlier.Breaker.ErrorRate].
+func (b *Breaker) ErrorRate() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.breaker.Errors()
+	return b.breaker.ErrorRate()
 }
 
-// Open is [outlier.Breaker.Open].
-func (b *Breaker) Open() bool {
+// IsOpen is [outlier.Breaker.IsOpen].
+func (b *Breaker) IsOpen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.breaker.Open()
+	return b.breaker.IsOpen()
 }
--- a/core/coordination/routing/placer.go
+++ b/core/coordination/routing/picker.go
@@ -10,7 +10,7 @@
 	"persimmoncross"
 )
 
-// Costs used by [Expected].
+// Costs used by [ExpectedLatency].
 const (
 	idleTimeToFirstToken    = 30 * time.Millisecond // to the first token at an idle engine
 	prefillTimePerKB        = 4 * time.Millisecond  // of uncached prompt
@@ -20,22 +20,22 @@
 	bytesPerKB              = 1024
 )
 
-// Expected places a request where the expected time to its first token is
+// ExpectedLatency places a request where the expected time to its first token is
 // least: its own reading, slower in a fuller batch, and the queue ahead of it.
 // Equal ones are told apart at random, so that the entries do not all choose
 // alike.
-type Expected struct {
+type ExpectedLatency struct {
 	Random *rand.Rand
 
 	mu sync.Mutex // guards Random
 }
 
-// Place implements [persimmoncross.Placer].
-func (e *Expected) Place(candidates []persimmoncross.Candidate, prompt int) int {
+// Pick implements [persimmoncross.Picker].
+func (e *ExpectedLatency) Pick(candidates []persimmoncross.Candidate, promptBytes int) int {
 	least := math.Inf(1)
 	var cheapest []int
 	for i, c := range candidates {
-		switch cost := expectedCost(c, prompt); {
+		switch cost := expectedCost(c, promptBytes); {
 		case cost < least:
 			least = cost
 			cheapest = append(cheapest[:0], i)
@@ -53,18 +53,18 @@
 
 // expectedCost returns seconds to the first token.
 func expectedCost(c persimmoncross.Candidate, promptBytes int) float64 {
-	meanDuration := c.Hold
+	meanDuration := c.MeanDuration
 	if meanDuration == 0 {
 		meanDuration = defaultMeanDuration
 	}
 	slots := float64(c.Slots)
-	batchFactor := 1 + c.Busy/slots
-	prefill := idleTimeToFirstToken.Seconds() + float64(max(0, promptBytes-c.Cached))/bytesPerKB*prefillTimePerKB.Seconds()
-	cost := prefill*batchFactor + c.Busy/slots*batchSlowdown*meanDuration.Seconds()
+	batchFactor := 1 + c.EstimatedInFlight/slots
+	prefill := idleTimeToFirstToken.Seconds() + float64(max(0, promptBytes-c.CachedBytes))/bytesPerKB*prefillTimePerKB.Seconds()
+	cost := prefill*batchFactor + c.EstimatedInFlight/slots*batchSlowdown*meanDuration.Seconds()
 	// A slot comes free about every hold/slots.
-	cost += max(0, c.Busy+1-slots) / slots * meanDuration.Seconds()
-	cost += c.Errors * errorPenalty.Seconds()
-	if !c.Near {
+	cost += max(0, c.EstimatedInFlight+1-slots) / slots * meanDuration.Seconds()
+	cost += c.ErrorRate * errorPenalty.Seconds()
+	if !c.SameDataCentre {
 		cost += remoteDataCentrePenalty.Seconds()
 	}
 	return cost
@@ -79,8 +79,8 @@
 	Random *rand.Rand
 }
 
-// Place implements [persimmoncross.Placer].
-func (r *Random) Place(candidates []persimmoncross.Candidate, _ int) int {
+// Pick implements [persimmoncross.Picker].
+func (r *Random) Pick(candidates []persimmoncross.Candidate, _ int) int {
 	return r.Random.IntN(len(candidates))
 }
 
@@ -89,16 +89,16 @@
 	next atomic.Uint64
 }
 
-// Place implements [persimmoncross.Placer].
-func (r *RoundRobin) Place(candidates []persimmoncross.Candidate, _ int) int {
+// Pick implements [persimmoncross.Picker].
+func (r *RoundRobin) Pick(candidates []persimmoncross.Candidate, _ int) int {
 	return int(r.next.Add(1) % uint64(len(candidates)))
 }
 
 // LeastOutstanding places where this entry has least under way: a baseline.
 type LeastOutstanding struct{}
 
-// Place implements [persimmoncross.Placer].
-func (LeastOutstanding) Place(candidates []persimmoncross.Candidate, _ int) int {
+// Pick implements [persimmoncross.Picker].
+func (LeastOutstanding) Pick(candidates []persimmoncross.Candidate, _ int) int {
 	best := 0
 	for i, c := range candidates {
 		if c.InFlight < candidates[best].InFlight {
@@ -108,13 +108,13 @@
 	return best
 }
 
-// TwoChoices takes the less loaded of two random ones: a baseline.
-type TwoChoices struct {
+// PowerOfTwoChoices takes the less loaded of two random ones: a baseline.
+type PowerOfTwoChoices struct {
 	Random *rand.Rand
 }
 
-// Place implements [persimmoncross.Placer].
-func (t *TwoChoices) Place(candidates []persimmoncross.Candidate, _ int) int {
+// Pick implements [persimmoncross.Picker].
+func (t *PowerOfTwoChoices) Pick(candidates []persimmoncross.Candidate, _ int) int {
 	a := t.Random.IntN(len(candidates))
 	b := t.Random.IntN(len(candidates))
 	if candidates[b].InFlight < candidates[a].InFlight {
--- a/core/coordination/routing/life_test.go
+++ b/core/coordination/routing/restart_test.go
@@ -11,18 +11,18 @@
 // known of it; what is kept of one that runs on stays.
 func TestRestartedUpstreamLosesHistory(t *testing.T) {
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
-	report := func(started time.Time, sequence uint64, taken int64) persimmoncross.Report {
-		return persimmoncross.Report{
-			Started:  started,
-			Sequence: sequence,
-			Taken:    at(taken),
+	report := func(started time.Time, sequence uint64, taken int64) persimmoncross.UpstreamReport {
+		return persimmoncross.UpstreamReport{
+			StartedAt:   started,
+			Sequence:    sequence,
+			RequestedAt: at(taken),
 		}
 	}
-	v := persimmoncross.ParseVersion("m@1")
+	v := persimmoncross.ParseModelVersion("m@1")
 	prompt := make([]byte, 4*blockSize)
 	for _, tt := range []struct {
 		what     string
-		old, now persimmoncross.Report
+		old, now persimmoncross.UpstreamReport
 		again    bool
 	}{
 		{"runs on", report(at(1000), 4, 10), report(at(1000), 5, 20), false},
@@ -39,25 +39,25 @@
 			Name:  "u",
 			clock: persimmoncross.SystemClock{},
 		}
-		if u.Learn(tt.old) {
+		if u.ApplyReport(tt.old) {
 			t.Fatalf("%s: the first report tells of another life", tt.what)
 		}
 		for range 50 {
-			u.Begin(at(0), v, prompt)()
-			u.Breaker(v).Note(true)
+			u.BeginAttempt(at(0), v, prompt)()
+			u.Breaker(v).RecordResult(true)
 		}
-		u.Took(time.Minute)
-		if !u.Broken() {
+		u.RecordDuration(time.Minute)
+		if !u.HasOpenBreaker() {
 			t.Fatal("fifty failures break nothing")
 		}
-		if got := u.Learn(tt.now); got != tt.again || u.Lives() == 1 != tt.again {
-			t.Errorf("%s: started again: %v, %d times", tt.what, got, u.Lives())
+		if got := u.ApplyReport(tt.now); got != tt.again || u.Restarts() == 1 != tt.again {
+			t.Errorf("%s: started again: %v, %d times", tt.what, got, u.Restarts())
 		}
 		u.history.mu.Lock()
 		known := u.history.meanDurationSeconds != 0 || u.history.prefixes.cachedBytes(prefixHashes(prompt), at(0)) != 0
 		u.history.mu.Unlock()
-		if known == tt.again || u.Broken() == tt.again {
-			t.Errorf("%s: what was known is used: %v, broken: %v", tt.what, known, u.Broken())
+		if known == tt.again || u.HasOpenBreaker() == tt.again {
+			t.Errorf("%s: what was known is used: %v, broken: %v", tt.what, known, u.HasOpenBreaker())
 		}
 	}
 }
--- a/core/coordination/routing/routing_test.go
+++ b/core/coordination/routing/routing_test.go
@@ -26,30 +26,30 @@
 	u := &Upstream{
 		clock: clock,
 	}
-	bad := persimmoncross.Version{
+	bad := persimmoncross.ModelVersion{
 		Model: "bad",
 	}
 	for u.Breaker(bad).Allows() {
 		u.Breaker(bad).Begin()
-		u.Breaker(bad).Note(true)
+		u.Breaker(bad).RecordResult(true)
 	}
-	good := persimmoncross.Version{
+	good := persimmoncross.ModelVersion{
 		Model: "good",
 	}
-	if !u.Breaker(good).Allows() || u.Breaker(good).Open() {
+	if !u.Breaker(good).Allows() || u.Breaker(good).IsOpen() {
 		t.Error("another version is kept away")
 	}
-	if !u.Broken() {
+	if !u.HasOpenBreaker() {
 		t.Error("the upstream does not tell of its version")
 	}
 	clock.now = clock.now.Add(time.Minute)
 	u.Breaker(bad).Begin()
-	u.Breaker(bad).Forget()
+	u.Breaker(bad).Abandon()
 	if !u.Breaker(bad).Allows() {
 		t.Error("no probe after one without a verdict")
 	}
-	u.Breaker(bad).Note(false)
-	if u.Broken() || u.Breaker(bad).Errors() == 0 {
+	u.Breaker(bad).RecordResult(false)
+	if u.HasOpenBreaker() || u.Breaker(bad).ErrorRate() == 0 {
 		t.Error("a good probe does not end it, or its share of failures is lost")
 	}
 }
@@ -87,7 +87,7 @@
 func TestNewAddressResetsUpstream(t *testing.T) {
 	table := newTable(2)
 	before := table.List()[0]
-	before.SetLeaving(true)
+	before.SetDraining(true)
 	file := func(n int) *settings.Snapshot {
 		f := &settings.File{
 			Upstreams: map[string]*settings.Upstream{},
@@ -107,7 +107,7 @@
 	changed := file(2)
 	changed.File.Upstreams[before.Name].Address = changed.File.Upstreams[table.List()[1].Name].Address
 	table.Update(changed)
-	if after := table.List()[0]; after == before || after.Leaving() {
+	if after := table.List()[0]; after == before || after.Draining() {
 		t.Error("an upstream at another address is taken for the former")
 	}
 }
@@ -136,10 +136,10 @@
 		names[3]: true,
 	}
 	for i := range 50 {
-		for _, c := range []Choice{
-			{Service: names},
-			{Service: names, Tried: tried},
-			{Service: names, Alone: persimmoncross.Digest{byte(i + 1)}},
+		for _, c := range []PickInfo{
+			{ServiceUpstreams: names},
+			{ServiceUpstreams: names, TriedUpstreams: tried},
+			{ServiceUpstreams: names, IsolatedDigest: persimmoncross.Digest{byte(i + 1)}},
 		} {
 			if u := table.Pick(c); u == nil || u.DataCentre() != "d1" {
 				t.Fatalf("%+v: %+v", c, u)
@@ -150,7 +150,7 @@
 		File:      file,
 		Evacuated: map[string]bool{"d0": true, "d1": true},
 	})
-	if u := table.Pick(Choice{Service: names}); u != nil {
+	if u := table.Pick(PickInfo{ServiceUpstreams: names}); u != nil {
 		t.Errorf("all are evacuated, and %s gets work", u.Name)
 	}
 }
@@ -163,17 +163,17 @@
 	for _, u := range table.List() {
 		names = append(names, u.Name)
 	}
-	suspect := Choice{
-		Service: names,
-		Alone:   persimmoncross.Digest{1},
+	suspect := PickInfo{
+		ServiceUpstreams: names,
+		IsolatedDigest:   persimmoncross.Digest{1},
 	}
 	home := table.Pick(suspect)
-	home.BackOff(table.Clock.Now().Add(time.Hour))
+	home.SetBackoff(table.Clock.Now().Add(time.Hour))
 	if u := table.Pick(suspect); u != nil {
 		t.Errorf("it is sent to %s, and its own is %s", u.Name, home.Name)
 	}
 	for range 20 {
-		if u := table.Pick(Choice{Service: names}); u == nil || u == home {
+		if u := table.Pick(PickInfo{ServiceUpstreams: names}); u == nil || u == home {
 			t.Errorf("another request is sent to %v, and %s is in a backoff", u, home.Name)
 		}
 	}
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -28,10 +28,10 @@
 
 // Table is what one entry knows of the upstreams.
 type Table struct {
-	Clock      persimmoncross.Clock
-	DataCentre string
-	Placer     persimmoncross.Placer
-	Entries    func() int // that place work, this one included
+	Clock       persimmoncross.Clock
+	DataCentre  string
+	Picker      persimmoncross.Picker
+	LiveEntries func() int // that place work, this one included
 
 	mu        sync.Mutex // guards replacing the maps
 	upstreams atomic.Pointer[map[string]*Upstream]
@@ -48,7 +48,7 @@
 	hash           uint64 // of the name
 	sameDataCentre bool
 	inFlight       atomic.Int64
-	report         atomic.Pointer[persimmoncross.Report]
+	report         atomic.Pointer[persimmoncross.UpstreamReport]
 	restarts       atomic.Uint64 // how often it has started again
 	observedExits  atomic.Uint64 // how often its process was found gone
 	draining       atomic.Bool   // the platform, or the upstream itself, says that it leaves
@@ -94,7 +94,7 @@
 // isAvailable reports whether the upstream may get new work.
 func (t *Table) isAvailable(u *Upstream) bool {
 	e := t.evacuated.Load()
-	return !u.Leaving() && (e == nil || !(*e)[u.DataCentre()])
+	return !u.Draining() && (e == nil || !(*e)[u.DataCentre()])
 }
 
 func (t *Table) upstreamsByName() map[string]*Upstream {
@@ -120,32 +120,32 @@
 	return u, ok
 }
 
-// Choice is what a decision needs to know of a request.
-type Choice struct {
-	Version persimmoncross.Version // for an engine
-	Service []string               // for a plain service: its upstreams
-	Prompt  []byte
-	Tried   map[string]bool
-	// Alone is a request under suspicion: it runs at the upstream for it or nowhere.
-	Alone persimmoncross.Digest
-	// Apart are such requests; others keep away from their upstreams where enough are
+// PickInfo is what a decision needs to know of a request.
+type PickInfo struct {
+	Version          persimmoncross.ModelVersion // for an engine
+	ServiceUpstreams []string                    // for a plain service: its upstreams
+	Prompt           []byte
+	TriedUpstreams   map[string]bool
+	// IsolatedDigest is a request under suspicion: it runs at the upstream for it or nowhere.
+	IsolatedDigest persimmoncross.Digest
+	// IsolatedDigests are such requests; others keep away from their upstreams where enough are
 	// left.
-	Apart []persimmoncross.Digest
+	IsolatedDigests []persimmoncross.Digest
 }
 
 // Pick returns the upstream to send an attempt to, or nil if none may have it.
 // An upstream that was tried is taken again only if there is no other.
-func (t *Table) Pick(c Choice) *Upstream {
+func (t *Table) Pick(c PickInfo) *Upstream {
 	now := t.Clock.Now()
 	var untried, tried []*Upstream
 	eligible := t.eligible(c)
-	if c.Alone != (persimmoncross.Digest{}) {
+	if c.IsolatedDigest != (persimmoncross.Digest{}) {
 		return pickIsolated(c, eligible, now)
 	}
 	for _, u := range excludeIsolated(c, eligible) {
 		switch {
 		case u.backoff.remaining(now) > 0 || !u.Breaker(c.Version).Allows():
-		case c.Tried[u.Name]:
+		case c.TriedUpstreams[u.Name]:
 			tried = append(tried, u)
 		default:
 			untried = append(untried, u)
@@ -157,22 +157,22 @@
 	if len(untried) == 0 {
 		return nil
 	}
-	peerEntries := float64(max(1, t.Entries()) - 1)
+	peerEntries := float64(max(1, t.LiveEntries()) - 1)
 	candidates := make([]persimmoncross.Candidate, len(untried))
 	hashes := prefixHashes(c.Prompt)
 	affinity := affinityUpstream(untried, hashes)
 	for i, u := range untried {
 		candidates[i] = u.newCandidate(now, c.Version, hashes, peerEntries)
 		if u == affinity {
-			candidates[i].Cached = len(c.Prompt)
+			candidates[i].CachedBytes = len(c.Prompt)
 		}
 	}
-	return untried[t.Placer.Place(candidates, len(c.Prompt))]
+	return untried[t.Picker.Pick(candidates, len(c.Prompt))]
 }
 
 // eligible returns the upstreams that hold the version or serve the service, do not
 // leave, and stand in no data centre that is evacuated, in the order of their names.
-func (t *Table) eligible(c Choice) []*Upstream {
+func (t *Table) eligible(c PickInfo) []*Upstream {
 	var list []*Upstream
 	for _, u := range t.upstreamsByName() {
 		if !t.isAvailable(u) || !u.serves(c) {
@@ -186,10 +186,10 @@
 
 // Capacity returns how many requests the engines that hold any of the versions
 // serve at once.
-func (t *Table) Capacity(versions []persimmoncross.Version) int {
+func (t *Table) Capacity(versions []persimmoncross.ModelVersion) int {
 	slots := 0
 	for _, u := range t.upstreamsByName() {
-		canServe := func(v persimmoncross.Version) bool { return u.hasVersion(v) && u.Breaker(v).Allows() }
+		canServe := func(v persimmoncross.ModelVersion) bool { return u.hasVersion(v) && u.Breaker(v).Allows() }
 		if t.isAvailable(u) && slices.ContainsFunc(versions, canServe) {
 			slots += u.slots()
 		}
@@ -205,16 +205,16 @@
 	return u.settings.SlotsOf()
 }
 
-func (u *Upstream) serves(c Choice) bool {
-	if len(c.Service) > 0 {
-		return slices.Contains(c.Service, u.Name)
+func (u *Upstream) serves(c PickInfo) bool {
+	if len(c.ServiceUpstreams) > 0 {
+		return slices.Contains(c.ServiceUpstreams, u.Name)
 	}
 	return u.hasVersion(c.Version)
 }
 
 // hasVersion reports whether the engine has the version. One that reports which
 // versions it has loaded is believed.
-func (u *Upstream) hasVersion(v persimmoncross.Version) bool {
+func (u *Upstream) hasVersion(v persimmoncross.ModelVersion) bool {
 	if !slices.Contains(u.settings.Versions, v.String()) {
 		return false
 	}
@@ -222,35 +222,35 @@
 	return r == nil || len(r.Versions) == 0 || slices.Contains(r.Versions, v)
 }
 
-func (u *Upstream) newCandidate(now time.Time, v persimmoncross.Version, hashes []uint64, peerEntries float64) persimmoncross.Candidate {
+func (u *Upstream) newCandidate(now time.Time, v persimmoncross.ModelVersion, hashes []uint64, peerEntries float64) persimmoncross.Candidate {
 	c := persimmoncross.Candidate{
-		Name:     u.Name,
-		Address:  u.Address,
-		Near:     u.sameDataCentre,
-		InFlight: int(u.inFlight.Load()),
-		Slots:    u.slots(),
-		Errors:   u.Breaker(v).Errors(),
+		Name:           u.Name,
+		Address:        u.Address,
+		SameDataCentre: u.sameDataCentre,
+		InFlight:       int(u.inFlight.Load()),
+		Slots:          u.slots(),
+		ErrorRate:      u.Breaker(v).ErrorRate(),
 	}
 	u.history.mu.Lock()
 	defer u.history.mu.Unlock()
 	u.history.meanInFlight += inFlightSmoothing * (float64(c.InFlight) - u.history.meanInFlight)
-	c.Busy = float64(c.InFlight) + peerEntries*u.history.meanInFlight
-	c.Hold = time.Duration(u.history.meanDurationSeconds * float64(time.Second))
-	c.Cached = u.history.prefixes.cachedBytes(hashes, now)
+	c.EstimatedInFlight = float64(c.InFlight) + peerEntries*u.history.meanInFlight
+	c.MeanDuration = time.Duration(u.history.meanDurationSeconds * float64(time.Second))
+	c.CachedBytes = u.history.prefixes.cachedBytes(hashes, now)
 	return c
 }
 
-// Leaving reports whether the upstream may get no new work.
-func (u *Upstream) Leaving() bool {
+// Draining reports whether the upstream may get no new work.
+func (u *Upstream) Draining() bool {
 	if u.draining.Load() {
 		return true
 	}
 	r := u.report.Load()
-	return r != nil && r.Leaving
+	return r != nil && r.Draining
 }
 
-// SetLeaving notes the platform's word.
-func (u *Upstream) SetLeaving(leaving bool) { u.draining.Store(leaving) }
+// SetDraining notes the platform's word.
+func (u *Upstream) SetDraining(leaving bool) { u.draining.Store(leaving) }
 
 // Kind returns "engine" or "service".
 func (u *Upstream) Kind() string { return u.settings.Kind }
@@ -258,26 +258,26 @@
 // DataCentre returns the data centre that the upstream stands in.
 func (u *Upstream) DataCentre() string { return u.settings.DataCentre }
 
-// Blind reports whether the upstream does not echo attempt ids.
-func (u *Upstream) Blind() bool { return u.settings.Blind }
+// OmitsAttemptID reports whether the upstream does not echo attempt ids.
+func (u *Upstream) OmitsAttemptID() bool { return u.settings.Blind }
 
-// Versions returns the versions that the settings give the upstream.
-func (u *Upstream) Versions() []string { return u.settings.Versions }
+// DeclaredVersions returns the versions that the settings give the upstream.
+func (u *Upstream) DeclaredVersions() []string { return u.settings.Versions }
 
 // maxReportAge is the age up to which a report shows that its upstream is there.
 const maxReportAge = 5 * time.Second
 
-// Answers reports whether the upstream has reported lately.
-func (u *Upstream) Answers() bool {
+// HasRecentReport reports whether the upstream has reported lately.
+func (u *Upstream) HasRecentReport() bool {
 	r := u.report.Load()
-	return r != nil && u.clock.Now().Sub(r.Taken) < maxReportAge
+	return r != nil && u.clock.Now().Sub(r.RequestedAt) < maxReportAge
 }
 
-// Fencing reports whether the engine refuses old fencing numbers.
-func (u *Upstream) Fencing() bool { return u.settings.Fencing }
+// SupportsFencing reports whether the engine refuses old fencing numbers.
+func (u *Upstream) SupportsFencing() bool { return u.settings.Fencing }
 
-// Reported returns the versions that the engine said last that it holds.
-func (u *Upstream) Reported() []persimmoncross.Version {
+// ReportedVersions returns the versions that the engine said last that it holds.
+func (u *Upstream) ReportedVersions() []persimmoncross.ModelVersion {
 	if r := u.report.Load(); r != nil {
 		return r.Versions
 	}
@@ -287,16 +287,16 @@
 // InFlight returns this entry's attempts under way.
 func (u *Upstream) InFlight() int { return int(u.inFlight.Load()) }
 
-// Learn takes a report: its slots, versions and word of leaving. Its load is
+// ApplyReport takes a report: its slots, versions and word of leaving. Its load is
 // not used: it is late, and entries that all follow the same late figures chase
 // each other (docs/design/placement.md has the measurement).
 //
 // An upstream may start again under its name and address: its own word tells. What
 // was known of its former life (prompts in its cache, times, doubts) is forgotten
 // then. It reports whether that is so.
-func (u *Upstream) Learn(r persimmoncross.Report) (restarted bool) {
+func (u *Upstream) ApplyReport(r persimmoncross.UpstreamReport) (restarted bool) {
 	old := u.report.Load()
-	if old != nil && r.Taken.Before(old.Taken) {
+	if old != nil && r.RequestedAt.Before(old.RequestedAt) {
 		return false // its answer came later than that of one asked for after it
 	}
 	u.report.Store(&r)
@@ -312,15 +312,15 @@
 
 // hasRestarted reports whether the later report is of another life. Where the start
 // is not told, a sequence that has fallen tells.
-func hasRestarted(old, now persimmoncross.Report) bool {
-	if !old.Started.IsZero() && !now.Started.IsZero() {
-		return !old.Started.Equal(now.Started)
+func hasRestarted(old, now persimmoncross.UpstreamReport) bool {
+	if !old.StartedAt.IsZero() && !now.StartedAt.IsZero() {
+		return !old.StartedAt.Equal(now.StartedAt)
 	}
 	return now.Sequence < old.Sequence
 }
 
-// Lives returns how often the upstream has started again since it is known.
-func (u *Upstream) Lives() uint64 { return u.restarts.Load() }
+// Restarts returns how often the upstream has started again since it is known.
+func (u *Upstream) Restarts() uint64 { return u.restarts.Load() }
 
 func (h *attemptHistory) reset() {
 	h.mu.Lock()
@@ -329,8 +329,8 @@
 	h.prefixes = prefixCache{}
 }
 
-// Begin notes that an attempt starts; the function it returns ends it.
-func (u *Upstream) Begin(now time.Time, v persimmoncross.Version, prompt []byte) (endAttempt func()) {
+// BeginAttempt notes that an attempt starts; the function it returns ends it.
+func (u *Upstream) BeginAttempt(now time.Time, v persimmoncross.ModelVersion, prompt []byte) (endAttempt func()) {
 	u.inFlight.Add(1)
 	u.Breaker(v).Begin()
 	hashes := prefixHashes(prompt)
@@ -343,8 +343,8 @@
 
 func (u *Upstream) endAttempt() { u.inFlight.Add(-1) }
 
-// Took notes how long a whole attempt took.
-func (u *Upstream) Took(d time.Duration) {
+// RecordDuration notes how long a whole attempt took.
+func (u *Upstream) RecordDuration(d time.Duration) {
 	u.history.mu.Lock()
 	defer u.history.mu.Unlock()
 	if u.history.meanDurationSeconds == 0 {
--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -16,75 +16,75 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limit is what a cold upstream bears.
-type Limit struct {
-	Rate float64       // requests a second, on average
-	Most float64       // arrivals in any second, from all entries
-	For  time.Duration // from a start
+// ColdLimit is what a cold upstream bears.
+type ColdLimit struct {
+	Rate         float64       // requests a second, on average
+	MaxPerSecond float64       // arrivals in any second, from all entries
+	Duration     time.Duration // from a start
 }
 
 // arrivalWindow is the second in which arrivals are counted, and what delays on the way may
 // bring together.
 const arrivalWindow = 1100 * time.Millisecond
 
-// Share returns how many of the entries are owners, and the pause that each of them
+// Allocate returns how many of the entries are owners, and the pause that each of them
 // keeps between two requests. In a window each owner sends one request more than pauses
 // fit into it, so many owners leave little room for each; few can't use what it bears.
-func (l Limit) Share(entries int) (owners int, interval time.Duration) {
+func (l ColdLimit) Allocate(entries int) (owners int, interval time.Duration) {
 	rate := max(l.Rate, 0.1)
-	owners = min(entries, int(l.Most-rate*arrivalWindow.Seconds()))
+	owners = min(entries, int(l.MaxPerSecond-rate*arrivalWindow.Seconds()))
 	if owners < 1 {
 		// Even one owner at the full rate may go over the bound.
 		owners = min(entries, 1)
-		rate = max(l.Most-1, 0.1) / arrivalWindow.Seconds()
+		rate = max(l.MaxPerSecond-1, 0.1) / arrivalWindow.Seconds()
 	}
 	return owners, time.Duration(float64(owners) / rate * float64(time.Second))
 }
 
-// Cold is one life of an upstream that is cold.
-type Cold struct {
-	Until  time.Time
-	Owners []string // entries
-	Pause  time.Duration
+// ColdUpstream is one life of an upstream that is cold.
+type ColdUpstream struct {
+	ColdUntil time.Time
+	Owners    []string // entries
+	Interval  time.Duration
 	// Weight is for how many entries each owner sends: prompts that have their home
 	// there come to it from the owners alone.
 	Weight float64
 }
 
-// Seen is a life that is cold as far as the list, or the end of an evacuation, tells.
-type Seen struct {
-	Life  string
-	Until time.Time
-	Limit Limit
+// ColdObservation is a life that is cold as far as the list, or the end of an evacuation, tells.
+type ColdObservation struct {
+	InstanceID string
+	ColdUntil  time.Time
+	Limit      ColdLimit
 }
 
 // untilTolerance is by how much two words on when an upstream is warm may differ without news.
 const untilTolerance = 300 * time.Millisecond
 
-// Next returns the lives that are cold now, by those that were and what is seen, and how
+// Update returns the lives that are cold now, by those that were and what is seen, and how
 // many of them are new. Owners are given once, to lives that became cold since this
 // leader alone tells of them: those of before may have other owners, whom the leader
 // before told of it.
-func Next(previous map[string]Cold, observed []Seen, entries []string, soleSince, now time.Time) (next map[string]Cold, added int) {
-	next = map[string]Cold{}
+func Update(previous map[string]ColdUpstream, observed []ColdObservation, entries []string, soleSince, now time.Time) (next map[string]ColdUpstream, added int) {
+	next = map[string]ColdUpstream{}
 	for instanceID, c := range previous {
-		if c.Until.After(now) {
+		if c.ColdUntil.After(now) {
 			next[instanceID] = c
 		}
 	}
-	newLimits := map[string]Limit{}
+	newLimits := map[string]ColdLimit{}
 	for _, o := range observed {
-		if !o.Until.After(now) {
+		if !o.ColdUntil.After(now) {
 			continue
 		}
-		c, known := next[o.Life]
-		if known && o.Until.Sub(c.Until).Abs() <= untilTolerance {
+		c, known := next[o.InstanceID]
+		if known && o.ColdUntil.Sub(c.ColdUntil).Abs() <= untilTolerance {
 			continue
 		}
-		c.Until = o.Until
-		next[o.Life] = c
-		if !known && o.Until.Add(-o.Limit.For).After(soleSince) {
-			newLimits[o.Life] = o.Limit
+		c.ColdUntil = o.ColdUntil
+		next[o.InstanceID] = c
+		if !known && o.ColdUntil.Add(-o.Limit.Duration).After(soleSince) {
+			newLimits[o.InstanceID] = o.Limit
 		}
 	}
 	assignOwners(next, newLimits, entries)
@@ -93,7 +93,7 @@
 
 // assignOwners gives owners to the lives that have none yet, so that the entries own about as
 // many each.
-func assignOwners(upstreams map[string]Cold, newLimits map[string]Limit, entries []string) {
+func assignOwners(upstreams map[string]ColdUpstream, newLimits map[string]ColdLimit, entries []string) {
 	ownedCount := map[string]int{}
 	for _, c := range upstreams {
 		for _, e := range c.Owners {
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, instanceID := range slices.Sorted(maps.Keys(newLimits)) {
-		owners, interval := newLimits[instanceID].Share(len(entries))
+		owners, interval := newLimits[instanceID].Allocate(len(entries))
 		ranked := slices.Clone(entries)
 		hash := func(entry string) uint64 { return xxhash.Sum64String(instanceID + "\x00" + entry) }
 		slices.SortFunc(ranked, func(a, b string) int {
@@ -109,7 +109,7 @@
 		})
 		c := upstreams[instanceID]
 		c.Owners = ranked[:owners]
-		c.Pause = interval
+		c.Interval = interval
 		c.Weight = float64(len(entries)) / float64(max(owners, 1))
 		upstreams[instanceID] = c
 		for _, e := range c.Owners {
@@ -118,48 +118,48 @@
 	}
 }
 
-// Gate is what one entry knows of one life. The zero value is of a warm one.
-type Gate struct {
+// Pacer is what one entry knows of one life. The zero value is of a warm one.
+type Pacer struct {
 	coldUntil time.Time
 	interval  time.Duration // 0: this entry is no owner
 	weight    float64
 	nextSend  time.Time
 }
 
-// Cold takes that the life is cold until then. The pause that this entry keeps between
+// SetCold takes that the life is cold until then. The pause that this entry keeps between
 // requests is 0 if it is no owner.
-func (g *Gate) Cold(c Cold) {
-	g.coldUntil = c.Until
-	g.interval = c.Pause
-	g.weight = c.Weight
+func (p *Pacer) SetCold(c ColdUpstream) {
+	p.coldUntil = c.ColdUntil
+	p.interval = c.Interval
+	p.weight = c.Weight
 }
 
 // Weight returns for how many entries this one sends to the life, which it may.
-func (g *Gate) Weight(now time.Time) float64 {
-	if !now.Before(g.coldUntil) {
+func (p *Pacer) Weight(now time.Time) float64 {
+	if !now.Before(p.coldUntil) {
 		return 1
 	}
-	return max(g.weight, 1)
+	return max(p.weight, 1)
 }
 
-// Allows reports whether a request may be sent now.
-func (g *Gate) Allows(now time.Time) bool {
-	return !now.Before(g.coldUntil) || g.interval > 0 && !now.Before(g.nextSend)
+// CanSend reports whether a request may be sent now.
+func (p *Pacer) CanSend(now time.Time) bool {
+	return !now.Before(p.coldUntil) || p.interval > 0 && !now.Before(p.nextSend)
 }
 
-// Take reports the same, and notes that a request is sent if so.
-func (g *Gate) Take(now time.Time) bool {
-	if !g.Allows(now) {
+// TryAcquire reports the same, and notes that a request is sent if so.
+func (p *Pacer) TryAcquire(now time.Time) bool {
+	if !p.CanSend(now) {
 		return false
 	}
-	g.nextSend = now.Add(g.interval)
+	p.nextSend = now.Add(p.interval)
 	return true
 }
 
-// Opens returns when a request may be sent.
-func (g *Gate) Opens() time.Time {
-	if g.interval > 0 && g.nextSend.Before(g.coldUntil) {
-		return g.nextSend
+// NextSendTime returns when a request may be sent.
+func (p *Pacer) NextSendTime() time.Time {
+	if p.interval > 0 && p.nextSend.Before(p.coldUntil) {
+		return p.nextSend
 	}
-	return g.coldUntil
+	return p.coldUntil
 }
--- a/core/coordination/slowstart/slowstart_test.go
+++ b/core/coordination/slowstart/slowstart_test.go
@@ -26,40 +26,40 @@
 // gets about what it bears.
 func TestArrivalsWithinLimit(t *testing.T) {
 	for _, entries := range []int{1, 2, 3, 5, 8, 9, 20, 68, 380} {
-		for _, limit := range []Limit{
-			{Rate: 8.8, Most: 18.2},
-			{Rate: 2, Most: 8},
-			{Rate: 0.5, Most: 5.75},
-			{Rate: 40, Most: 65},
-			{Rate: 10, Most: 10},
-			{Rate: 0, Most: 5},
+		for _, limit := range []ColdLimit{
+			{Rate: 8.8, MaxPerSecond: 18.2},
+			{Rate: 2, MaxPerSecond: 8},
+			{Rate: 0.5, MaxPerSecond: 5.75},
+			{Rate: 40, MaxPerSecond: 65},
+			{Rate: 10, MaxPerSecond: 10},
+			{Rate: 0, MaxPerSecond: 5},
 		} {
 			random := rand.New(rand.NewPCG(uint64(entries), 1))
 			var names []string
 			for i := range entries {
 				names = append(names, fmt.Sprint("e", i))
 			}
-			colds := map[string]Cold{}
-			assignOwners(colds, map[string]Limit{"u": limit}, names)
+			colds := map[string]ColdUpstream{}
+			assignOwners(colds, map[string]ColdLimit{"u": limit}, names)
 			const duration = 20 * time.Second
 			var arrivals []time.Duration
 			start := time.Unix(1000, 0)
 			for range colds["u"].Owners {
-				p := &Gate{}
-				p.Cold(Cold{
-					Until: start.Add(time.Hour),
-					Pause: colds["u"].Pause,
+				p := &Pacer{}
+				p.SetCold(ColdUpstream{
+					ColdUntil: start.Add(time.Hour),
+					Interval:  colds["u"].Interval,
 				})
 				for at := time.Duration(0); at < duration; at += time.Millisecond {
-					if random.IntN(3) == 0 && p.Take(start.Add(at)) {
+					if random.IntN(3) == 0 && p.TryAcquire(start.Add(at)) {
 						arrivals = append(arrivals, at+time.Duration(random.Int64N(int64(100*time.Millisecond))))
 					}
 				}
 			}
-			if arrivalsPerSecond := maxArrivalsPerSecond(arrivals); float64(arrivalsPerSecond) > limit.Most {
+			if arrivalsPerSecond := maxArrivalsPerSecond(arrivals); float64(arrivalsPerSecond) > limit.MaxPerSecond {
 				t.Errorf("%d entries, %+v: %d arrivals in a second", entries, limit, arrivalsPerSecond)
 			}
-			if got := float64(len(arrivals)) / duration.Seconds(); got < 0.6*min(limit.Rate, limit.Most/2) {
+			if got := float64(len(arrivals)) / duration.Seconds(); got < 0.6*min(limit.Rate, limit.MaxPerSecond/2) {
 				t.Errorf("%d entries, %+v: only %.1f a second", entries, limit, got)
 			}
 		}
@@ -74,11 +74,11 @@
 		for i := range entries {
 			names = append(names, fmt.Sprint("e", i))
 		}
-		limits := map[string]Limit{}
+		limits := map[string]ColdLimit{}
 		for i := range 22 {
-			limits[fmt.Sprint("u", i)] = Limit{Rate: 8.8, Most: 18.2}
+			limits[fmt.Sprint("u", i)] = ColdLimit{Rate: 8.8, MaxPerSecond: 18.2}
 		}
-		colds := map[string]Cold{}
+		colds := map[string]ColdUpstream{}
 		assignOwners(colds, limits, names)
 		ownedCount := map[string]int{}
 		total := 0
@@ -94,15 +94,15 @@
 			}
 		}
 	}
-	p := Gate{}
+	p := Pacer{}
 	now := time.Unix(1000, 0)
 	for range 2 {
-		if !p.Take(now) {
+		if !p.TryAcquire(now) {
 			t.Error("a warm one is held back")
 		}
 	}
-	p.Cold(Cold{Until: now.Add(time.Second)})
-	if p.Take(now.Add(time.Second-1)) || !p.Take(now.Add(time.Second)) {
+	p.SetCold(ColdUpstream{ColdUntil: now.Add(time.Second)})
+	if p.TryAcquire(now.Add(time.Second-1)) || !p.TryAcquire(now.Add(time.Second)) {
 		t.Error("an entry that owns nothing sends, or not when it is over")
 	}
 }
@@ -111,41 +111,41 @@
 // have owners that this leader knows nothing of. What is cold a second time has new ones.
 func TestOwnersAreAssignedOnce(t *testing.T) {
 	soleSince := time.Unix(1000, 0)
-	limit := Limit{Rate: 8, Most: 17, For: 3 * time.Second}
+	limit := ColdLimit{Rate: 8, MaxPerSecond: 17, Duration: 3 * time.Second}
 	entries := []string{"a", "b", "c"}
-	observe := func(instanceID string, since time.Duration) Seen {
-		return Seen{
-			Life:  instanceID,
-			Until: soleSince.Add(since + limit.For),
-			Limit: limit,
+	observe := func(instanceID string, since time.Duration) ColdObservation {
+		return ColdObservation{
+			InstanceID: instanceID,
+			ColdUntil:  soleSince.Add(since + limit.Duration),
+			Limit:      limit,
 		}
 	}
 	now := soleSince.Add(time.Second)
-	previous := map[string]Cold{
+	previous := map[string]ColdUpstream{
 		"known": {
-			Until:  soleSince.Add(2 * time.Second),
-			Owners: []string{"x"},
-			Pause:  time.Second,
+			ColdUntil: soleSince.Add(2 * time.Second),
+			Owners:    []string{"x"},
+			Interval:  time.Second,
 		},
 	}
-	next, added := Next(previous, []Seen{observe("known", -time.Second), observe("before", -time.Millisecond), observe("new", 500*time.Millisecond)}, entries, soleSince, now)
+	next, added := Update(previous, []ColdObservation{observe("known", -time.Second), observe("before", -time.Millisecond), observe("new", 500*time.Millisecond)}, entries, soleSince, now)
 	if added != 1 || !slices.Equal(next["known"].Owners, []string{"x"}) || len(next["before"].Owners) != 0 || len(next["new"].Owners) != 3 {
 		t.Errorf("%d fresh: %+v", added, next)
 	}
-	again, added := Next(next, []Seen{observe("new", 600*time.Millisecond)}, entries, soleSince, now.Add(100*time.Millisecond))
-	if added != 0 || !again["new"].Until.Equal(next["new"].Until) {
+	again, added := Update(next, []ColdObservation{observe("new", 600*time.Millisecond)}, entries, soleSince, now.Add(100*time.Millisecond))
+	if added != 0 || !again["new"].ColdUntil.Equal(next["new"].ColdUntil) {
 		t.Errorf("another word on the same: %+v", again["new"])
 	}
-	longer, added := Next(next, []Seen{observe("new", 2*time.Second)}, entries, soleSince, now.Add(time.Second))
-	if added != 0 || !longer["new"].Until.After(next["new"].Until) || len(longer["new"].Owners) != 3 {
+	longer, added := Update(next, []ColdObservation{observe("new", 2*time.Second)}, entries, soleSince, now.Add(time.Second))
+	if added != 0 || !longer["new"].ColdUntil.After(next["new"].ColdUntil) || len(longer["new"].Owners) != 3 {
 		t.Errorf("cold for longer: %+v", longer["new"])
 	}
 	later := soleSince.Add(time.Minute)
-	second, added := Next(next, []Seen{observe("known", time.Minute)}, entries, soleSince, later)
+	second, added := Update(next, []ColdObservation{observe("known", time.Minute)}, entries, soleSince, later)
 	if added != 1 || len(second) != 1 || len(second["known"].Owners) != 3 {
 		t.Errorf("cold a second time: %+v", second)
 	}
-	if none, _ := Next(nil, []Seen{observe("new", 500*time.Millisecond)}, nil, soleSince, now); len(none["new"].Owners) != 0 || none["new"].Until.IsZero() {
+	if none, _ := Update(nil, []ColdObservation{observe("new", 500*time.Millisecond)}, nil, soleSince, now); len(none["new"].Owners) != 0 || none["new"].ColdUntil.IsZero() {
 		t.Errorf("no entry is known: %+v", none)
 	}
 }
--- a/core/coordination/steward/steward.go
+++ b/core/coordination/steward/steward.go
@@ -15,59 +15,59 @@
 	CaughtUp bool
 }
 
-// Facts is what the leader sees.
-type Facts struct {
-	Self     persimmoncross.MemberID
-	Voters   []persimmoncross.Member
-	Silence  map[persimmoncross.MemberID]time.Duration // of the other voters
-	Learners []Learner
-	Wanted   int           // voters
-	Patience time.Duration // silence after which a voter that has a successor is removed
+// GroupStatus is what the leader sees.
+type GroupStatus struct {
+	Self               persimmoncross.MemberID
+	Voters             []persimmoncross.Member
+	TimeSinceContact   map[persimmoncross.MemberID]time.Duration // of the other voters
+	Learners           []Learner
+	TargetVoters       int           // voters
+	UnreachableTimeout time.Duration // silence after which a voter that has a successor is removed
 }
 
-// Change is one change of the set of voters; the zero value is none.
-type Change struct {
+// VoterChange is one change of the set of voters; the zero value is none.
+type VoterChange struct {
 	Add    persimmoncross.Member
 	Remove persimmoncross.MemberID
 	Reason string
 }
 
-// None reports whether nothing is to be done.
-func (c Change) None() bool { return c.Add.ID == 0 && c.Remove == 0 }
+// IsZero reports whether nothing is to be done.
+func (c VoterChange) IsZero() bool { return c.Add.ID == 0 && c.Remove == 0 }
 
-// Decide returns the next change of voters.
+// NextChange returns the next change of voters.
 //
 // A learner at the address of a voter proves that this voter's disk is gone:
 // only an empty folder gets a new identity. The lost vote is removed first, so
 // that it counts no more, and the successor added once it has caught up.
-func Decide(status Facts) Change {
+func NextChange(status GroupStatus) VoterChange {
 	for _, l := range status.Learners {
 		for _, v := range status.Voters {
 			if v.VM == l.Member.VM && v.ID != l.Member.ID && v.ID != status.Self {
-				return Change{
+				return VoterChange{
 					Remove: v.ID,
 					Reason: "its VM came back with an empty disk",
 				}
 			}
 		}
 	}
-	if len(status.Voters) <= status.Wanted {
+	if len(status.Voters) <= status.TargetVoters {
 		for _, l := range status.Learners {
 			if l.CaughtUp {
-				return Change{
+				return VoterChange{
 					Add:    l.Member,
 					Reason: "it has caught up",
 				}
 			}
 		}
-		return Change{}
+		return VoterChange{}
 	}
-	removal := Change{}
-	longestSilence := status.Patience
+	removal := VoterChange{}
+	longestSilence := status.UnreachableTimeout
 	for _, v := range status.Voters {
-		if s := status.Silence[v.ID]; v.ID != status.Self && s > longestSilence {
+		if s := status.TimeSinceContact[v.ID]; v.ID != status.Self && s > longestSilence {
 			longestSilence = s
-			removal = Change{
+			removal = VoterChange{
 				Remove: v.ID,
 				Reason: "it is silent and has a successor",
 			}
--- a/core/coordination/steward/steward_test.go
+++ b/core/coordination/steward/steward_test.go
@@ -91,13 +91,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := steward.Decide(steward.Facts{
-				Self:     1,
-				Voters:   tt.voters,
-				Silence:  tt.timeSinceContact,
-				Learners: tt.learners,
-				Wanted:   5,
-				Patience: 2 * time.Second,
+			c := steward.NextChange(steward.GroupStatus{
+				Self:               1,
+				Voters:             tt.voters,
+				TimeSinceContact:   tt.timeSinceContact,
+				Learners:           tt.learners,
+				TargetVoters:       5,
+				UnreachableTimeout: 2 * time.Second,
 			})
 			if c.Add.ID != tt.add || c.Remove != tt.remove {
 				t.Errorf("add %d, remove %d (%s), want %d and %d", c.Add.ID, c.Remove, c.Reason, tt.add, tt.remove)
--- a/core/coordination/upgrade/judge.go
+++ b/core/coordination/upgrade/stages.go
@@ -11,35 +11,35 @@
 	"persimmoncross/core/state/register"
 )
 
-// Count is what was seen of one version on one route.
-type Count struct {
-	Runs   uint64
-	Failed uint64
-	Timed  uint64  // answers whose time says something of the version
-	Time   float64 // seconds of those together
-	Square float64 // of those seconds, squared, together
+// AnswerStats is what was seen of one version on one route.
+type AnswerStats struct {
+	Answers             uint64
+	Failed              uint64
+	TimedAnswers        uint64  // answers whose time says something of the version
+	TotalSeconds        float64 // seconds of those together
+	TotalSquaredSeconds float64 // of those seconds, squared, together
 }
 
 // add adds another count.
-func (s *Count) add(other Count) {
-	s.Runs += other.Runs
+func (s *AnswerStats) add(other AnswerStats) {
+	s.Answers += other.Answers
 	s.Failed += other.Failed
-	s.Timed += other.Timed
-	s.Time += other.Time
-	s.Square += other.Square
+	s.TimedAnswers += other.TimedAnswers
+	s.TotalSeconds += other.TotalSeconds
+	s.TotalSquaredSeconds += other.TotalSquaredSeconds
 }
 
 // meanSeconds returns the meanSeconds time and the square of its error.
-func (s Count) meanSeconds() (mean, squaredError float64) {
-	n := float64(s.Timed)
-	mean = s.Time / n
-	return mean, max(s.Square/n-mean*mean, 0) / n
+func (s AnswerStats) meanSeconds() (mean, squaredError float64) {
+	n := float64(s.TimedAnswers)
+	mean = s.TotalSeconds / n
+	return mean, max(s.TotalSquaredSeconds/n-mean*mean, 0) / n
 }
 
-// Pool is the evidence of all entries on one upgrade, by route.
-type Pool struct {
-	New map[string]Count
-	Old map[string]Count
+// Evidence is the evidence of all entries on one upgrade, by route.
+type Evidence struct {
+	New map[string]AnswerStats
+	Old map[string]AnswerStats
 }
 
 // The marks of a version that fails: so many failures, a share of the runs so far
@@ -62,27 +62,27 @@
 // time between events, as measured, and one that is eight times slower is 1.8 to
 // 2.2 times as slow.
 const (
-	minTimedAnswers  = 8
-	minTrialSlowdown = 1.25
+	minTimedAnswers   = 8
+	minCanarySlowdown = 1.25
 	// minShiftSlowdown is the factor after the shift, when the new version has the load
 	// that the old one had before, and for all routes of a service together, whose
 	// mix may differ a little between the versions.
 	minShiftSlowdown = 2.5
-	// minTrialStandardErrors is how many times its error the difference must be: the times of
+	// minCanaryStandardErrors is how many times its error the difference must be: the times of
 	// plain answers differ much among themselves, and it is asked five times a
 	// second. Where half of the answers are slow the error is large too, so that
 	// for the greater factor less is asked.
-	minTrialStandardErrors = 3.5
-	minShiftStandardErrors = 2.0
+	minCanaryStandardErrors = 3.5
+	minShiftStandardErrors  = 2.0
 )
 
-// Of the exposure allowed. The trial takes trialExposureFraction of it, and the rest is for
+// Of the exposure allowed. The trial takes canaryExposureFraction of it, and the rest is for
 // the requests between the shift and the end of the time allowed. Where the time
-// is short the trial takes less, but never under minTrialShare of all requests:
+// is short the trial takes less, but never under minCanaryShare of all requests:
 // without any nothing would be learnt.
 const (
-	trialExposureFraction = 0.5
-	minTrialShare         = 0.02
+	canaryExposureFraction = 0.5
+	minCanaryShare         = 0.02
 )
 
 // Of the times at which the stages change.
@@ -107,31 +107,31 @@
 	prepareDuration = 1500 * time.Millisecond
 )
 
-// TrialShare returns the part of a service's sessions that a trial takes.
-func TrialShare(duration time.Duration, share float64) float64 {
+// CanaryShare returns the part of a service's sessions that a trial takes.
+func CanaryShare(duration time.Duration, share float64) float64 {
 	shiftShare := float64(completionMargin+minShiftDuration) / float64(max(duration, time.Second))
-	return max(min(trialExposureFraction*share, maxExposureFraction*share-shiftShare), minTrialShare)
+	return max(min(canaryExposureFraction*share, maxExposureFraction*share-shiftShare), minCanaryShare)
 }
 
-// Exposure is what a version that is not proved may get of its service's requests.
-type Exposure struct {
-	Share float64
-	Slack float64 // requests beside that
+// ExposureLimit is what a version that is not proved may get of its service's requests.
+type ExposureLimit struct {
+	Share         float64
+	ExtraRequests float64 // requests beside that
 }
 
 // shiftStart returns when all requests go to the new version, of a service with so many
 // a second: so late that the whole exposure stays within what is allowed.
-func (l Exposure) shiftStart(duration time.Duration, requestsPerSecond float64) time.Duration {
-	startFraction := (1 - targetExposureFraction*l.Share) / (1 - TrialShare(duration, l.Share))
+func (l ExposureLimit) shiftStart(duration time.Duration, requestsPerSecond float64) time.Duration {
+	startFraction := (1 - targetExposureFraction*l.Share) / (1 - CanaryShare(duration, l.Share))
 	start := min(time.Duration(startFraction*float64(duration)), duration-completionMargin-minShiftDuration)
 	if requestsPerSecond > 0 {
-		start -= min(time.Duration(extraRequestsFraction*l.Slack/requestsPerSecond*float64(time.Second)), maxShiftAdvance)
+		start -= min(time.Duration(extraRequestsFraction*l.ExtraRequests/requestsPerSecond*float64(time.Second)), maxShiftAdvance)
 	}
 	return start
 }
 
-// Decide returns the stage that the upgrade should be in, and why.
-func Decide(u register.Upgrade, elapsed time.Duration, limit Exposure, evidence Pool, ready bool) (register.Stage, string) {
+// NextStage returns the stage that the upgrade should be in, and why.
+func NextStage(u register.Upgrade, elapsed time.Duration, limit ExposureLimit, evidence Evidence, ready bool) (register.Stage, string) {
 	if u.Stage.Ended() {
 		return u.Stage, ""
 	}
@@ -166,22 +166,22 @@
 	return u.Stage, ""
 }
 
-func totalAnswers(byRoute map[string]Count) uint64 {
+func totalAnswers(byRoute map[string]AnswerStats) uint64 {
 	sum := uint64(0)
 	for _, c := range byRoute {
-		sum += c.Runs
+		sum += c.Answers
 	}
 	return sum
 }
 
 // withdrawalReason returns why the version is withdrawalReason, "" if the evidence does not say so.
-func withdrawalReason(evidence Pool, inTrial bool) string {
-	newTotal, oldTotal := Count{}, Count{}
+func withdrawalReason(evidence Evidence, inCanary bool) string {
+	newTotal, oldTotal := AnswerStats{}, AnswerStats{}
 	for route, c := range evidence.New {
 		if reason := failureReason(c, evidence.Old[route]); reason != "" {
 			return reason + " on route " + route
 		}
-		if reason := slownessReason(c, evidence.Old[route], minTrialSlowdown, minTrialStandardErrors); reason != "" && inTrial {
+		if reason := slownessReason(c, evidence.Old[route], minCanarySlowdown, minCanaryStandardErrors); reason != "" && inCanary {
 			return reason + " on route " + route
 		}
 		newTotal.add(c)
@@ -195,28 +195,28 @@
 	return slownessReason(newTotal, oldTotal, minShiftSlowdown, minShiftStandardErrors)
 }
 
-func failureReason(newStats, oldStats Count) string {
-	newRate := float64(newStats.Failed) / float64(max(newStats.Runs, 1))
-	oldRate := float64(oldStats.Failed) / float64(max(oldStats.Runs, 1))
+func failureReason(newStats, oldStats AnswerStats) string {
+	newRate := float64(newStats.Failed) / float64(max(newStats.Answers, 1))
+	oldRate := float64(oldStats.Failed) / float64(max(oldStats.Answers, 1))
 	if newStats.Failed < minFailures || newRate < oldRate+minFailureRateIncrease || newRate < oldRate*minFailureRateRatio {
 		return ""
 	}
-	return fmt.Sprintf("%d of %d answers failed, of the old version's %d of %d", newStats.Failed, newStats.Runs, oldStats.Failed, oldStats.Runs)
+	return fmt.Sprintf("%d of %d answers failed, of the old version's %d of %d", newStats.Failed, newStats.Answers, oldStats.Failed, oldStats.Answers)
 }
 
 // smallSampleFailureReason returns why a version that shows no mark at the end of its trial is not
 // to get all requests, "" if it may: on a route with few answers some failed, and
 // hardly any of the old version's.
-func smallSampleFailureReason(evidence Pool) string {
+func smallSampleFailureReason(evidence Evidence) string {
 	for route, newStats := range evidence.New {
 		oldStats := evidence.Old[route]
 		if newStats.Failed < minSmallSampleFailures || newStats.Failed >= minFailures {
 			continue
 		}
 		// One more failure than was seen, so that a route without any has a share.
-		oldRate := float64(oldStats.Failed+1) / float64(oldStats.Runs+2)
-		if binomialTail(newStats.Failed, newStats.Runs, oldRate) < maxFalsePositiveProbability {
-			return fmt.Sprintf("%d of only %d answers failed, of the old version's %d of %d on route %s", newStats.Failed, newStats.Runs, oldStats.Failed, oldStats.Runs, route)
+		oldRate := float64(oldStats.Failed+1) / float64(oldStats.Answers+2)
+		if binomialTail(newStats.Failed, newStats.Answers, oldRate) < maxFalsePositiveProbability {
+			return fmt.Sprintf("%d of only %d answers failed, of the old version's %d of %d on route %s", newStats.Failed, newStats.Answers, oldStats.Failed, oldStats.Answers, route)
 		}
 	}
 	return ""
@@ -234,8 +234,8 @@
 	return 1 - fewer
 }
 
-func slownessReason(newStats, oldStats Count, minRatio, minStandardErrors float64) string {
-	if newStats.Timed < minTimedAnswers || oldStats.Timed < minTimedAnswers {
+func slownessReason(newStats, oldStats AnswerStats, minRatio, minStandardErrors float64) string {
+	if newStats.TimedAnswers < minTimedAnswers || oldStats.TimedAnswers < minTimedAnswers {
 		return ""
 	}
 	mean, squaredError := newStats.meanSeconds()
@@ -243,5 +243,5 @@
 	if mean < minRatio*oldMean || mean-oldMean < minStandardErrors*math.Sqrt(squaredError+oldSquaredError) {
 		return ""
 	}
-	return fmt.Sprintf("%d answers took %.3f s, the old version's %.3f s", newStats.Timed, mean, oldMean)
+	return fmt.Sprintf("%d answers took %.3f s, the old version's %.3f s", newStats.TimedAnswers, mean, oldMean)
 }
--- a/core/coordination/upgrade/judge_test.go
+++ b/core/coordination/upgrade/stages_test.go
@@ -11,38 +11,38 @@
 )
 
 // timedAnswers returns a count of answers that took the seconds, give or take spread.
-func timedAnswers(n int, mean, spread float64) upgrade.Count {
-	c := upgrade.Count{
-		Runs:  uint64(n),
-		Timed: uint64(n),
+func timedAnswers(n int, mean, spread float64) upgrade.AnswerStats {
+	c := upgrade.AnswerStats{
+		Answers:      uint64(n),
+		TimedAnswers: uint64(n),
 	}
 	for i := range n {
 		seconds := mean + spread*(float64(2*(i%2))-1)
-		c.Time += seconds
-		c.Square += seconds * seconds
+		c.TotalSeconds += seconds
+		c.TotalSquaredSeconds += seconds * seconds
 	}
 	return c
 }
 
 // evidenceWithSmallRoute is the evidence on one route with evidenceWithSmallRoute answers, and on another with many.
-func evidenceWithSmallRoute(failed, answers, oldFailed, oldAnswers uint64) upgrade.Pool {
-	return upgrade.Pool{
-		New: map[string]upgrade.Count{
+func evidenceWithSmallRoute(failed, answers, oldFailed, oldAnswers uint64) upgrade.Evidence {
+	return upgrade.Evidence{
+		New: map[string]upgrade.AnswerStats{
 			"few": {
-				Runs:   answers,
-				Failed: failed,
+				Answers: answers,
+				Failed:  failed,
 			},
 			"many": {
-				Runs: 40,
+				Answers: 40,
 			},
 		},
-		Old: map[string]upgrade.Count{
+		Old: map[string]upgrade.AnswerStats{
 			"few": {
-				Runs:   oldAnswers,
-				Failed: oldFailed,
+				Answers: oldAnswers,
+				Failed:  oldFailed,
 			},
 			"many": {
-				Runs: 900,
+				Answers: 900,
 			},
 		},
 	}
@@ -50,12 +50,12 @@
 
 func TestNextStage(t *testing.T) {
 	const route = "r"
-	onRoute := func(c upgrade.Count) map[string]upgrade.Count {
-		return map[string]upgrade.Count{
+	onRoute := func(c upgrade.AnswerStats) map[string]upgrade.AnswerStats {
+		return map[string]upgrade.AnswerStats{
 			route: c,
 		}
 	}
-	good := upgrade.Pool{
+	good := upgrade.Evidence{
 		New: onRoute(timedAnswers(60, 0.025, 0.01)),
 		Old: onRoute(timedAnswers(600, 0.055, 0.04)),
 	}
@@ -64,7 +64,7 @@
 		name     string
 		stage    register.Stage
 		elapsed  time.Duration
-		evidence upgrade.Pool
+		evidence upgrade.Evidence
 		notReady bool
 		want     register.Stage
 	}{
@@ -176,13 +176,13 @@
 			name:    "failures",
 			stage:   register.Trial,
 			elapsed: 3 * time.Second,
-			evidence: upgrade.Pool{
-				New: onRoute(upgrade.Count{
-					Runs:   12,
-					Failed: 5,
+			evidence: upgrade.Evidence{
+				New: onRoute(upgrade.AnswerStats{
+					Answers: 12,
+					Failed:  5,
 				}),
-				Old: onRoute(upgrade.Count{
-					Runs: 100,
+				Old: onRoute(upgrade.AnswerStats{
+					Answers: 100,
 				}),
 			},
 			want: register.Withdrawn,
@@ -191,17 +191,17 @@
 			name:    "failures on one route only",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			evidence: upgrade.Pool{
-				New: map[string]upgrade.Count{"a": {
-					Runs: 300,
+			evidence: upgrade.Evidence{
+				New: map[string]upgrade.AnswerStats{"a": {
+					Answers: 300,
 				}, "b": {
-					Runs:   20,
-					Failed: 6,
+					Answers: 20,
+					Failed:  6,
 				}},
-				Old: map[string]upgrade.Count{"a": {
-					Runs: 300,
+				Old: map[string]upgrade.AnswerStats{"a": {
+					Answers: 300,
 				}, "b": {
-					Runs: 300,
+					Answers: 300,
 				}},
 			},
 			want: register.Withdrawn,
@@ -210,14 +210,14 @@
 			name:    "failures that the old version has too",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			evidence: upgrade.Pool{
-				New: onRoute(upgrade.Count{
-					Runs:   40,
-					Failed: 7,
+			evidence: upgrade.Evidence{
+				New: onRoute(upgrade.AnswerStats{
+					Answers: 40,
+					Failed:  7,
 				}),
-				Old: onRoute(upgrade.Count{
-					Runs:   400,
-					Failed: 60,
+				Old: onRoute(upgrade.AnswerStats{
+					Answers: 400,
+					Failed:  60,
 				}),
 			},
 			want: register.Trial,
@@ -226,7 +226,7 @@
 			name:    "slow between events",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			evidence: upgrade.Pool{
+			evidence: upgrade.Evidence{
 				New: onRoute(timedAnswers(14, 0.110, 0.015)),
 				Old: onRoute(timedAnswers(300, 0.055, 0.04)),
 			},
@@ -236,7 +236,7 @@
 			name:    "slow for a half of the requests",
 			stage:   register.Trial,
 			elapsed: 12 * time.Second,
-			evidence: upgrade.Pool{
+			evidence: upgrade.Evidence{
 				New: onRoute(timedAnswers(30, 0.270, 0.210)),
 				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
@@ -246,7 +246,7 @@
 			name:    "times that differ much among themselves",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
-			evidence: upgrade.Pool{
+			evidence: upgrade.Evidence{
 				New: onRoute(timedAnswers(12, 0.080, 0.075)),
 				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
@@ -256,12 +256,12 @@
 			name:    "slow on routes with few answers each",
 			stage:   register.Trial,
 			elapsed: 9 * time.Second,
-			evidence: upgrade.Pool{
-				New: map[string]upgrade.Count{
+			evidence: upgrade.Evidence{
+				New: map[string]upgrade.AnswerStats{
 					"a": timedAnswers(7, 0.270, 0.210),
 					"b": timedAnswers(7, 0.270, 0.210),
 				},
-				Old: map[string]upgrade.Count{
+				Old: map[string]upgrade.AnswerStats{
 					"a": timedAnswers(100, 0.060, 0.040),
 					"b": timedAnswers(100, 0.060, 0.040),
 				},
@@ -272,7 +272,7 @@
 			name:    "found slow after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			evidence: upgrade.Pool{
+			evidence: upgrade.Evidence{
 				New: onRoute(timedAnswers(30, 0.270, 0.210)),
 				Old: onRoute(timedAnswers(300, 0.060, 0.040)),
 			},
@@ -283,7 +283,7 @@
 			name:    "slower after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
-			evidence: upgrade.Pool{
+			evidence: upgrade.Evidence{
 				New: onRoute(timedAnswers(100, 0.110, 0.015)),
 				Old: onRoute(timedAnswers(300, 0.055, 0.04)),
 			},
@@ -300,10 +300,10 @@
 			name:    "completed stays",
 			stage:   register.Completed,
 			elapsed: 19 * time.Second,
-			evidence: upgrade.Pool{
-				New: onRoute(upgrade.Count{
-					Runs:   10,
-					Failed: 10,
+			evidence: upgrade.Evidence{
+				New: onRoute(upgrade.AnswerStats{
+					Answers: 10,
+					Failed:  10,
 				}),
 			},
 			want: register.Completed,
@@ -315,7 +315,7 @@
 				Stage:    tt.stage,
 				Duration: 20 * time.Second,
 			}
-			got, reason := upgrade.Decide(u, tt.elapsed, upgrade.Exposure{Share: 0.15}, tt.evidence, !tt.notReady)
+			got, reason := upgrade.NextStage(u, tt.elapsed, upgrade.ExposureLimit{Share: 0.15}, tt.evidence, !tt.notReady)
 			if got != tt.want {
 				t.Errorf("stage %s (%s), want %s", got, reason, tt.want)
 			}
@@ -335,8 +335,8 @@
 			exposed := 0.0
 			const step = 10 * time.Millisecond
 			for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
-				u.Stage, _ = upgrade.Decide(u, elapsed, upgrade.Exposure{Share: share}, upgrade.Pool{}, true)
-				newShare := upgrade.TrialShare(duration, share)
+				u.Stage, _ = upgrade.NextStage(u, elapsed, upgrade.ExposureLimit{Share: share}, upgrade.Evidence{}, true)
+				newShare := upgrade.CanaryShare(duration, share)
 				switch u.Stage {
 				case register.Prepare:
 					newShare = 0
@@ -378,7 +378,7 @@
 			Duration: duration,
 			Stage:    register.Prepare,
 		}
-		evidence := upgrade.Pool{New: map[string]upgrade.Count{}, Old: map[string]upgrade.Count{}}
+		evidence := upgrade.Evidence{New: map[string]upgrade.AnswerStats{}, Old: map[string]upgrade.AnswerStats{}}
 		type answer struct {
 			reportedAt    time.Duration
 			name          string
@@ -393,15 +393,15 @@
 					byRoute = evidence.New
 				}
 				c := byRoute[unreported[0].name]
-				c.Runs++
+				c.Answers++
 				if unreported[0].failed {
 					c.Failed++
 				}
 				byRoute[unreported[0].name] = c
 				unreported = unreported[1:]
 			}
-			u.Stage, _ = upgrade.Decide(u, elapsed, upgrade.Exposure{Share: share, Slack: extraRequests}, evidence, true)
-			newShare := map[register.Stage]float64{register.Trial: upgrade.TrialShare(duration, share), register.Shift: 1}[u.Stage]
+			u.Stage, _ = upgrade.NextStage(u, elapsed, upgrade.ExposureLimit{Share: share, ExtraRequests: extraRequests}, evidence, true)
+			newShare := map[register.Stage]float64{register.Trial: upgrade.CanaryShare(duration, share), register.Shift: 1}[u.Stage]
 			for i, r := range routes {
 				for range 20 {
 					if random.Float64() > r.requestsPerSecond*step.Seconds()/20 {
--- a/core/state/catalog/catalog.go
+++ b/core/state/catalog/catalog.go
@@ -29,7 +29,7 @@
 	Name        string
 	Host        string
 	Prefix      string
-	Repeat      persimmoncross.Repeat
+	Repeat      persimmoncross.RetryMode
 	Stream      bool
 	Timeout     time.Duration
 	Objective   time.Duration // latency within which an answer has its full worth
--- a/core/state/record/convert.go
+++ b/core/state/record/convert.go
@@ -42,7 +42,7 @@
 		Data:  e.Data,
 	}
 	if e.Kind == persimmoncross.EntryConfig {
-		r.Set = FromConfig(e.Set)
+		r.Set = FromConfig(e.Config)
 	}
 	return r
 }
@@ -50,11 +50,11 @@
 // Root returns the root package's form.
 func (x *Entry) Root() persimmoncross.Entry {
 	return persimmoncross.Entry{
-		Index: x.GetIndex(),
-		Term:  x.GetTerm(),
-		Kind:  persimmoncross.EntryKind(x.GetKind()),
-		Data:  x.GetData(),
-		Set:   x.GetSet().Root(),
+		Index:  x.GetIndex(),
+		Term:   x.GetTerm(),
+		Kind:   persimmoncross.EntryKind(x.GetKind()),
+		Data:   x.GetData(),
+		Config: x.GetSet().Root(),
 	}
 }
 
@@ -63,7 +63,7 @@
 	return &Snapshot{
 		Index: s.Index,
 		Term:  s.Term,
-		Set:   FromConfig(s.Set),
+		Set:   FromConfig(s.Config),
 		Data:  s.Data,
 	}
 }
@@ -71,10 +71,10 @@
 // Root returns the root package's form.
 func (x *Snapshot) Root() persimmoncross.Snapshot {
 	return persimmoncross.Snapshot{
-		Index: x.GetIndex(),
-		Term:  x.GetTerm(),
-		Set:   x.GetSet().Root(),
-		Data:  x.GetData(),
+		Index:  x.GetIndex(),
+		Term:   x.GetTerm(),
+		Config: x.GetSet().Root(),
+		Data:   x.GetData(),
 	}
 }
 
--- a/core/state/register/register.go
+++ b/core/state/register/register.go
@@ -49,8 +49,8 @@
 	Advance *Advance `json:"advance,omitempty"`
 	Read    bool     `json:"read,omitempty"`
 	// Holds are changes of what is done with requests that end upstreams.
-	Holds    []persimmoncross.Hold `json:"holds,omitempty"`
-	Evacuate *Evacuate             `json:"evacuate,omitempty"`
+	Holds    []persimmoncross.Quarantine `json:"holds,omitempty"`
+	Evacuate *Evacuate                   `json:"evacuate,omitempty"`
 	// Have is, with Read, the number of the document that the reader holds: the
 	// result leaves that one out.
 	Have uint64 `json:"have,omitempty"`
@@ -85,7 +85,7 @@
 	Number   uint64
 	Document []byte
 	Upgrades map[string]Upgrade
-	Holds    map[persimmoncross.Digest]persimmoncross.Hold
+	Holds    map[persimmoncross.Digest]persimmoncross.Quarantine
 	Held     uint64 // index of the entry that changed Holds last
 	// Evacuations are in force, by data centre.
 	Evacuations map[string]Evacuation
@@ -300,13 +300,13 @@
 
 // stored is a state as it is kept and sent.
 type stored struct {
-	Index    uint64                `json:"index"`
-	Number   uint64                `json:"number"`
-	Document []byte                `json:"document,omitempty"` // not packed, as earlier snapshots have it
-	Packed   []byte                `json:"packed,omitempty"`
-	Upgrades map[string]Upgrade    `json:"upgrades"`
-	Holds    []persimmoncross.Hold `json:"holds,omitempty"`
-	Held     uint64                `json:"held,omitempty"`
+	Index    uint64                      `json:"index"`
+	Number   uint64                      `json:"number"`
+	Document []byte                      `json:"document,omitempty"` // not packed, as earlier snapshots have it
+	Packed   []byte                      `json:"packed,omitempty"`
+	Upgrades map[string]Upgrade          `json:"upgrades"`
+	Holds    []persimmoncross.Quarantine `json:"holds,omitempty"`
+	Held     uint64                      `json:"held,omitempty"`
 
 	Evacuations map[string]Evacuation `json:"evacuations,omitempty"`
 }
--- a/core/state/settings/check.go
+++ b/core/state/settings/check.go
@@ -140,7 +140,7 @@
 
 // runnable checks that a text names a model, a version, or perhaps a cascade.
 func (c *checker) runnable(path, text string, cascades bool) {
-	v := persimmoncross.ParseVersion(text)
+	v := persimmoncross.ParseModelVersion(text)
 	if _, ok := c.file.Cascades[text]; ok && cascades {
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	for i, v := range u.Versions {
 		place := fmt.Sprintf("%s.versions[%d]", path, i)
-		if !persimmoncross.ParseVersion(v).Pinned() {
+		if !persimmoncross.ParseModelVersion(v).Pinned() {
 			c.problem(place, "want model@version, found %q", v)
 			continue
 		}
--- a/core/state/settings/settings_test.go
+++ b/core/state/settings/settings_test.go
@@ -174,7 +174,7 @@
 	}
 	s := newSnapshot(f, source)
 	desk, ok := s.Organisation("desk-key")
-	if !ok || s.May(desk.Name, persimmoncross.ParseVersion("large@1")) || !s.May(desk.Name, persimmoncross.ParseVersion("small@1")) {
+	if !ok || s.May(desk.Name, persimmoncross.ParseModelVersion("large@1")) || !s.May(desk.Name, persimmoncross.ParseModelVersion("small@1")) {
 		t.Errorf("desk: %+v", desk)
 	}
 }
@@ -344,7 +344,7 @@
 		if r := apply(t, m, 5, third); r.GetRevision() != 2 || r.GetError() != "" {
 			t.Errorf("resend %d: %v", i, r)
 		}
-		if m.Current().Revision != 2 || !m.Current().Withdrawn[persimmoncross.ParseVersion("small@2")] {
+		if m.Current().Revision != 2 || !m.Current().Withdrawn[persimmoncross.ParseModelVersion("small@2")] {
 			t.Errorf("state %d: %+v", i, m.Current())
 		}
 	}
@@ -355,7 +355,7 @@
 		File:   []byte(goodFile()),
 	}
 	apply(t, s, 6, fourth)
-	if w := s.Current().Weights("small")[persimmoncross.ParseVersion("small@2")]; w != 0 {
+	if w := s.Current().Weights("small")[persimmoncross.ParseModelVersion("small@2")]; w != 0 {
 		t.Errorf("a withdrawn version weighs %d", w)
 	}
 }
--- a/core/state/settings/snapshot.go
+++ b/core/state/settings/snapshot.go
@@ -19,7 +19,7 @@
 // resolved.
 type Organisation struct {
 	Name        string // "relay" or "relay/zarqa"
-	Versions    map[persimmoncross.Version]bool
+	Versions    map[persimmoncross.ModelVersion]bool
 	Cascades    map[string]bool
 	Services    map[string]bool
 	Rate        float64
@@ -52,7 +52,7 @@
 	Revision  uint64
 	File      *File
 	Source    []byte
-	Withdrawn map[persimmoncross.Version]bool
+	Withdrawn map[persimmoncross.ModelVersion]bool
 	Drained   map[string]bool // VMs
 	Evacuated map[string]bool // data centres whose upstreams get no new work
 	Stages    map[string]Stage
@@ -143,8 +143,8 @@
 }
 
 // permittedVersions expands allow and deny.
-func (f *File) permittedVersions(p Policy) map[persimmoncross.Version]bool {
-	permitted := map[persimmoncross.Version]bool{}
+func (f *File) permittedVersions(p Policy) map[persimmoncross.ModelVersion]bool {
+	permitted := map[persimmoncross.ModelVersion]bool{}
 	for _, a := range p.Allow {
 		for _, v := range f.expand(a) {
 			permitted[v] = true
@@ -159,23 +159,23 @@
 }
 
 // expand returns the versions that a model or a version names.
-func (f *File) expand(text string) []persimmoncross.Version {
-	v := persimmoncross.ParseVersion(text)
+func (f *File) expand(text string) []persimmoncross.ModelVersion {
+	v := persimmoncross.ParseModelVersion(text)
 	if v.Pinned() {
-		return []persimmoncross.Version{v}
+		return []persimmoncross.ModelVersion{v}
 	}
 	m, ok := f.Models[v.Model]
 	if !ok {
 		return nil // a cascade
 	}
-	var all []persimmoncross.Version
+	var all []persimmoncross.ModelVersion
 	for name := range m.Versions {
-		all = append(all, persimmoncross.Version{
+		all = append(all, persimmoncross.ModelVersion{
 			Model: v.Model,
 			Name:  name,
 		})
 	}
-	slices.SortFunc(all, func(a, b persimmoncross.Version) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b persimmoncross.ModelVersion) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -186,7 +186,7 @@
 }
 
 // May reports whether the organisation may start work on the version now.
-func (s *Snapshot) May(organisation string, v persimmoncross.Version) bool {
+func (s *Snapshot) May(organisation string, v persimmoncross.ModelVersion) bool {
 	return s.Named(organisation).Versions[v] && !s.Withdrawn[v]
 }
 
@@ -203,12 +203,12 @@
 
 // Steps returns the models or versions that a name runs: the steps of a
 // cascade, nested ones in place, or the name itself.
-func (s *Snapshot) Steps(name string) []persimmoncross.Version {
+func (s *Snapshot) Steps(name string) []persimmoncross.ModelVersion {
 	c, ok := s.File.Cascades[name]
 	if !ok {
-		return []persimmoncross.Version{persimmoncross.ParseVersion(name)}
+		return []persimmoncross.ModelVersion{persimmoncross.ParseModelVersion(name)}
 	}
-	var steps []persimmoncross.Version
+	var steps []persimmoncross.ModelVersion
 	for _, n := range c.Steps {
 		steps = append(steps, s.Steps(n)...)
 	}
@@ -217,14 +217,14 @@
 
 // Weights returns the share of new work of each version of a model, in per
 // cent, with the roll-outs' stages in force and withdrawn versions at zero.
-func (s *Snapshot) Weights(model string) map[persimmoncross.Version]int {
-	weights := map[persimmoncross.Version]int{}
+func (s *Snapshot) Weights(model string) map[persimmoncross.ModelVersion]int {
+	weights := map[persimmoncross.ModelVersion]int{}
 	m, ok := s.File.Models[model]
 	if !ok {
 		return weights
 	}
 	for name, e := range m.Versions {
-		weights[persimmoncross.ParseVersion(model+"@"+name)] = e.Weight
+		weights[persimmoncross.ParseModelVersion(model+"@"+name)] = e.Weight
 	}
 	for name, r := range s.File.Rollouts {
 		if r.Model == model {
@@ -240,7 +240,7 @@
 }
 
 // applyRollout moves the share of a roll-out's two versions to its stage.
-func (s *Snapshot) applyRollout(weights map[persimmoncross.Version]int, name string, r *Rollout) {
+func (s *Snapshot) applyRollout(weights map[persimmoncross.ModelVersion]int, name string, r *Rollout) {
 	to, from := r.Versions()
 	total := weights[from] + weights[to]
 	share := 0
@@ -299,6 +299,6 @@
 }
 
 // Versions returns the version that is rolled out and the one it replaces.
-func (r *Rollout) Versions() (to, from persimmoncross.Version) {
-	return persimmoncross.ParseVersion(r.Model + "@" + r.To), persimmoncross.ParseVersion(r.Model + "@" + r.From)
+func (r *Rollout) Versions() (to, from persimmoncross.ModelVersion) {
+	return persimmoncross.ParseModelVersion(r.Model + "@" + r.To), persimmoncross.ParseModelVersion(r.Model + "@" + r.From)
 }
--- a/core/state/settings/state.go
+++ b/core/state/settings/state.go
@@ -163,7 +163,7 @@
 	current := s.Current()
 	switch {
 	case c.GetWithdraw() != "":
-		v := persimmoncross.ParseVersion(c.GetWithdraw())
+		v := persimmoncross.ParseModelVersion(c.GetWithdraw())
 		if !v.Pinned() || len(current.File.expand(v.Model)) == 0 || current.File.Models[v.Model].Versions[v.Name] == nil {
 			return RefusedUnknown, fmt.Errorf("there is no version %q", v)
 		}
@@ -260,9 +260,9 @@
 func (s *State) take(held *record.Settings, file *File) {
 	next := newSnapshot(file, held.GetFile())
 	next.Revision = held.GetRevision()
-	next.Withdrawn = map[persimmoncross.Version]bool{}
+	next.Withdrawn = map[persimmoncross.ModelVersion]bool{}
 	for _, w := range held.GetWithdrawn() {
-		next.Withdrawn[persimmoncross.ParseVersion(w)] = true
+		next.Withdrawn[persimmoncross.ParseModelVersion(w)] = true
 	}
 	next.Drained = map[string]bool{}
 	for _, d := range held.GetDrained() {
--- a/internal/bench/cascade.go
+++ b/internal/bench/cascade.go
@@ -63,7 +63,7 @@
 		name:  "estimated",
 		climb: true,
 		begin: func(e *cascade.Estimator, a asker) int {
-			return e.Start(a.organisation, cascade.Kind(a.body), cascadeSteps, time.Minute)
+			return e.FirstStep(a.organisation, cascade.SizeClass(a.body), cascadeSteps, time.Minute)
 		},
 	},
 	{
@@ -153,7 +153,7 @@
 			cost += cheapPrice
 			right = cheapRight
 			accepted := rating >= cascadeQuality
-			e.Rated(a.organisation, cascade.Kind(a.body), "cheap", accepted)
+			e.RecordRating(a.organisation, cascade.SizeClass(a.body), "cheap", accepted)
 			if !w.climb || accepted {
 				byAsker[i] = addAnswer(byAsker[i], right)
 				good += asFloat(right)
--- a/internal/bench/doubts.go
+++ b/internal/bench/doubts.go
@@ -59,10 +59,10 @@
 
 // boundRetries gives each entry its share of the retries.
 func (f *decideFleet) boundRetries() {
-	f.spare = &[decideEntries]retry.Window{}
+	f.spare = &[decideEntries]retry.Budget{}
 	for e := range f.spare {
-		f.spare[e].Length = doubtsWindow
-		f.spare[e].Spare = doubtsSpare
+		f.spare[e].Window = doubtsWindow
+		f.spare[e].BaseAllowance = doubtsSpare
 	}
 }
 
--- a/internal/bench/engines.go
+++ b/internal/bench/engines.go
@@ -96,10 +96,10 @@
 }
 
 // benchVersion is what all model engines serve.
-var benchVersion = persimmoncross.ParseVersion("m@1")
+var benchVersion = persimmoncross.ParseModelVersion("m@1")
 
 // newPool makes engines and entries; place gives each entry its own placer.
-func newPool(engines, entries int, lag time.Duration, place func(entry int) persimmoncross.Placer) *pool {
+func newPool(engines, entries int, lag time.Duration, place func(entry int) persimmoncross.Picker) *pool {
 	p := &pool{
 		clock:   newClock(),
 		lag:     lag,
@@ -126,9 +126,9 @@
 	}
 	for i := range entries {
 		t := &routing.Table{
-			Clock:   p.clock,
-			Placer:  place(i),
-			Entries: func() int { return entries },
+			Clock:       p.clock,
+			Picker:      place(i),
+			LiveEntries: func() int { return entries },
 		}
 		t.Update(&settings.Snapshot{
 			File: file,
@@ -172,13 +172,13 @@
 	for _, t := range p.tables {
 		for _, e := range p.engines {
 			u, _ := t.Find(e.name)
-			r := persimmoncross.Report{
-				Running: e.running,
-				Waiting: len(e.queue),
-				Slots:   e.slots,
-				Taken:   p.clock.now,
+			r := persimmoncross.UpstreamReport{
+				Running:     e.running,
+				Waiting:     len(e.queue),
+				Slots:       e.slots,
+				RequestedAt: p.clock.now,
 			}
-			p.post(p.lag, func() { u.Learn(r) })
+			p.post(p.lag, func() { u.ApplyReport(r) })
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			return
 		}
 	}
-	u := p.tables[j.entry].Pick(routing.Choice{
+	u := p.tables[j.entry].Pick(routing.PickInfo{
 		Version: benchVersion,
 		Prompt:  j.prompt,
 	})
@@ -206,7 +206,7 @@
 		job:      j,
 		engine:   p.engines[i],
 		upstream: u,
-		end:      u.Begin(p.clock.now, benchVersion, j.prompt),
+		end:      u.BeginAttempt(p.clock.now, benchVersion, j.prompt),
 		arrived:  p.clock.now,
 	}
 	end := n.end
@@ -232,8 +232,8 @@
 		})
 		p.post(first+rest, func() {
 			n.end()
-			n.upstream.Took(p.clock.now.Sub(n.arrived))
-			n.upstream.Breaker(benchVersion).Note(false)
+			n.upstream.RecordDuration(p.clock.now.Sub(n.arrived))
+			n.upstream.Breaker(benchVersion).RecordResult(false)
 			e.running--
 			p.serve(e)
 		})
--- a/internal/bench/entries.go
+++ b/internal/bench/entries.go
@@ -16,12 +16,12 @@
 type decideFleet struct {
 	play   *batchPlay
 	way    decideWay
-	policy cascade.Confidence
+	policy cascade.EscalationPolicy
 	random *rand.Rand
-	heads  [decideEntries][2]forecast.Heads
-	spare  *[decideEntries]retry.Window    // nil: retries are not bounded
-	opined [decideEntries]cascade.Opinions // of the small model
-	links  [decideEntries]outlier.Links
+	heads  [decideEntries][2]forecast.FirstTokenEstimator
+	spare  *[decideEntries]retry.Budget           // nil: retries are not bounded
+	opined [decideEntries]cascade.ConfidenceStats // of the small model
+	links  [decideEntries]outlier.LossyLinks
 	knows  [decideEntries][decideEngines]decideView
 	shared [decideEngines]time.Duration // the reading that all awaited at the last account
 	at     time.Time                    // of shared
@@ -34,7 +34,7 @@
 	inFlight  int
 	flowing   int
 	asked     map[*decideTry]time.Time
-	pauses    outlier.Pauses
+	pauses    outlier.PauseTracker
 	suspicion outlier.Suspicion
 	heard     time.Time
 }
@@ -71,7 +71,7 @@
 		play:   p,
 		way:    w,
 		random: rand.New(rand.NewPCG(seed, 41)),
-		policy: cascade.Confidence{
+		policy: cascade.EscalationPolicy{
 			Thresholds: []int{55},
 		},
 	}
@@ -110,7 +110,7 @@
 		}
 	})
 	if f.spare != nil {
-		f.spare[g.entry].Request(doubtsShare, f.play.clock.now)
+		f.spare[g.entry].RecordRequest(doubtsShare, f.play.clock.now)
 	}
 	f.send(c, f.first(g), -1)
 }
@@ -124,13 +124,13 @@
 		return smallModel
 	}
 	h, now := &f.heads[g.entry][largeModel], f.play.clock.now
-	return f.policy.First(decideModels, cascade.Outset{
-		Doubted:   f.opined[g.entry].Doubted(),
-		Begin:     h.Begin(g.prompt, now),
-		Reading:   h.Reading(g.prompt),
-		Crowd:     f.crowd(),
-		Objective: decideObjective,
-		Retries:   f.retriesLeft(g.entry),
+	return f.policy.FirstModel(decideModels, cascade.StartConditions{
+		LowConfidenceRate: f.opined[g.entry].LowConfidenceRate(),
+		TimeToFirstToken:  h.TimeToFirstToken(g.prompt, now),
+		PrefillTime:       h.PrefillTime(g.prompt),
+		SlotUtilization:   f.crowd(),
+		Objective:         decideObjective,
+		RetryBudgetLeft:   f.retriesLeft(g.entry),
 	})
 }
 
@@ -149,12 +149,12 @@
 		return 1
 	}
 	now := f.play.clock.now
-	return f.spare[entry].Left(now) / f.spare[entry].Allowed(now)
+	return f.spare[entry].Remaining(now) / f.spare[entry].Limit(now)
 }
 
 // retry takes a retry of the entry, and reports whether there was one.
 func (f *decideFleet) retry(entry int) bool {
-	return f.spare == nil || f.spare[entry].Retry(f.play.clock.now)
+	return f.spare == nil || f.spare[entry].TryRetry(f.play.clock.now)
 }
 
 // place chooses the engine as the way does.
@@ -164,13 +164,13 @@
 	var of []int
 	for i, e := range f.play.engines {
 		k := &f.knows[g.entry][i]
-		if i == not || (!f.way.simple && k.suspicion.Holds(now)) {
+		if i == not || (!f.way.simple && k.suspicion.IsActive(now)) {
 			continue
 		}
 		candidate := placement.Candidate{
-			ID:    e.name,
-			Slots: f.play.slots,
-			Share: float64(k.inFlight) / float64(f.play.slots),
+			ID:              e.name,
+			Slots:           f.play.slots,
+			SlotUtilization: float64(k.inFlight) / float64(f.play.slots),
 		}
 		if !f.way.simple {
 			f.fill(&candidate, g, i, now)
@@ -182,11 +182,11 @@
 		return f.random.IntN(decideEngines)
 	}
 	prompt := placement.Prompt{
-		Home:   g.home,
-		Reread: f.heads[g.entry][smallModel].Reading(g.shared),
+		PrefixKey:         g.home,
+		PrefixPrefillTime: f.heads[g.entry][smallModel].PrefillTime(g.shared),
 	}
 	if f.way.simple {
-		prompt.Home = ""
+		prompt.PrefixKey = ""
 	}
 	at, _ := placement.Place(candidates, prompt, f.random.Uint64())
 	return of[at]
@@ -196,18 +196,18 @@
 func (f *decideFleet) fill(c *placement.Candidate, g *generation, engine int, now time.Time) {
 	k := &f.knows[g.entry][engine]
 	e := f.play.engines[engine]
-	c.Crowd = float64(e.running) // told on answers, about as fresh
+	c.InflightRequests = float64(e.running) // told on answers, about as fresh
 	own, since := time.Duration(0), time.Duration(0)
 	for t, at := range k.asked {
 		own += t.work
 		if at.After(f.at) {
 			since += t.work
 		}
-		c.Head = max(c.Head, now.Sub(at))
+		c.TimeToFirstToken = max(c.TimeToFirstToken, now.Sub(at))
 	}
-	c.Reading = max(f.shared[engine]+since, own)
+	c.QueuedPrefillTime = max(f.shared[engine]+since, own)
 	if !f.way.blind {
-		c.Link = f.links[g.entry].Cost(zoneName(e.zone), g.tokens, now)
+		c.LinkDelay = f.links[g.entry].ExpectedDelay(zoneName(e.zone), g.tokens, now)
 	}
 }
 
@@ -223,8 +223,8 @@
 		generation: g,
 		engine:     i,
 		model:      model,
-		work:       f.heads[g.entry][model].Reading(g.prompt),
-		number:     f.heads[g.entry][model].Await(g.prompt, now),
+		work:       f.heads[g.entry][model].PrefillTime(g.prompt),
+		number:     f.heads[g.entry][model].TrackRequest(g.prompt, now),
 		last:       now,
 	}
 	t.run = &batchRun{
@@ -259,7 +259,7 @@
 		k.flowing--
 	}
 	if !t.came {
-		f.heads[t.generation.entry][t.model].Came(t.number, false, f.play.clock.now)
+		f.heads[t.generation.entry][t.model].RecordFirstToken(t.number, false, f.play.clock.now)
 	}
 	t.run.dropped = true
 }
@@ -271,10 +271,10 @@
 	}
 	k := &f.knows[g.entry][t.engine]
 	delete(k.asked, t)
-	f.heads[g.entry][t.model].Came(t.number, true, now)
+	f.heads[g.entry][t.model].RecordFirstToken(t.number, true, now)
 	t.came = true
 	k.heard, t.last = now, now
-	k.suspicion.Trust()
+	k.suspicion.Clear()
 	if t.model == smallModel && c.made == 0 && f.way.always < 0 && f.larger(g, now) && f.retry(g.entry) {
 		f.over(t)
 		f.send(c, largeModel, -1)
@@ -293,28 +293,28 @@
 
 // larger weighs the small model's answer.
 func (f *decideFleet) larger(g *generation, now time.Time) bool {
-	f.opined[g.entry].Take(f.policy.Doubted(decideModels, smallModel, g.doubt))
+	f.opined[g.entry].Record(f.policy.IsLowConfidence(decideModels, smallModel, g.doubt))
 	arrived := f.play.start.Add(g.at)
-	d := cascade.Doubt{
-		Retries:    f.retriesLeft(g.entry),
-		Confidence: g.doubt,
-		Left:       arrived.Add(decideObjective).Sub(now),
-		Objective:  decideObjective,
-		End:        arrived.Add(decideDeadline).Sub(now),
+	d := cascade.EscalationConditions{
+		RetryBudgetLeft: f.retriesLeft(g.entry),
+		Confidence:      g.doubt,
+		ObjectiveLeft:   arrived.Add(decideObjective).Sub(now),
+		Objective:       decideObjective,
+		TimeToDeadline:  arrived.Add(decideDeadline).Sub(now),
 	}
 	if !f.way.fixed {
 		h := &f.heads[g.entry][largeModel]
-		d.Begin = h.Begin(g.prompt, now)
-		d.Reading = h.Reading(g.prompt)
-		d.Crowd = f.crowd()
+		d.TimeToFirstToken = h.TimeToFirstToken(g.prompt, now)
+		d.PrefillTime = h.PrefillTime(g.prompt)
+		d.SlotUtilization = f.crowd()
 	}
 	if f.way.plain {
-		if d.Retries < doubtsKept {
+		if d.RetryBudgetLeft < doubtsKept {
 			return false
 		}
-		d.Retries = 1
+		d.RetryBudgetLeft = 1
 	}
-	_, ask := f.policy.Larger(decideModels, d)
+	_, ask := f.policy.Escalate(decideModels, d)
 	return ask
 }
 
@@ -337,9 +337,9 @@
 	}
 	k := &f.knows[g.entry][t.engine]
 	k.heard = now
-	k.pauses.Take(now.Sub(t.last), now)
+	k.pauses.Record(now.Sub(t.last), now)
 	if held > 0 && held < lossHold {
-		f.links[g.entry].Came(zoneName(f.play.engines[t.engine].zone), lossHold, 2, now)
+		f.links[g.entry].RecordEvents(zoneName(f.play.engines[t.engine].zone), lossHold, 2, now)
 	}
 	t.last = now
 	c.slow = c.slow || now.Sub(c.since) > decidePause || held > decidePass
@@ -374,22 +374,22 @@
 		for other := range k.asked {
 			reading += other.work
 		}
-		s := outlier.Silence{
-			Expected:  f.heads[c.generation.entry][t.model].Reading(c.generation.prompt),
-			Objective: decideObjective,
-			Pause:     decidePause,
-			Begun:     t.begun,
-			Streams:   k.flowing,
-			Usual:     k.pauses.Longest(now),
-			Reading:   max(reading, f.shared[t.engine]),
+		s := outlier.IdleState{
+			ExpectedHeaderWait: f.heads[c.generation.entry][t.model].PrefillTime(c.generation.prompt),
+			Objective:          decideObjective,
+			PauseLimit:         decidePause,
+			HeaderReceived:     t.begun,
+			ActiveStreams:      k.flowing,
+			RecentPause:        k.pauses.Longest(now),
+			PendingPrefill:     max(reading, f.shared[t.engine]),
 		}
-		limit, ok := s.Limit()
+		limit, ok := s.Timeout()
 		quiet := min(now.Sub(t.last), now.Sub(k.heard))
 		if !ok || quiet < limit || c.tries >= 3 || (f.way.deaf && t.begun) || !f.retry(c.generation.entry) {
 			f.watch(c, t)
 			return
 		}
-		k.suspicion.Doubt(now)
+		k.suspicion.Suspect(now)
 		f.over(t)
 		f.send(c, t.model, t.engine)
 	})
--- a/internal/bench/limits.go
+++ b/internal/bench/limits.go
@@ -101,29 +101,29 @@
 const limitsMost = 1.1
 
 func limitsPool(seed uint64, fair bool) *pool {
-	p := newPool(limitsEngines, limitsEntries, time.Second, func(entry int) persimmoncross.Placer {
-		return &routing.Expected{
+	p := newPool(limitsEngines, limitsEntries, time.Second, func(entry int) persimmoncross.Picker {
+		return &routing.ExpectedLatency{
 			Random: rand.New(rand.NewPCG(seed, uint64(entry))),
 		}
 	})
 	if !fair {
 		return p
 	}
-	accounts := make([]*limits.Limits, limitsEntries)
+	accounts := make([]*limits.Limiter, limitsEntries)
 	for i := range accounts {
-		accounts[i] = &limits.Limits{
-			Clock:   p.clock,
-			Entries: func() int { return limitsEntries },
+		accounts[i] = &limits.Limiter{
+			Clock:       p.clock,
+			LiveEntries: func() int { return limitsEntries },
 		}
 	}
 	shareRunning(p, accounts)
 	p.admit = func(p *pool, j job) (func(), bool) {
-		leave, refusal := accounts[j.entry].Enter(j.owner, limits.Bounds{
+		leave, refusal := accounts[j.entry].Admit(j.owner, limits.Quota{
 			Rate:        1e6,
 			Burst:       1e6,
 			Concurrency: 1e6,
-			Pool:        "m",
-			Capacity:    p.tables[j.entry].Capacity([]persimmoncross.Version{benchVersion}),
+			PoolName:    "m",
+			Capacity:    p.tables[j.entry].Capacity([]persimmoncross.ModelVersion{benchVersion}),
 		})
 		return leave, refusal == nil
 	}
@@ -131,7 +131,7 @@
 }
 
 // shareRunning lets each entry know, once a second, what the others run.
-func shareRunning(p *pool, accounts []*limits.Limits) {
+func shareRunning(p *pool, accounts []*limits.Limiter) {
 	var tell func()
 	tell = func() {
 		for i, a := range accounts {
@@ -140,11 +140,11 @@
 				if k == i {
 					continue
 				}
-				for owner, n := range o.Running()["m"] {
+				for owner, n := range o.LocalUsage()["m"] {
 					others["m"][owner] += n
 				}
 			}
-			a.Observe(others)
+			a.SetPeerUsage(others)
 		}
 		if p.clock.now.Sub(p.start) < limitsLength {
 			p.post(time.Second, tell)
--- a/internal/bench/placement.go
+++ b/internal/bench/placement.go
@@ -24,19 +24,19 @@
 // ways are the placers compared; the project's own is the first.
 var ways = []struct {
 	name  string
-	place func(r *rand.Rand) persimmoncross.Placer
+	place func(r *rand.Rand) persimmoncross.Picker
 }{
 	{
 		name: "expected",
-		place: func(r *rand.Rand) persimmoncross.Placer {
-			return &routing.Expected{
+		place: func(r *rand.Rand) persimmoncross.Picker {
+			return &routing.ExpectedLatency{
 				Random: r,
 			}
 		},
 	},
 	{
 		name: "random",
-		place: func(r *rand.Rand) persimmoncross.Placer {
+		place: func(r *rand.Rand) persimmoncross.Picker {
 			return &routing.Random{
 				Random: r,
 			}
@@ -44,16 +44,16 @@
 	},
 	{
 		name:  "round robin",
-		place: func(*rand.Rand) persimmoncross.Placer { return &routing.RoundRobin{} },
+		place: func(*rand.Rand) persimmoncross.Picker { return &routing.RoundRobin{} },
 	},
 	{
 		name:  "least outstanding",
-		place: func(*rand.Rand) persimmoncross.Placer { return routing.LeastOutstanding{} },
+		place: func(*rand.Rand) persimmoncross.Picker { return routing.LeastOutstanding{} },
 	},
 	{
 		name: "two choices",
-		place: func(r *rand.Rand) persimmoncross.Placer {
-			return &routing.TwoChoices{
+		place: func(r *rand.Rand) persimmoncross.Picker {
+			return &routing.PowerOfTwoChoices{
 				Random: r,
 			}
 		},
@@ -182,8 +182,8 @@
 	return result
 }
 
-func (s situation) times(place func(*rand.Rand) persimmoncross.Placer, jobs []job, seed uint64) []time.Duration {
-	p := newPool(placementEngines, placementEntries, s.lag, func(entry int) persimmoncross.Placer {
+func (s situation) times(place func(*rand.Rand) persimmoncross.Picker, jobs []job, seed uint64) []time.Duration {
+	p := newPool(placementEngines, placementEntries, s.lag, func(entry int) persimmoncross.Picker {
 		return place(rand.New(rand.NewPCG(seed, uint64(entry))))
 	})
 	p.warm = placementWarmUp
--- a/internal/bench/retry.go
+++ b/internal/bench/retry.go
@@ -55,15 +55,15 @@
 func retryTrial(seed uint64, requests int, failing float64, bounded bool) (attempts, answered float64) {
 	r := rand.New(rand.NewPCG(seed, 23))
 	now := time.Unix(0, 0)
-	budget := retry.Window{
-		Length: 10 * time.Second,
-		Floor:  retryFloor,
+	budget := retry.Budget{
+		Window:       10 * time.Second,
+		MinAllowance: retryFloor,
 	}
 	for range requests {
 		now = now.Add(retryEvery)
-		budget.Request(retryShare, now)
+		budget.RecordRequest(retryShare, now)
 		for try := range retryAttempts {
-			if try > 0 && bounded && !budget.Retry(now) {
+			if try > 0 && bounded && !budget.TryRetry(now) {
 				break
 			}
 			attempts++
--- a/internal/bench/return.go
+++ b/internal/bench/return.go
@@ -32,23 +32,23 @@
 func (returnCase) Run(seed uint64, scale int) Result {
 	ways := []struct {
 		name  string
-		after func(c retry.ComeBack, r *rand.Rand) time.Duration
+		after func(c retry.RetryAfter, r *rand.Rand) time.Duration
 	}{
 		{
 			name:  "estimated",
-			after: func(c retry.ComeBack, r *rand.Rand) time.Duration { return c.After(r.Float64()) },
+			after: func(c retry.RetryAfter, r *rand.Rand) time.Duration { return c.Delay(r.Float64()) },
 		},
 		{
 			name:  "0.3 s",
-			after: func(retry.ComeBack, *rand.Rand) time.Duration { return 300 * time.Millisecond },
+			after: func(retry.RetryAfter, *rand.Rand) time.Duration { return 300 * time.Millisecond },
 		},
 		{
 			name:  "0.7 s",
-			after: func(retry.ComeBack, *rand.Rand) time.Duration { return 700 * time.Millisecond },
+			after: func(retry.RetryAfter, *rand.Rand) time.Duration { return 700 * time.Millisecond },
 		},
 		{
 			name:  "2 s",
-			after: func(retry.ComeBack, *rand.Rand) time.Duration { return 2 * time.Second },
+			after: func(retry.RetryAfter, *rand.Rand) time.Duration { return 2 * time.Second },
 		},
 	}
 	table := Table{
@@ -88,7 +88,7 @@
 }
 
 // returnTrial returns the shares that the table shows.
-func returnTrial(seed uint64, outages int, after func(retry.ComeBack, *rand.Rand) time.Duration) []float64 {
+func returnTrial(seed uint64, outages int, after func(retry.RetryAfter, *rand.Rand) time.Duration) []float64 {
 	r := rand.New(rand.NewPCG(seed, 41))
 	var lost, all [5]float64
 	late := 0.0 // seconds from the outage's end until those that are served are
@@ -96,15 +96,15 @@
 		length := time.Duration(0.3 * math.Pow(10/0.3, r.Float64()) * float64(time.Second)) // as many short as long ones
 		var back []returning
 		for at := 0.0; at < length.Seconds(); at += r.ExpFloat64() / returnRate {
-			c := retry.ComeBack{
-				Lasted: time.Duration(at * float64(time.Second)),
-				Left:   []time.Duration{3 * time.Second, 5 * time.Second, 25 * time.Second}[r.IntN(3)],
-				Rank:   r.IntN(returnRanks),
-				Ranks:  returnRanks,
+			c := retry.RetryAfter{
+				OutageAge:      time.Duration(at * float64(time.Second)),
+				UntilDeadline:  []time.Duration{3 * time.Second, 5 * time.Second, 25 * time.Second}[r.IntN(3)],
+				Priority:       r.IntN(returnRanks),
+				PriorityLevels: returnRanks,
 			}
 			back = append(back, returning{
-				at:   c.Lasted + after(c, r),
-				rank: c.Rank,
+				at:   c.OutageAge + after(c, r),
+				rank: c.Priority,
 			})
 		}
 		slices.SortFunc(back, func(a, b returning) int { return cmp.Compare(a.at, b.at) })
--- a/internal/bench/rollout.go
+++ b/internal/bench/rollout.go
@@ -172,23 +172,23 @@
 }
 
 var (
-	benchNew = persimmoncross.ParseVersion("small@2")
-	benchOld = persimmoncross.ParseVersion("small@1")
+	benchNew = persimmoncross.ParseModelVersion("small@2")
+	benchOld = persimmoncross.ParseModelVersion("small@1")
 )
 
 // sequentialTrial runs one roll-out under the project's own rules. It returns
 // the requests that ran on the new version and whether it was withdrawn.
 func sequentialTrial(f fault, seed uint64) (exposed int, withdrawn bool) {
 	r := rand.New(rand.NewPCG(seed, 11))
-	entries := make([]*rollout.Evidence, rolloutEntries)
+	entries := make([]*rollout.Collector, rolloutEntries)
 	for i := range entries {
-		entries[i] = &rollout.Evidence{
+		entries[i] = &rollout.Collector{
 			Clock: newClock(),
 		}
-		entries[i].SetPlans(map[persimmoncross.Version]rollout.Plan{
+		entries[i].SetPlans(map[persimmoncross.ModelVersion]rollout.Plan{
 			benchNew: {
-				Old:    benchOld,
-				Budget: 2 * rolloutBudget / rolloutEntries,
+				Baseline:    benchOld,
+				StageBudget: 2 * rolloutBudget / rolloutEntries,
 			},
 		})
 	}
@@ -205,21 +205,21 @@
 		if !failed && e.Sample(v) {
 			e.Rated(v, organisation, poor)
 		}
-		if n >= rolloutWarmUp && n%rolloutInterval == rolloutInterval-1 && (rollout.Judge{}).Bad(poolOf(entries)) != "" {
+		if n >= rolloutWarmUp && n%rolloutInterval == rolloutInterval-1 && (rollout.Judge{}).BadReason(poolOf(entries)) != "" {
 			return exposed, true
 		}
 	}
 	return exposed, false
 }
 
-func poolOf(entries []*rollout.Evidence) rollout.Pool {
-	p := rollout.Pool{
-		New: map[string]rollout.Tally{},
-		Old: map[string]rollout.Tally{},
+func poolOf(entries []*rollout.Collector) rollout.PooledEvidence {
+	p := rollout.PooledEvidence{
+		Candidate: map[string]rollout.Tally{},
+		Baseline:  map[string]rollout.Tally{},
 	}
 	for _, e := range entries {
 		for s, t := range e.Tallies() {
-			p.Take(s, t, benchNew, benchOld)
+			p.Add(s, t, benchNew, benchOld)
 		}
 	}
 	return p
--- a/internal/cli/site.go
+++ b/internal/cli/site.go
@@ -59,8 +59,8 @@
 		Lister:  yielding(p.lister(registry)),
 		Codec:   platform.Codec{},
 		Decode:  platform.DecodeDocument,
-		Policy: cascade.Confidence{
-			Start:      site.Cascade.Start,
+		CascadePolicy: cascade.EscalationPolicy{
+			StartModel: site.Cascade.Start,
 			Thresholds: site.Cascade.Threshold,
 		},
 	}
@@ -70,7 +70,7 @@
 	ingress := &platform.Ingress{
 		Relay:   n.Relay(),
 		Limits:  n.Limits,
-		Leaving: n.Leaving,
+		Leaving: n.IsStopping,
 		Clock:   n.Clock,
 		Refused: n.CountRefusal,
 	}
--- a/internal/node/accounts_test.go
+++ b/internal/node/accounts_test.go
@@ -40,7 +40,7 @@
 	for i := range manyRoutes {
 		counts[fmt.Sprint("r", i)] = 1
 	}
-	stream := sentTrials{}
+	stream := sentCanaryStats{}
 	h.receiveReport(stream.delta(newAccount()))
 	for n := range 5 {
 		counts["r7"]++
@@ -55,13 +55,13 @@
 		t.Errorf("%d counts without an answer", len(a.GetTrials()))
 	}
 	accounts, _ := h.currentReports(h.clock.Now())
-	p := sumTrials(register.Upgrade{
+	p := sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
 	}, accounts)
-	if len(p.New) != manyRoutes || p.New["r7"].Runs != 6 || p.New["r9"].Runs != 11 || p.New["r8"].Runs != 1 {
-		t.Errorf("%d routes, r7 %d, r8 %d, r9 %d", len(p.New), p.New["r7"].Runs, p.New["r8"].Runs, p.New["r9"].Runs)
+	if len(p.New) != manyRoutes || p.New["r7"].Answers != 6 || p.New["r9"].Answers != 11 || p.New["r8"].Answers != 1 {
+		t.Errorf("%d routes, r7 %d, r8 %d, r9 %d", len(p.New), p.New["r7"].Answers, p.New["r8"].Answers, p.New["r9"].Answers)
 	}
 	h.receiveReport(&wire.Account{
 		Vm:          "a",
@@ -69,15 +69,15 @@
 		Entry:       true,
 		Trials:      []*wire.Trial{testTrial("r7", 4, 3)},
 	})
-	if accounts, _ := h.currentReports(h.clock.Now()); sumTrials(register.Upgrade{
+	if accounts, _ := h.currentReports(h.clock.Now()); sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
-	}, accounts).New["r7"].Runs != 6 {
+	}, accounts).New["r7"].Answers != 6 {
 		t.Error("a count that came late took the place of a later one")
 	}
 	relayed := h.takeUnforwardedReports()
-	if len(relayed) != 1 || len(sentTrials{}.delta(relayed[0]).GetTrials()) != manyRoutes {
+	if len(relayed) != 1 || len(sentCanaryStats{}.delta(relayed[0]).GetTrials()) != manyRoutes {
 		t.Errorf("a new stream is not told all")
 	}
 	if again, _ := h.currentReports(h.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
@@ -106,7 +106,7 @@
 		{register.Trial, 9, []uint64{9}},
 		{register.Prepare, 2, []uint64{3, 5, 9}},
 	} {
-		got := mergeTrials(previous, &wire.Account{}, map[string]register.Upgrade{
+		got := mergeCanaryStats(previous, &wire.Account{}, map[string]register.Upgrade{
 			"s": {
 				Service: "s",
 				Order:   tt.order,
--- a/internal/node/bounds_bench_test.go
+++ b/internal/node/bench_test.go
@@ -21,7 +21,7 @@
 			for i := range list {
 				list[i] = persimmoncross.Upstream{
 					Incarnation: fmt.Sprintf("i-%010x", i*2654435761),
-					Started:     time.UnixMilli(1_790_000_000_000 + int64(i)),
+					StartedAt:   time.UnixMilli(1_790_000_000_000 + int64(i)),
 					Service:     "kaba98a",
 					Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8707),
 					DataCentre:  "sahab",
@@ -46,7 +46,7 @@
 				s := &followerState{}
 				wholeBytes = send(s)
 				next := append([]persimmoncross.Upstream{}, list...)
-				next[i%n].Leaving = !next[i%n].Leaving
+				next[i%n].Draining = !next[i%n].Draining
 				h.setList(next, time.Now())
 				list = next
 				changeBytes = send(s)
--- a/internal/node/coldentry.go
+++ b/internal/node/coldentry.go
@@ -30,7 +30,7 @@
 func (e *Entry) assumeReturnedCold(previous, current map[string]register.Evacuation) {
 	for name := range previous {
 		if _, evacuated := current[name]; !evacuated {
-			e.pool.Expect(name, e.coldDurations())
+			e.pool.AssumeCold(name, e.coldDurations())
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	limited := slices.Clone(list)
 	for i, u := range limited {
 		if services[u.Service] == 0 {
-			limited[i].Cold = 0
+			limited[i].SlowStartRemaining = 0
 		}
 	}
 	return limited
--- a/internal/node/colds_test.go
+++ b/internal/node/colds_test.go
@@ -32,10 +32,10 @@
 			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
 		}
 		list = append(list, u)
-		cold[u.Life()] = slowstart.Cold{
-			Until:  until,
-			Owners: []string{"one", "two"},
-			Pause:  time.Second,
+		cold[u.InstanceID()] = slowstart.ColdUpstream{
+			ColdUntil: until,
+			Owners:    []string{"one", "two"},
+			Interval:  time.Second,
 		}
 	}
 	h.setColdUpstreams(cold)
@@ -62,8 +62,8 @@
 			}
 			for _, x := range u.GetUpstreams() {
 				got, _ := fromWireUpstream(x)
-				c, ok := known[got.Life()]
-				if !ok || c.Pause != tt.pause || !slices.Equal(c.Owners, tt.owners) || c.Until.Sub(until).Abs() > time.Second {
+				c, ok := known[got.InstanceID()]
+				if !ok || c.Interval != tt.pause || !slices.Equal(c.Owners, tt.owners) || c.ColdUntil.Sub(until).Abs() > time.Second {
 					t.Fatalf("%s: %s is %+v, %v", tt.vm, got.Incarnation, c, ok)
 				}
 			}
@@ -91,7 +91,7 @@
 	}
 	a := &controllerStream{}
 	f := &follower{
-		Take: e.applyUpdate,
+		ApplyUpdate: e.applyUpdate,
 	}
 	newUpdate := func(index uint64, evacuated string) *wire.Update {
 		return &wire.Update{
@@ -114,7 +114,7 @@
 	a.handleUpdate(f, newUpdate(2, ""))
 	accepting := map[string]bool{}
 	for _, u := range e.view.Load().Targets["s"] {
-		accepting[u.Incarnation] = u.Bears(e.Clock.Now())
+		accepting[u.Incarnation] = u.IsAvailable(e.Clock.Now())
 	}
 	if len(accepting) != 2 || accepting["u1"] || !accepting["u2"] {
 		t.Errorf("taking requests: %v", accepting)
@@ -154,15 +154,15 @@
 	}
 	newUpstream := func(id, service, dataCentre string, cold time.Duration) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
-			Incarnation: id,
-			Service:     service,
-			DataCentre:  dataCentre,
-			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-			Cold:        cold,
+			Incarnation:        id,
+			Service:            service,
+			DataCentre:         dataCentre,
+			Address:            netip.MustParseAddrPort("127.0.0.1:1"),
+			SlowStartRemaining: cold,
 		}
 	}
 	ownerCount := func(u persimmoncross.Upstream) int {
-		x, ok := c.publisher.currentCold()[u.Life()]
+		x, ok := c.publisher.currentCold()[u.InstanceID()]
 		if !ok {
 			return -1
 		}
@@ -186,8 +186,8 @@
 	f.evacuate(c, "a", true)
 	f.waitFor("what was taken back has owners", func() bool { return ownerCount(evacuated) == 8 })
 	f.waitFor("it is warm again", func() bool {
-		x, ok := c.publisher.currentCold()[evacuated.Life()]
-		return !ok || !x.Until.After(time.Now())
+		x, ok := c.publisher.currentCold()[evacuated.InstanceID()]
+		return !ok || !x.ColdUntil.After(time.Now())
 	})
 	// While the list is away the end of an evacuation is news all the same: an entry that
 	// started after it took all of the data centre for warm, and sent 28 requests in a
@@ -196,8 +196,8 @@
 	f.evacuate(c, "a", false)
 	f.evacuate(c, "a", true)
 	f.waitFor("what was taken back while the list is away has owners", func() bool {
-		x := c.publisher.currentCold()[evacuated.Life()]
-		return x.Until.After(time.Now()) && len(x.Owners) == 8
+		x := c.publisher.currentCold()[evacuated.InstanceID()]
+		return x.ColdUntil.After(time.Now()) && len(x.Owners) == 8
 	})
 }
 
@@ -221,10 +221,10 @@
 func TestOwnListWithoutDocument(t *testing.T) {
 	e := newFleet(t, 85).stoppedEntry()
 	list := testUpstreams(2)
-	list[0].Cold = time.Minute
+	list[0].SlowStartRemaining = time.Minute
 	acceptingCount := func() (accepting int) {
 		for _, u := range e.pool.Update(e.clearUnlimitedCold(list))["service"] {
-			if u.Bears(e.Clock.Now()) {
+			if u.IsAvailable(e.Clock.Now()) {
 				accepting++
 			}
 		}
--- a/internal/node/colds.go
+++ b/internal/node/coldupstreams.go
@@ -22,15 +22,15 @@
 const coldMargin = 100 * time.Millisecond
 
 // coldUpstreams are the lives that are cold, and their owners. A set that was told never changes.
-type coldUpstreams = map[string]slowstart.Cold
+type coldUpstreams = map[string]slowstart.ColdUpstream
 
 // coldTracker is what a controller remembers beside the hub's set.
 type coldTracker struct {
 	// Owned by the list's duty.
-	ledSince       time.Time                  // since when this process leads; zero: it does not
-	documentNumber uint64                     // of the document that limits are of
-	limits         map[string]slowstart.Limit // by service
-	list           []persimmoncross.Upstream  // as the leader read it last
+	ledSince       time.Time                      // since when this process leads; zero: it does not
+	documentNumber uint64                         // of the document that limits are of
+	limits         map[string]slowstart.ColdLimit // by service
+	list           []persimmoncross.Upstream      // as the leader read it last
 	listReadAt     time.Time
 	evacuationEnds map[string]time.Time // when an evacuation ended, by data centre
 
@@ -84,14 +84,14 @@
 
 // coldLimits returns what cold upstreams bear, by service; services whose upstreams never
 // are have none.
-func (c *Controller) coldLimits() map[string]slowstart.Limit {
+func (c *Controller) coldLimits() map[string]slowstart.ColdLimit {
 	w := &c.coldTracker
 	s := c.register.Current()
 	if c.Decode == nil || len(s.Document) == 0 || s.Number == w.documentNumber {
 		return w.limits
 	}
 	w.documentNumber = s.Number
-	c.OneDocument(func() {
+	c.WithDecodeLock(func() {
 		declared, err := c.Decode(s.Document)
 		if err != nil {
 			c.Log.Error().Err(err).Uint64("number", s.Number).Msg("a document that was kept can't be read")
@@ -103,14 +103,14 @@
 }
 
 // coldLimitsOf returns what a document declares of cold upstreams.
-func (c *Controller) coldLimitsOf(declared *catalog.Catalog) map[string]slowstart.Limit {
-	limits := map[string]slowstart.Limit{}
+func (c *Controller) coldLimitsOf(declared *catalog.Catalog) map[string]slowstart.ColdLimit {
+	limits := map[string]slowstart.ColdLimit{}
 	for name, x := range declared.Services {
 		if x.ColdFor > 0 {
-			limits[name] = slowstart.Limit{
-				Rate: x.ColdRate,
-				Most: x.ColdRate*max(c.Site.Bounds.ColdOvershoot, 1) + c.Site.Bounds.ColdSlack,
-				For:  x.ColdFor,
+			limits[name] = slowstart.ColdLimit{
+				Rate:         x.ColdRate,
+				MaxPerSecond: x.ColdRate*max(c.Site.Bounds.ColdOvershoot, 1) + c.Site.Bounds.ColdSlack,
+				Duration:     x.ColdFor,
 			}
 		}
 	}
@@ -125,10 +125,10 @@
 	if list == nil {
 		list, readAt = c.publisher.upstreams()
 	}
-	var seen []slowstart.Seen
+	var seen []slowstart.ColdObservation
 	for _, u := range list {
 		endedAt, reinstated := w.evacuationEnds[u.DataCentre]
-		if u.Cold <= 0 && !reinstated {
+		if u.SlowStartRemaining <= 0 && !reinstated {
 			continue
 		}
 		limit, limited := c.coldLimits()[u.Service]
@@ -136,23 +136,23 @@
 			continue
 		}
 		until := time.Time{}
-		if u.Cold > 0 {
-			until = readAt.Add(u.Cold + coldMargin)
+		if u.SlowStartRemaining > 0 {
+			until = readAt.Add(u.SlowStartRemaining + coldMargin)
 		}
-		if at := endedAt.Add(limit.For); reinstated && at.After(until) {
+		if at := endedAt.Add(limit.Duration); reinstated && at.After(until) {
 			until = at
 		}
-		seen = append(seen, slowstart.Seen{
-			Life:  u.Life(),
-			Until: until,
-			Limit: limit,
+		seen = append(seen, slowstart.ColdObservation{
+			InstanceID: u.InstanceID(),
+			ColdUntil:  until,
+			Limit:      limit,
 		})
 	}
 	entries := c.publisher.presentEntries(now)
 	// The leader before may have told of what began up to the list's lag later than this
 	// one led.
 	soleSince := w.ledSince.Add(c.Site.List.Lag + coldMargin)
-	next, added := slowstart.Next(c.publisher.currentCold(), seen, entries, soleSince, now)
+	next, added := slowstart.Update(c.publisher.currentCold(), seen, entries, soleSince, now)
 	if added > 0 {
 		c.Log.Info().Int("upstreams", len(next)).Int("fresh", added).Int("entries", len(entries)).Msg("upstreams are cold")
 		c.incrementCounter("cold.assigned")
@@ -192,7 +192,7 @@
 func (p *publisher) mergeColdUpstreams(received coldUpstreams, now time.Time) {
 	next := coldUpstreams{}
 	for id, c := range p.currentCold() {
-		if c.Until.After(now) {
+		if c.ColdUntil.After(now) {
 			next[id] = c
 		}
 	}
@@ -200,8 +200,8 @@
 	p.setColdUpstreams(next)
 }
 
-func equalCold(a, b slowstart.Cold) bool {
-	return a.Until.Equal(b.Until) && a.Pause == b.Pause && slices.Equal(a.Owners, b.Owners)
+func equalCold(a, b slowstart.ColdUpstream) bool {
+	return a.ColdUntil.Equal(b.ColdUntil) && a.Interval == b.Interval && slices.Equal(a.Owners, b.Owners)
 }
 
 func (p *publisher) currentCold() coldUpstreams {
@@ -232,19 +232,19 @@
 	}
 	now := p.clock.Now()
 	for id, c := range p.cold {
-		if p.coldChangedAt[id] <= s.coldVersion || !c.Until.After(now) {
+		if p.coldChangedAt[id] <= s.coldVersion || !c.ColdUntil.After(now) {
 			continue
 		}
 		x := &wire.Cold{
 			Life:   id,
-			Left:   uint32(c.Until.Sub(now) / time.Millisecond),
+			Left:   uint32(c.ColdUntil.Sub(now) / time.Millisecond),
 			Owners: c.Owners,
 		}
 		if s.entry {
 			x.Owners = nil
 		}
 		if !s.entry || slices.Contains(c.Owners, s.vm) {
-			x.Pause = uint32(c.Pause / time.Millisecond)
+			x.Pause = uint32(c.Interval / time.Millisecond)
 			x.Weight = float32(c.Weight)
 		}
 		u.Colds = append(u.Colds, x)
@@ -259,11 +259,11 @@
 	}
 	cold := coldUpstreams{}
 	for _, x := range u.GetColds() {
-		cold[x.GetLife()] = slowstart.Cold{
-			Until:  now.Add(time.Duration(x.GetLeft()) * time.Millisecond),
-			Owners: x.GetOwners(),
-			Pause:  time.Duration(x.GetPause()) * time.Millisecond,
-			Weight: float64(x.GetWeight()),
+		cold[x.GetLife()] = slowstart.ColdUpstream{
+			ColdUntil: now.Add(time.Duration(x.GetLeft()) * time.Millisecond),
+			Owners:    x.GetOwners(),
+			Interval:  time.Duration(x.GetPause()) * time.Millisecond,
+			Weight:    float64(x.GetWeight()),
 		}
 	}
 	return cold
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -62,7 +62,7 @@
 
 	store          *memberStore
 	register       *register.Register
-	group          *group.Group
+	group          *group.Replica
 	node           *peer.Node
 	proposer       *peer.Proposer
 	publisher      *publisher
@@ -78,10 +78,10 @@
 	decodeMu        sync.Mutex   // held while a document is decoded
 }
 
-// OneDocument does what decodes a document while nobody else does: that takes some
+// WithDecodeLock does what decodes a document while nobody else does: that takes some
 // twenty times its bytes, and operators may send several at once that are as large as
 // they may be.
-func (c *Controller) OneDocument(decode func()) {
+func (c *Controller) WithDecodeLock(decode func()) {
 	c.decodeMu.Lock()
 	defer c.decodeMu.Unlock()
 	decode()
@@ -92,16 +92,16 @@
 	c.SetSeeds(c.Site)
 	store, err := openStore(c.Site, c.Log)
 	if err != nil {
-		return newError("start", Start, err)
+		return newError("start", StartFailed, err)
 	}
 	c.store = store
 	listener, err := socket.Listen().Listen(ctx, "tcp", c.Site.Peer.String())
 	if err != nil {
-		return newError("start", Start, err)
+		return newError("start", StartFailed, err)
 	}
 	c.createComponents(listener)
 	if err := c.group.Open(); err != nil {
-		return newError("start", Start, err)
+		return newError("start", StartFailed, err)
 	}
 	c.groupOpened.Store(true)
 	return nil
@@ -132,25 +132,25 @@
 		Log:     c.Log,
 	}
 	c.node.Prepare()
-	c.group = &group.Group{
+	c.group = &group.Replica{
 		Core: &consensus.Core{
-			Group:     groupName,
-			ID:        c.store.member,
-			VM:        c.node.VM,
-			Heartbeat: heartbeatInterval,
-			Election:  electionTimeout,
-			Lease:     leaseDuration,
-			Random:    rand.New(rand.NewPCG(rand.Uint64(), uint64(os.Getpid()))),
-			Announce:  true,
+			Group:             groupName,
+			ID:                c.store.member,
+			VM:                c.node.VM,
+			HeartbeatInterval: heartbeatInterval,
+			ElectionTimeout:   electionTimeout,
+			LeaseDuration:     leaseDuration,
+			Random:            rand.New(rand.NewPCG(rand.Uint64(), uint64(os.Getpid()))),
+			BroadcastCommits:  true,
 		},
-		Storage: c.store.log,
-		Machine: c.register,
+		Storage:      c.store.log,
+		StateMachine: c.register,
 		Sender: &consensusSender{
 			controller: c,
 		},
 		Clock:   c.Clock,
 		Metrics: c.Metrics,
-		Log:     c.Log,
+		Logger:  c.Log,
 	}
 	c.proposer = &peer.Proposer{
 		Group: groupName,
@@ -193,25 +193,25 @@
 	loops.Go(func() { c.runListReader(runCtx) })
 	loops.Go(func() { c.runVoterChanges(runCtx) })
 	loops.Go(func() { c.runUpgrades(runCtx) })
-	loops.Go(func() { c.runHoldJudge(runCtx) })
+	loops.Go(func() { c.runQuarantineJudge(runCtx) })
 	f := &follower{
 		Name: c.node.VM,
 		Node: c.node,
 
 		DataCentre: c.Site.DataCentre,
 
-		Clock:    c.Clock,
-		Log:      c.Log,
-		Metrics:  c.Metrics,
-		Seeds:    func() []string { return nil },
-		Only:     c.remoteLeader,
-		Accounts: c.reportsForLeader,
-		Take:     c.applyUpdate,
-
-		Loads:     c.loads.report,
-		TakeLoads: c.loads.applyFleetLoads,
-		Cases:     c.casesForLeader,
-		Limits:    &c.publisher.limits,
+		Clock:          c.Clock,
+		Log:            c.Log,
+		Metrics:        c.Metrics,
+		Seeds:          func() []string { return nil },
+		OnlyController: c.remoteLeader,
+		Reports:        c.reportsForLeader,
+		ApplyUpdate:    c.applyUpdate,
+
+		LoadReport: c.loads.report,
+		ApplyLoads: c.loads.applyFleetLoads,
+		CasesSince: c.casesForLeader,
+		Limits:     &c.publisher.limits,
 	}
 	loops.Go(func() { f.run(runCtx) })
 	<-ctx.Done()
@@ -228,21 +228,21 @@
 func (c *Controller) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*electionTimeout)
 	defer cancel()
-	if !c.group.Transfer(ctx) {
+	if !c.group.TransferLeadership(ctx) {
 		return
 	}
-	for c.Leads() && ctx.Err() == nil {
+	for c.IsLeader() && ctx.Err() == nil {
 		<-c.Clock.After(heartbeatInterval / 2)
 	}
 }
 
-// Leads reports whether this controller leads the log.
-func (c *Controller) Leads() bool { return c.group.View().Role == consensus.Leader }
+// IsLeader reports whether this controller leads the log.
+func (c *Controller) IsLeader() bool { return c.group.View().Role == consensus.Leader }
 
 // remoteLeader returns the controller that leads, "" if none is known or this
 // one leads.
 func (c *Controller) remoteLeader() string {
-	if l := c.group.View().Leader; l != c.node.VM {
+	if l := c.group.View().LeaderVM; l != c.node.VM {
 		return l
 	}
 	return ""
@@ -276,9 +276,9 @@
 	return c.publisher.setList(list, readAt)
 }
 
-// Declare offers a document to the fleet. It returns nil once the document, or
+// PublishDocument offers a document to the fleet. It returns nil once the document, or
 // one with a higher number, is kept by a quorum.
-func (c *Controller) Declare(ctx context.Context, number uint64, document []byte) error {
+func (c *Controller) PublishDocument(ctx context.Context, number uint64, document []byte) error {
 	// Another change may take the base away meanwhile: then it is offered whole.
 	for _, s := range []*register.State{c.register.Current(), {}} {
 		result, err := c.propose(ctx, c.documentCommand(s, number, document))
@@ -300,9 +300,9 @@
 	return register.Offer(s, number, document)
 }
 
-// Read returns the state with all that was acknowledged before the call. A
+// ReadState returns the state with all that was acknowledged before the call. A
 // document that is held here already is not sent again.
-func (c *Controller) Read(ctx context.Context) (*register.State, error) {
+func (c *Controller) ReadState(ctx context.Context) (*register.State, error) {
 	current := c.register.Current()
 	result, err := c.propose(ctx, register.Command{
 		Read: true,
@@ -318,8 +318,8 @@
 	return s, err
 }
 
-// Begin orders an upgrade.
-func (c *Controller) Begin(ctx context.Context, service, target string, duration time.Duration) error {
+// BeginUpgrade orders an upgrade.
+func (c *Controller) BeginUpgrade(ctx context.Context, service, target string, duration time.Duration) error {
 	_, err := c.propose(ctx, register.Command{
 		Begin: &register.Upgrade{
 			Service:  service,
@@ -333,14 +333,14 @@
 
 // Evacuate orders that nothing more goes to the upstreams of a data centre, or ends
 // that. It returns nil once the order is kept by a quorum; of a data centre that
-// nobody knows it returns an [Error] of kind [Unknown].
+// nobody knows it returns an [Error] of kind [NotFound].
 func (c *Controller) Evacuate(ctx context.Context, dataCentre string, end bool) error {
 	known, sure := c.lookUpDataCentre(dataCentre)
 	switch {
 	case !known && !sure:
 		return newError("evacuate", Unavailable, errListNotRead)
 	case !known:
-		return newError("evacuate", Unknown, fmt.Errorf("there is no data centre %q", dataCentre))
+		return newError("evacuate", NotFound, fmt.Errorf("there is no data centre %q", dataCentre))
 	}
 	_, err := c.propose(ctx, register.Command{
 		Evacuate: &register.Evacuate{
@@ -388,7 +388,7 @@
 
 // Send implements [persimmoncross.Sender].
 func (s *consensusSender) Send(m persimmoncross.Message) {
-	if m.Dest != "" {
+	if m.ToVM != "" {
 		s.controller.node.Send(m)
 		return
 	}
@@ -396,7 +396,7 @@
 		s.controller.node.VM: true,
 	}
 	names := *s.controller.seeds.Load()
-	for _, v := range s.controller.group.View().Set.Voters {
+	for _, v := range s.controller.group.View().Config.Voters {
 		names = append(names[:len(names):len(names)], v.VM)
 	}
 	for _, name := range names {
@@ -404,7 +404,7 @@
 			continue
 		}
 		sent[name] = true
-		m.Dest = name
+		m.ToVM = name
 		s.controller.node.Send(m)
 	}
 }
--- a/internal/node/found.go
+++ b/internal/node/controllerstream.go
@@ -21,7 +21,7 @@
 	listIncomplete  bool                      // the rest of a list that has begun is still to come
 	listUnapplied   bool                      // list was not taken yet
 	partialDocument partialDocument
-	holds           map[persimmoncross.Digest]persimmoncross.Hold // as this stream has told them
+	holds           map[persimmoncross.Digest]persimmoncross.Quarantine // as this stream has told them
 }
 
 // handleUpdate hands on an update. The controller sends its list once and then what
@@ -52,7 +52,7 @@
 	} else {
 		u.Listed = false
 	}
-	if f.Take(u) && !c.listIncomplete {
+	if f.ApplyUpdate(u) && !c.listIncomplete {
 		if c.listUnapplied {
 			f.setReceivedList(c.upstreams)
 		}
@@ -63,12 +63,12 @@
 		loads = decodeSparse(u.GetKnown(), len(c.listIDs))
 	}
 	if len(loads) == loadRecordBytes*len(c.listIDs) && len(c.listIDs) > 0 && !c.listIncomplete {
-		f.TakeLoads(c.listIDs, loads)
+		f.ApplyLoads(c.listIDs, loads)
 	}
-	if holds := c.applyHolds(u); holds != nil && f.TakeHolds != nil {
-		f.TakeHolds(u.GetHeld(), holds)
+	if holds := c.applyQuarantines(u); holds != nil && f.ApplyQuarantines != nil {
+		f.ApplyQuarantines(u.GetHeld(), holds)
 	}
-	if p := u.GetPart(); p != nil && f.TakeDocument != nil {
+	if p := u.GetPart(); p != nil && f.ApplyDocument != nil {
 		return f.handleDocumentPart(&c.partialDocument, p)
 	}
 	return nil
@@ -78,7 +78,7 @@
 // whole the next time.
 func (f *follower) handleDocumentPart(d *partialDocument, p *wire.Part) error {
 	source, err := d.addPart(p, func(number uint64) []byte {
-		if held := f.Held(); held.number == number {
+		if held := f.HeldDocument(); held.number == number {
 			return held.source
 		}
 		return nil
@@ -90,7 +90,7 @@
 	f.needsWholeDocument = err != nil
 	f.mu.Unlock()
 	if source != nil {
-		f.TakeDocument(p.GetNumber(), source)
+		f.ApplyDocument(p.GetNumber(), source)
 	}
 	return err
 }
@@ -100,10 +100,10 @@
 	f.mu.Lock()
 	whole := f.needsWholeDocument
 	f.mu.Unlock()
-	if f.Held == nil || whole {
+	if f.HeldDocument == nil || whole {
 		return document{}
 	}
-	return f.Held()
+	return f.HeldDocument()
 }
 
 // applyList brings the stream's list up to date.
@@ -114,7 +114,7 @@
 	removePartitions(c.upstreams, u.GetParts())
 	for _, x := range u.GetUpstreams() {
 		if u, ok := fromWireUpstream(x); ok {
-			c.upstreams[u.Life()] = x
+			c.upstreams[u.InstanceID()] = x
 		}
 	}
 	for _, id := range u.GetGone() {
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -125,7 +125,7 @@
 				Incarnation: fmt.Sprintf("u%05d", i),
 				Service:     "s",
 				Address:     netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1+i)),
-				Leaving:     leaving,
+				Draining:    leaving,
 			})
 		}
 		return all
@@ -133,7 +133,7 @@
 	var got []persimmoncross.Upstream
 	applied := 0
 	f := &follower{
-		Take: func(u *wire.Update) bool {
+		ApplyUpdate: func(u *wire.Update) bool {
 			if u.GetListed() {
 				got = upstreamsOf(u)
 				applied++
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -32,37 +32,37 @@
 	Log     zerolog.Logger
 	Metrics metrics.Registry
 	Lister  persimmoncross.UpstreamLister
-	Codec   persimmoncross.PassageCodec
+	Codec   persimmoncross.ProxyHeaderCodec
 	// Decode reads a document that passed its check before it was kept.
-	Decode func(document []byte) (*catalog.Catalog, error)
-	Policy cascade.Confidence
+	Decode        func(document []byte) (*catalog.Catalog, error)
+	CascadePolicy cascade.EscalationPolicy
 
-	incarnation    string
-	relay          *relay.Relay
-	client         *forward.Client
-	evidence       *relay.Evidence
-	quarantineBook *quarantine.Book
-	pool           *relay.Pool
-	node           *peer.Node
-	follower       *follower // from Run on
-	view           atomic.Pointer[relay.View]
-	seeds          atomic.Pointer[[]string]
-	stopping       atomic.Bool
+	incarnation        string
+	relay              *relay.Relay
+	client             *forward.Client
+	evidence           *relay.CanaryStats
+	quarantineRecorder *quarantine.Recorder
+	pool               *relay.Pool
+	node               *peer.Node
+	follower           *follower // from Run on
+	view               atomic.Pointer[relay.View]
+	seeds              atomic.Pointer[[]string]
+	stopping           atomic.Bool
 
-	mu          sync.Mutex // guards all below
-	stateIndex  uint64
-	state       *register.State // without its document
-	document    document
-	catalog     *catalog.Catalog // of document, or of the last one that could be read
-	targets     map[string][]*relay.Target
-	listReadAt  time.Time                                     // when the list in force was read; zero: there is none
-	holds       map[persimmoncross.Digest]persimmoncross.Hold // never changed
-	holdsIndex  uint64                                        // index of the state that they are of
-	localKeeper *quarantine.Keeper                            // while no controller judges for all; nil: one does
-	rejoinedAt  time.Time                                     // when a controller judged again, while keeper refuses on; zero: none has
-	leasedAt    time.Time                                     // when a controller last told that its state is recent
-	startedAt   time.Time
-	entries     entryCount
+	mu               sync.Mutex // guards all below
+	stateIndex       uint64
+	state            *register.State // without its document
+	document         document
+	catalog          *catalog.Catalog // of document, or of the last one that could be read
+	targets          map[string][]*relay.Target
+	listReadAt       time.Time                                           // when the list in force was read; zero: there is none
+	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // never changed
+	quarantinesIndex uint64                                              // index of the state that they are of
+	localKeeper      *quarantine.Store                                   // while no controller judges for all; nil: one does
+	rejoinedAt       time.Time                                           // when a controller judged again, while keeper refuses on; zero: none has
+	leasedAt         time.Time                                           // when a controller last told that its state is recent
+	startedAt        time.Time
+	entries          entryCount
 }
 
 // Prepare makes the parts.
@@ -76,39 +76,39 @@
 		Metrics: e.Metrics,
 	}
 	e.pool = &relay.Pool{
-		Clock: e.Clock,
-		Gone:  e.client.CloseIdle,
-		Again: e.upstreamRestarted,
+		Clock:      e.Clock,
+		OnRemoved:  e.client.CloseIdle,
+		OnReplaced: e.upstreamRestarted,
 
-		Limits: &ratelimit.Store{},
+		RateLimits: &ratelimit.Store{},
 	}
-	e.evidence = &relay.Evidence{}
-	e.quarantineBook = &quarantine.Book{
+	e.evidence = &relay.CanaryStats{}
+	e.quarantineRecorder = &quarantine.Recorder{
 		VM: e.Site.Name,
 	}
 	e.relay = &relay.Relay{
 		Forwarder: e.client,
 		View:      e.view.Load,
 		Clock:     e.Clock,
-		Bounds: relay.Bounds{
-			RetryShare:    e.Site.Bounds.RetryShare,
-			RetryWindow:   e.Site.Bounds.RetryWindow,
-			RetrySlack:    e.Site.Bounds.RetrySlack,
-			ExposureShare: e.Site.Bounds.ExposureShare,
-			SessionIdle:   e.Site.Bounds.SessionIdle,
+		Config: relay.Config{
+			RetryBudgetRatio:   e.Site.Bounds.RetryShare,
+			RetryBudgetWindow:  e.Site.Bounds.RetryWindow,
+			RetryBudgetMinimum: e.Site.Bounds.RetrySlack,
+			MaxCanaryShare:     e.Site.Bounds.ExposureShare,
+			SessionIdleTimeout: e.Site.Bounds.SessionIdle,
 		},
-		Regions: e.Site.Regions,
+		RegionByDataCentre: e.Site.Regions,
 		Sessions: &relay.Sessions{
-			Idle: e.Site.Bounds.SessionIdle,
+			IdleTimeout: e.Site.Bounds.SessionIdle,
 		},
-		Evidence: e.evidence,
-		Pressure: &relay.Pressure{},
-		Book:     e.quarantineBook,
-		Limits:   e.pool.Limits,
-		Prober:   e.client,
-		Cascade:  e.Policy,
-		Metrics:  e.Metrics,
-		Log:      e.Log,
+		CanaryStats:        e.evidence,
+		ModelStats:         &relay.ModelStats{},
+		QuarantineRecorder: e.quarantineRecorder,
+		RateLimits:         e.pool.RateLimits,
+		Prober:             e.client,
+		Cascade:            e.CascadePolicy,
+		Metrics:            e.Metrics,
+		Log:                e.Log,
 	}
 	e.node = &peer.Node{
 		VM:      e.Site.Peer.String(),
@@ -126,8 +126,8 @@
 // its end.
 func (e *Entry) upstreamRestarted(previous, current persimmoncross.Upstream) {
 	metrics.GetOrRegisterCounter("upstreams.again", e.Metrics).Inc(1)
-	blamed := e.quarantineBook.Succeeded(previous.Life(), e.Clock.Now())
-	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.Started).Str("by", current.Incarnation).Time("started", current.Started).Str("address", current.Address.String()).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
+	blamed := e.quarantineRecorder.InstanceReplaced(previous.InstanceID(), e.Clock.Now())
+	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.StartedAt).Str("by", current.Incarnation).Time("started", current.StartedAt).Str("address", current.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
 }
 
 // SetSeeds takes the seeds of a file that was read again.
@@ -175,24 +175,24 @@
 
 		DataCentre: e.Site.DataCentre,
 
-		Node:     e.node,
-		Clock:    e.Clock,
-		Log:      e.Log,
-		Metrics:  e.Metrics,
-		Seeds:    func() []string { return *e.seeds.Load() },
-		Accounts: e.reports,
-		Take:     e.applyUpdate,
+		Node:        e.node,
+		Clock:       e.Clock,
+		Log:         e.Log,
+		Metrics:     e.Metrics,
+		Seeds:       func() []string { return *e.seeds.Load() },
+		Reports:     e.reports,
+		ApplyUpdate: e.applyUpdate,
 
-		Held:         e.heldDocument,
-		TakeDocument: e.applyDocument,
+		HeldDocument:  e.heldDocument,
+		ApplyDocument: e.applyDocument,
 
-		Loads:     e.loadReport,
-		TakeLoads: e.applyLoads,
+		LoadReport: e.loadReport,
+		ApplyLoads: e.applyLoads,
 
-		Incarnation: e.incarnation,
-		Cases:       e.changedCases,
-		Limits:      e.pool.Limits,
-		TakeHolds:   e.applyHolds,
+		Incarnation:      e.incarnation,
+		CasesSince:       e.changedCases,
+		Limits:           e.pool.RateLimits,
+		ApplyQuarantines: e.applyQuarantines,
 	}
 	loops.Go(func() { e.follower.run(ctx) })
 	loops.Wait()
@@ -209,17 +209,17 @@
 		e.leasedAt = e.Clock.Now()
 	}
 	if e.entries.update(int(u.GetEntries()), e.Clock.Now()) {
-		e.pool.SetEntries(e.entries.count)
+		e.pool.SetEntryCount(e.entries.count)
 		changed = true
 	}
 	if len(u.GetState()) > 0 && u.GetIndex() > e.stateIndex {
 		changed = e.applyState(u.GetState()) || changed
 	}
 	if cold := coldUpstreamsOf(u, e.Clock.Now()); cold != nil {
-		e.pool.Chill(cold)
+		e.pool.SetCold(cold)
 	}
 	if limits := fromWireLimits(u.GetLimits(), e.Clock.Now()); len(limits) > 0 {
-		e.pool.MergeLimits(limits)
+		e.pool.MergeRateLimits(limits)
 	}
 	listApplied := true
 	if u.GetAge() >= 0 {
@@ -289,17 +289,17 @@
 // publishView makes the view that requests are served from.
 func (e *Entry) publishView() {
 	v := &relay.View{
-		Catalog: e.catalog,
-		Targets: e.targets,
-		Entries: e.entries.count,
+		Catalog:    e.catalog,
+		Targets:    e.targets,
+		EntryCount: e.entries.count,
 
-		Holds: e.effectiveHolds(),
+		Quarantines: e.effectiveQuarantines(),
 	}
 	if s := e.state; s != nil {
 		v.Upgrades = s.Upgrades
 		v.Targets = availableTargets(e.targets, s.Evacuations)
 	}
-	v.Reserved = relay.Reserve(v.Holds, v.Targets)
+	v.ReservedInstances = relay.ReservedInstances(v.Quarantines, v.Targets)
 	e.view.Store(v)
 	running := map[uint64]bool{}
 	for _, u := range v.Upgrades {
@@ -307,12 +307,12 @@
 			running[u.Order] = true
 		}
 	}
-	e.evidence.Forget(running)
+	e.evidence.Prune(running)
 	number := uint64(0)
 	if v.Catalog != nil {
 		number = v.Catalog.Number
 	}
-	e.Log.Info().Uint64("index", e.stateIndex).Uint64("number", number).Int("services", len(v.Targets)).Int("entries", v.Entries).Int("holds", len(v.Holds)).Strs("evacuated", evacuatedDataCentres(e.state)).Msg("view")
+	e.Log.Info().Uint64("index", e.stateIndex).Uint64("number", number).Int("services", len(v.Targets)).Int("entries", v.EntryCount).Int("holds", len(v.Quarantines)).Strs("evacuated", evacuatedDataCentres(e.state)).Msg("view")
 }
 
 // reports returns what this entry saw of upgrades.
@@ -327,12 +327,12 @@
 			Service: k.Service,
 			Version: k.Version,
 			Route:   k.Route,
-			Order:   k.Order,
-			Runs:    c.Runs,
+			Order:   k.UpgradeOrder,
+			Runs:    c.Executions,
 			Failed:  c.Failed,
-			Timed:   c.Timed,
-			Time:    c.Time,
-			Square:  c.Square,
+			Timed:   c.DurationCount,
+			Time:    c.DurationSum,
+			Square:  c.DurationSquareSum,
 		})
 	}
 	a.Recent = e.recentSessions()
@@ -351,11 +351,11 @@
 		if u.Stage != register.Prepare {
 			continue
 		}
-		share := upgrade.TrialShare(u.Duration, e.Site.Bounds.ExposureShare)
+		share := upgrade.CanaryShare(u.Duration, e.Site.Bounds.ExposureShare)
 		list = append(list, &wire.Recent{
 			Service:  u.Service,
 			Order:    u.Order,
-			Sessions: e.relay.Sessions.Recent(u, share, e.Clock.Now()),
+			Sessions: e.relay.Sessions.SessionsToPin(u, share, e.Clock.Now()),
 		})
 	}
 	return list
@@ -365,23 +365,23 @@
 func (e *Entry) loadReport() []*wire.UpstreamLoad {
 	now := e.Clock.Now()
 	list := []*wire.UpstreamLoad{}
-	for _, l := range e.pool.Loads() {
+	for _, l := range e.pool.CollectLoads() {
 		x := &wire.UpstreamLoad{
-			Life: l.Life,
-			Work: uint32(l.Work / time.Millisecond),
+			Life: l.InstanceID,
+			Work: uint32(l.PrefillTime / time.Millisecond),
 		}
-		if l.Told != nil {
+		if l.Reported != nil {
 			x.Told = true
-			x.Running = uint32(l.Told.Running)
-			x.Waiting = uint32(l.Told.Waiting)
-			x.Age = uint32(max(now.Sub(l.At), 0) / time.Millisecond)
+			x.Running = uint32(l.Reported.Running)
+			x.Waiting = uint32(l.Reported.Waiting)
+			x.Age = uint32(max(now.Sub(l.ReportedAt), 0) / time.Millisecond)
 		}
-		if l.Doubted {
+		if l.Suspected {
 			x.Doubters = 1
 		}
-		if l.Heard {
+		if l.Received {
 			x.Heard = true
-			x.Silence = uint32(l.Silence / time.Millisecond)
+			x.Silence = uint32(l.SinceReceived / time.Millisecond)
 		}
 		list = append(list, x)
 	}
@@ -390,5 +390,5 @@
 
 // applyLoads passes on what all entries know.
 func (e *Entry) applyLoads(ids []string, loads []byte) {
-	e.pool.Learn(decodeLoads(ids, loads))
+	e.pool.ApplyFleetLoads(decodeLoads(ids, loads))
 }
--- a/internal/node/entrycount_test.go
+++ b/internal/node/entrycount_test.go
@@ -14,7 +14,7 @@
 	}
 	allKnowCount := func() bool {
 		for _, e := range entries {
-			if v := e.view.Load(); v == nil || v.Entries != len(entries) {
+			if v := e.view.Load(); v == nil || v.EntryCount != len(entries) {
 				return false
 			}
 		}
@@ -22,7 +22,7 @@
 	}
 	f.waitFor("all know their number", allKnowCount)
 	for _, name := range []string{"vm1", "vm2", "vm3"} {
-		if f.processes[name].controller.Leads() {
+		if f.processes[name].controller.IsLeader() {
 			f.stop(name)
 			break
 		}
@@ -30,7 +30,7 @@
 	lowest := len(entries)
 	for deadline := time.Now().Add(2 * keepaliveInterval); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		for _, e := range entries {
-			lowest = min(lowest, e.view.Load().Entries)
+			lowest = min(lowest, e.view.Load().EntryCount)
 		}
 	}
 	if lowest < len(entries) {
--- a/internal/node/error.go
+++ b/internal/node/error.go
@@ -7,9 +7,9 @@
 
 // The kinds of error.
 const (
-	Start       Kind = iota + 1 // the process cannot start
+	StartFailed Kind = iota + 1 // the process cannot start
 	Unavailable                 // no quorum of controllers answered in time
-	Unknown                     // what the order names is not there
+	NotFound                    // what the order names is not there
 )
 
 // Error is what the package's operations return.
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -123,7 +123,7 @@
 	checkServedIn(t, upstreams, entries, "b")
 
 	f.declare(leader, 2)
-	f.retryUntilAcknowledged("an upgrade begins", func() error { return leader.Begin(context.Background(), "s", "v2", time.Minute) })
+	f.retryUntilAcknowledged("an upgrade begins", func() error { return leader.BeginUpgrade(context.Background(), "s", "v2", time.Minute) })
 	f.evacuate(leader, "b", false)
 	f.evacuate(leader, "a", true)
 	f.waitFor("the other one is left", haveTargets(entries, 4, 0))
@@ -143,7 +143,7 @@
 	f, upstreams, entries := newRunningFleet(t, 49, 4)
 	c := f.processes["vm1"].controller
 	var unknown *Error
-	if err := c.Evacuate(context.Background(), "nowhere", false); !errors.As(err, &unknown) || unknown.Kind != Unknown {
+	if err := c.Evacuate(context.Background(), "nowhere", false); !errors.As(err, &unknown) || unknown.Kind != NotFound {
 		t.Errorf("an unknown data centre: %v", err)
 	}
 	f.evacuate(c, "a", false)
@@ -203,7 +203,7 @@
 		t.Errorf("before the list: %v", err)
 	}
 	c.publisher.setList(testUpstreams(1), time.Now())
-	if err := c.Evacuate(context.Background(), "a", false); !errors.As(err, &e) || e.Kind != Unknown {
+	if err := c.Evacuate(context.Background(), "a", false); !errors.As(err, &e) || e.Kind != NotFound {
 		t.Errorf("a data centre that is not on it: %v", err)
 	}
 	c.store.log.Close()
--- a/internal/node/crasher_test.go
+++ b/internal/node/fake_upstream_test.go
@@ -29,23 +29,23 @@
 // testCodec is a codec for the stand-ins below.
 type testCodec struct{}
 
-func (testCodec) Encode(h http.Header, a *persimmoncross.PassageAttempt, _ time.Duration) {
-	h.Set("Request", a.Passage.ID)
+func (testCodec) Encode(h http.Header, a *persimmoncross.ProxyAttempt, _ time.Duration) {
+	h.Set("Request", a.Request.ID)
 	h.Set("Incarnation", a.Upstream.Incarnation)
-	if a.LastEvent != "" {
-		h.Set("After", a.LastEvent)
+	if a.LastEventID != "" {
+		h.Set("After", a.LastEventID)
 	}
 }
 
-func (testCodec) Decode(status int, h http.Header) persimmoncross.PassageHead {
+func (testCodec) Decode(status int, h http.Header) persimmoncross.ProxyResponseHead {
 	limit, _ := strconv.ParseFloat(h.Get("Limit"), 64)
-	return persimmoncross.PassageHead{
-		Status:      status,
-		Request:     h.Get("Request"),
-		Signed:      true,
-		Misdirected: status == http.StatusMisdirectedRequest,
-		Confidence:  -1,
-		Limit:       limit,
+	return persimmoncross.ProxyResponseHead{
+		Status:          status,
+		RequestID:       h.Get("Request"),
+		HasSignature:    true,
+		Misdirected:     status == http.StatusMisdirectedRequest,
+		ModelConfidence: -1,
+		RateLimit:       limit,
 	}
 }
 
@@ -374,7 +374,7 @@
 	body   bytes.Buffer
 }
 
-func (r *responseRecorder) Head(h persimmoncross.PassageHead) error {
+func (r *responseRecorder) WriteHead(h persimmoncross.ProxyResponseHead) error {
 	r.status = h.Status
 	return nil
 }
@@ -398,17 +398,17 @@
 	id := fmt.Sprint("p", requestIDs.last)
 	requestIDs.mu.Unlock()
 	now := time.Now()
-	p := &persimmoncross.Passage{
-		ID:       id,
-		Method:   http.MethodPost,
-		Host:     "h",
-		Path:     "/" + route + "/x",
-		Target:   "/" + route + "/x",
-		Header:   http.Header{},
-		Body:     []byte(body),
-		Content:  sha256.Sum256([]byte(body)),
-		Arrived:  now,
-		Deadline: now.Add(10 * time.Second),
+	p := &persimmoncross.ProxyRequest{
+		ID:            id,
+		Method:        http.MethodPost,
+		Host:          "h",
+		Path:          "/" + route + "/x",
+		RequestTarget: "/" + route + "/x",
+		Header:        http.Header{},
+		Body:          []byte(body),
+		BodyDigest:    sha256.Sum256([]byte(body)),
+		ArrivedAt:     now,
+		Deadline:      now.Add(10 * time.Second),
 	}
 	recorder := &responseRecorder{}
 	return recorder, e.Relay().Serve(context.Background(), p, recorder)
--- a/internal/node/ownlist.go
+++ b/internal/node/fallbacklist.go
@@ -82,7 +82,7 @@
 func (e *Entry) readFallbackList(ctx context.Context, startedAt time.Time) bool {
 	readCtx, cancel := context.WithTimeout(ctx, fallbackReadTimeout)
 	defer cancel()
-	list, err := e.Lister.Upstreams(readCtx)
+	list, err := e.Lister.ListUpstreams(readCtx)
 	if err != nil {
 		e.Log.Warn().Err(err).Msg("the list of upstreams was not read")
 		return false
--- a/internal/node/env_test.go
+++ b/internal/node/fleet_test.go
@@ -47,7 +47,7 @@
 	failing   bool
 }
 
-func (l *fakeLister) Upstreams(context.Context) ([]persimmoncross.Upstream, error) {
+func (l *fakeLister) ListUpstreams(context.Context) ([]persimmoncross.Upstream, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
@@ -223,12 +223,12 @@
 	var list []*catalog.Route
 	for _, r := range []struct {
 		name        string
-		repeat      persimmoncross.Repeat
+		repeat      persimmoncross.RetryMode
 		maxAttempts int
 	}{
-		{"stream", persimmoncross.RepeatResume, 3},
-		{"safe", persimmoncross.RepeatFreely, 3},
-		{"once", persimmoncross.RepeatNever, 1},
+		{"stream", persimmoncross.RetryResume, 3},
+		{"safe", persimmoncross.RetryFreely, 3},
+		{"once", persimmoncross.RetryNever, 1},
 	} {
 		list = append(list, &catalog.Route{
 			Name:        r.name,
@@ -281,7 +281,7 @@
 func (f *fleet) declare(c *Controller, number uint64) {
 	f.t.Helper()
 	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
-		return c.Declare(context.Background(), number, []byte(fmt.Sprint(number))) == nil
+		return c.PublishDocument(context.Background(), number, []byte(fmt.Sprint(number))) == nil
 	})
 }
 
@@ -290,7 +290,7 @@
 	f.t.Helper()
 	number := uint64(0)
 	f.waitFor("a read is answered", func() bool {
-		s, err := c.Read(context.Background())
+		s, err := c.ReadState(context.Background())
 		if err == nil {
 			number = s.Number
 		}
@@ -302,5 +302,5 @@
 // waitForVoters waits until so many members vote, none of them of a lost identity.
 func (f *fleet) waitForVoters(c *Controller, n int) {
 	f.t.Helper()
-	f.waitFor(fmt.Sprint(n, " voters"), func() bool { return len(c.group.View().Set.Voters) == n })
+	f.waitFor(fmt.Sprint(n, " voters"), func() bool { return len(c.group.View().Config.Voters) == n })
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -39,37 +39,37 @@
 	Entry bool
 	// DataCentre is that of this VM. Controllers there are followed before others; "":
 	// any.
-	DataCentre string
-	Node       *peer.Node
-	Clock      persimmoncross.Clock
-	Log        zerolog.Logger
-	Metrics    metrics.Registry
-	Seeds      func() []string
-	Only       func() string // the one controller to follow; nil: any
-	Accounts   func() []*wire.Account
-	// Loads returns what the follower knows of the upstreams' loads.
-	Loads func() []*wire.UpstreamLoad
-	// TakeLoads takes the loads that the controller knows of: loadBytes for each
+	DataCentre     string
+	Node           *peer.Node
+	Clock          persimmoncross.Clock
+	Log            zerolog.Logger
+	Metrics        metrics.Registry
+	Seeds          func() []string
+	OnlyController func() string // the one controller to follow; nil: any
+	Reports        func() []*wire.Account
+	// LoadReport returns what the follower knows of the upstreams' loads.
+	LoadReport func() []*wire.UpstreamLoad
+	// ApplyLoads takes the loads that the controller knows of: loadBytes for each
 	// of the lives.
-	TakeLoads func(lives []string, loads []byte)
+	ApplyLoads func(lives []string, loads []byte)
 	// Incarnation tells this process from those before it; "" where that says
 	// nothing.
 	Incarnation string
-	// Cases returns what changed of the cases that the follower knows of since a
+	// CasesSince returns what changed of the cases that the follower knows of since a
 	// count of news, 0 for all, and the count now; may be nil.
-	Cases func(since uint64) ([]*wire.Case, uint64)
+	CasesSince func(since uint64) ([]*wire.Case, uint64)
 	// Limits are those that the follower knows of.
 	Limits *ratelimit.Store
-	// TakeHolds brings the holds of the state with the index into force; nil where
+	// ApplyQuarantines brings the holds of the state with the index into force; nil where
 	// they come with the log.
-	TakeHolds func(held uint64, holds map[persimmoncross.Digest]persimmoncross.Hold)
-	// Held returns the document that is held here, TakeDocument brings another into
+	ApplyQuarantines func(held uint64, holds map[persimmoncross.Digest]persimmoncross.Quarantine)
+	// HeldDocument returns the document that is held here, TakeDocument brings another into
 	// force; nil where documents come with the log.
-	Held         func() document
-	TakeDocument func(number uint64, source []byte)
-	// Take brings an update into force. It returns false if the update's list is
+	HeldDocument  func() document
+	ApplyDocument func(number uint64, source []byte)
+	// ApplyUpdate brings an update into force. It returns false if the update's list is
 	// older than the one in force; the list then comes again with the next update.
-	Take func(u *wire.Update) bool
+	ApplyUpdate func(u *wire.Update) bool
 
 	mu                 sync.Mutex // guards all below
 	controllers        []string
@@ -126,8 +126,8 @@
 // order of this VM's own, so that the followers spread over all; the one that failed
 // last comes last.
 func (f *follower) candidates() []string {
-	if f.Only != nil {
-		if only := f.Only(); only != "" {
+	if f.OnlyController != nil {
+		if only := f.OnlyController(); only != "" {
 			return []string{only}
 		}
 		return nil
@@ -315,7 +315,7 @@
 		if err := current.handleUpdate(f, u); err != nil {
 			return nil, err
 		}
-		if f.Only != nil && f.Only() != current.controller {
+		if f.OnlyController != nil && f.OnlyController() != current.controller {
 			return nil, nil
 		}
 		now := f.Clock.Now()
@@ -327,7 +327,7 @@
 			unleasedSince = time.Time{}
 		case unleasedSince.IsZero():
 			unleasedSince = now
-		case now.Sub(unleasedSince) > staleTimeout && f.Only == nil:
+		case now.Sub(unleasedSince) > staleTimeout && f.OnlyController == nil:
 			return nil, errStaleController
 		}
 	}
@@ -386,14 +386,14 @@
 func (f *follower) sendReports(ctx context.Context, s *peer.Stream) {
 	lastReportSent, lastReportCheck := time.Time{}, time.Time{}
 	lastLoadsEmpty := false // the account of loads before was empty
-	sent := sentTrials{}
+	sent := sentCanaryStats{}
 	casesVersion, limitsVersion := uint64(0), uint64(0)
 	for {
 		now := f.Clock.Now()
 		if now.Sub(lastReportCheck) >= reportInterval {
 			lastReportCheck = now
 			keepaliveDue := now.Sub(lastReportSent) >= keepaliveInterval
-			for _, a := range f.Accounts() {
+			for _, a := range f.Reports() {
 				a = sent.delta(a)
 				if f.Entry && !keepaliveDue && len(a.GetTrials()) == 0 && len(a.GetRecent()) == 0 {
 					continue
@@ -405,7 +405,7 @@
 			}
 		}
 		a := &wire.Account{
-			Loads: f.Loads(),
+			Loads: f.LoadReport(),
 		}
 		if len(a.Loads) > 0 || !lastLoadsEmpty {
 			if s.Send(a) != nil {
@@ -414,8 +414,8 @@
 		}
 		lastLoadsEmpty = len(a.Loads) == 0
 		var cases []*wire.Case
-		if f.Cases != nil {
-			cases, casesVersion = f.Cases(casesVersion)
+		if f.CasesSince != nil {
+			cases, casesVersion = f.CasesSince(casesVersion)
 		}
 		for part := range slices.Chunk(cases, maxCasesPerReport) {
 			if s.Send(f.caseReport(part)) != nil {
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -69,13 +69,13 @@
 	go controller.Run(ctx)
 	go entry.Run(ctx)
 	return &follower{
-		Name:    "entry",
-		Node:    entry,
-		Clock:   persimmoncross.SystemClock{},
-		Log:     zerolog.Nop(),
-		Metrics: metrics.NewRegistry(),
-		Seeds:   func() []string { return []string{listener.Addr().String()} },
-		Take:    func(*wire.Update) bool { return true },
+		Name:        "entry",
+		Node:        entry,
+		Clock:       persimmoncross.SystemClock{},
+		Log:         zerolog.Nop(),
+		Metrics:     metrics.NewRegistry(),
+		Seeds:       func() []string { return []string{listener.Addr().String()} },
+		ApplyUpdate: func(*wire.Update) bool { return true },
 	}
 }
 
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -21,12 +21,12 @@
 
 // Of holds and cases.
 const (
-	judgeInterval       = 100 * time.Millisecond
-	idleJudgeInterval   = time.Second // where nothing new was told
-	maxCasesPerReport   = 128         // in an account: 10 KB with an end or two each
-	maxHoldsPerMessage  = 64          // in an update or a command: 4 KB
-	maxCasesPerReporter = 1024        // that a controller keeps of each
-	maxJudgedCases      = 4096        // that are judged: 1 MB
+	judgeInterval            = 100 * time.Millisecond
+	idleJudgeInterval        = time.Second // where nothing new was told
+	maxCasesPerReport        = 128         // in an account: 10 KB with an end or two each
+	maxQuarantinesPerMessage = 64          // in an update or a command: 4 KB
+	maxCasesPerReporter      = 1024        // that a controller keeps of each
+	maxJudgedCases           = 4096        // that are judged: 1 MB
 )
 
 // caseAggregator keeps what the followers of a controller saw. What an entry told that
@@ -41,7 +41,7 @@
 
 // versionedCase is a case with the count of news that it came with.
 type versionedCase struct {
-	quarantine.Case
+	quarantine.Record
 	version uint64
 }
 
@@ -65,7 +65,7 @@
 	for _, c := range wire.Cases(cases, now) {
 		if _, known := reporterCases[c.Digest]; known || len(reporterCases) < maxCasesPerReporter {
 			reporterCases[c.Digest] = versionedCase{
-				Case:    c,
+				Record:  c,
 				version: a.version,
 			}
 		}
@@ -95,7 +95,7 @@
 
 // mergedSince returns what all senders saw, of the digests that came with news since the
 // count, and the count now.
-func (a *caseAggregator) mergedSince(since uint64, now time.Time) ([]quarantine.Case, uint64) {
+func (a *caseAggregator) mergedSince(since uint64, now time.Time) ([]quarantine.Record, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.removeStale(now)
@@ -107,12 +107,12 @@
 			}
 		}
 	}
-	var lists [][]quarantine.Case
+	var lists [][]quarantine.Record
 	for _, cases := range a.byReporter {
-		var list []quarantine.Case
+		var list []quarantine.Record
 		for d, c := range cases {
 			if changed[d] {
-				list = append(list, c.Case)
+				list = append(list, c.Record)
 			}
 		}
 		lists = append(lists, list)
@@ -120,12 +120,12 @@
 	return quarantine.Merge(lists, maxJudgedCases), a.version
 }
 
-// holdTracker remembers since when this process has known of each hold. One goroutine
+// quarantineTracker remembers since when this process has known of each hold. One goroutine
 // owns it.
-type holdTracker map[persimmoncross.Digest]quarantine.Held
+type quarantineTracker map[persimmoncross.Digest]quarantine.TrackedQuarantine
 
 // update takes the holds in force.
-func (t holdTracker) update(s *register.State, now time.Time) {
+func (t quarantineTracker) update(s *register.State, now time.Time) {
 	for d := range t {
 		if _, ok := s.Holds[d]; !ok {
 			delete(t, d)
@@ -133,29 +133,29 @@
 	}
 	for d, h := range s.Holds {
 		since := now
-		if old, ok := t[d]; ok && old.Hold == h {
+		if old, ok := t[d]; ok && old.Quarantine == h {
 			since = old.Since
 		}
-		t[d] = quarantine.Held{
-			Hold:  h,
-			Since: since,
+		t[d] = quarantine.TrackedQuarantine{
+			Quarantine: h,
+			Since:      since,
 		}
 	}
 }
 
-// hasWatchedHolds reports whether a request is watched: time alone may prove it.
-func (t holdTracker) hasWatchedHolds() bool {
+// hasIsolated reports whether a request is watched: time alone may prove it.
+func (t quarantineTracker) hasIsolated() bool {
 	for _, h := range t {
-		if h.Stage == persimmoncross.HoldWatch {
+		if h.Stage == persimmoncross.QuarantineIsolate {
 			return true
 		}
 	}
 	return false
 }
 
-// runHoldJudge judges, while this controller leads, which requests end upstreams.
-func (c *Controller) runHoldJudge(ctx context.Context) {
-	tracker := holdTracker{}
+// runQuarantineJudge judges, while this controller leads, which requests end upstreams.
+func (c *Controller) runQuarantineJudge(ctx context.Context) {
+	tracker := quarantineTracker{}
 	judgedVersion, judgedAt := uint64(0), time.Time{}
 	for {
 		select {
@@ -165,29 +165,29 @@
 		}
 		now := c.Clock.Now()
 		tracker.update(c.register.Current(), now)
-		if !c.isLeaderWithLease() || !c.cases.hasChangedSince(judgedVersion) && !tracker.hasWatchedHolds() && now.Sub(judgedAt) < idleJudgeInterval {
+		if !c.isLeaderWithLease() || !c.cases.hasChangedSince(judgedVersion) && !tracker.hasIsolated() && now.Sub(judgedAt) < idleJudgeInterval {
 			continue
 		}
-		var cases []quarantine.Case
+		var cases []quarantine.Record
 		cases, judgedVersion = c.cases.mergedSince(0, now)
 		judgedAt = now
-		if changes := quarantine.Judge(cases, tracker, now); len(changes) > 0 {
-			c.proposeHolds(ctx, changes[:min(len(changes), maxHoldsPerMessage)], now)
+		if changes := quarantine.Evaluate(cases, tracker, now); len(changes) > 0 {
+			c.proposeQuarantines(ctx, changes[:min(len(changes), maxQuarantinesPerMessage)], now)
 		}
 	}
 }
 
-// proposeHolds brings changes into force.
-func (c *Controller) proposeHolds(ctx context.Context, changes []quarantine.Change, now time.Time) {
+// proposeQuarantines brings changes into force.
+func (c *Controller) proposeQuarantines(ctx context.Context, changes []quarantine.Change, now time.Time) {
 	command := register.Command{}
 	for _, x := range changes {
-		command.Holds = append(command.Holds, x.Hold)
+		command.Holds = append(command.Holds, x.Quarantine)
 	}
 	_, err := c.propose(ctx, command)
 	for _, x := range changes {
 		c.incrementCounter("hold." + x.Stage.String())
 	}
-	quarantine.Log(c.Log, changes, now, err)
+	quarantine.LogChanges(c.Log, changes, now, err)
 }
 
 // casesForLeader returns what changed of this controller's part, for the leader.
@@ -200,35 +200,35 @@
 // changedCases returns what changed in this entry's book.
 func (e *Entry) changedCases(since uint64) ([]*wire.Case, uint64) {
 	now := e.Clock.Now()
-	cases, version := e.quarantineBook.Cases(since, now)
+	cases, version := e.quarantineRecorder.Records(since, now)
 	return wire.FromCases(cases, now), version
 }
 
-// sentHolds is what of the holds one follower has got.
-type sentHolds struct {
-	sent       map[persimmoncross.Digest]persimmoncross.Hold
+// sentQuarantines is what of the holds one follower has got.
+type sentQuarantines struct {
+	sent       map[persimmoncross.Digest]persimmoncross.Quarantine
 	stateIndex uint64 // index of the state that told is of, once it is whole
 }
 
 // addChanges puts into the update what the follower lacks, and reports whether that is
 // all.
-func (x *sentHolds) addChanges(u *wire.Update, s *register.State) bool {
+func (x *sentQuarantines) addChanges(u *wire.Update, s *register.State) bool {
 	if s == nil || s.Held == x.stateIndex {
 		return true
 	}
 	if x.sent == nil {
-		x.sent = map[persimmoncross.Digest]persimmoncross.Hold{}
+		x.sent = map[persimmoncross.Digest]persimmoncross.Quarantine{}
 	}
-	remaining := maxHoldsPerMessage
-	var changed []persimmoncross.Hold
-	add := func(h persimmoncross.Hold) {
+	remaining := maxQuarantinesPerMessage
+	var changed []persimmoncross.Quarantine
+	add := func(h persimmoncross.Quarantine) {
 		remaining--
 		changed = append(changed, h)
 	}
 	for d := range x.sent {
 		if _, ok := s.Holds[d]; !ok && remaining > 0 {
 			delete(x.sent, d)
-			add(persimmoncross.Hold{
+			add(persimmoncross.Quarantine{
 				Digest: d,
 			})
 		}
@@ -248,13 +248,13 @@
 	return true
 }
 
-// applyHolds takes changes of the holds, and returns all of them once they are whole.
-func (c *controllerStream) applyHolds(u *wire.Update) map[persimmoncross.Digest]persimmoncross.Hold {
+// applyQuarantines takes changes of the holds, and returns all of them once they are whole.
+func (c *controllerStream) applyQuarantines(u *wire.Update) map[persimmoncross.Digest]persimmoncross.Quarantine {
 	if c.holds == nil {
-		c.holds = map[persimmoncross.Digest]persimmoncross.Hold{}
+		c.holds = map[persimmoncross.Digest]persimmoncross.Quarantine{}
 	}
 	for _, h := range wire.Holds(u.GetHolds()) {
-		if h.Stage == persimmoncross.HoldFree {
+		if h.Stage == persimmoncross.QuarantineNone {
 			delete(c.holds, h.Digest)
 		} else {
 			c.holds[h.Digest] = h
@@ -266,15 +266,15 @@
 	return maps.Clone(c.holds)
 }
 
-// applyHolds brings the holds of a state into force, unless they are older than
+// applyQuarantines brings the holds of a state into force, unless they are older than
 // those here: they come from a controller that lags.
-func (e *Entry) applyHolds(index uint64, holds map[persimmoncross.Digest]persimmoncross.Hold) {
+func (e *Entry) applyQuarantines(index uint64, holds map[persimmoncross.Digest]persimmoncross.Quarantine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if index <= e.holdsIndex {
+	if index <= e.quarantinesIndex {
 		return
 	}
-	e.holdsIndex = index
+	e.quarantinesIndex = index
 	e.holds = holds
 	metrics.GetOrRegisterGauge("holds", e.Metrics).Update(int64(len(holds)))
 	e.publishView()
@@ -319,12 +319,12 @@
 		}
 		return
 	case e.localKeeper == nil:
-		e.localKeeper = &quarantine.Keeper{}
+		e.localKeeper = &quarantine.Store{}
 	}
 	e.rejoinedAt = time.Time{}
-	cases, _ := e.quarantineBook.Cases(0, now)
-	if changes := e.localKeeper.Judge(quarantine.Merge([][]quarantine.Case{cases}, maxJudgedCases), now); len(changes) > 0 {
-		quarantine.Log(e.Log, changes, now, nil)
+	cases, _ := e.quarantineRecorder.Records(0, now)
+	if changes := e.localKeeper.Evaluate(quarantine.Merge([][]quarantine.Record{cases}, maxJudgedCases), now); len(changes) > 0 {
+		quarantine.LogChanges(e.Log, changes, now, nil)
 		e.publishView()
 	}
 }
@@ -334,21 +334,21 @@
 // The caller holds mu.
 func (e *Entry) areLocalRefusalsShared() bool {
 	for _, h := range e.localKeeper.Holds() {
-		if h.Stage == persimmoncross.HoldRefuse && e.holds[h.Digest].Stage != persimmoncross.HoldRefuse {
+		if h.Stage == persimmoncross.QuarantineRefuse && e.holds[h.Digest].Stage != persimmoncross.QuarantineRefuse {
 			return false
 		}
 	}
 	return true
 }
 
-// effectiveHolds returns the holds in force here. The caller holds mu.
-func (e *Entry) effectiveHolds() map[persimmoncross.Digest]persimmoncross.Hold {
+// effectiveQuarantines returns the holds in force here. The caller holds mu.
+func (e *Entry) effectiveQuarantines() map[persimmoncross.Digest]persimmoncross.Quarantine {
 	if e.localKeeper == nil {
 		return e.holds
 	}
 	effective := maps.Clone(e.holds)
 	if effective == nil {
-		effective = map[persimmoncross.Digest]persimmoncross.Hold{}
+		effective = map[persimmoncross.Digest]persimmoncross.Quarantine{}
 	}
 	for _, h := range e.localKeeper.Holds() {
 		if h.Stage > effective[h.Digest].Stage {
--- a/internal/node/holds_test.go
+++ b/internal/node/holds_test.go
@@ -16,18 +16,18 @@
 
 // However holds change while they are sent, a follower comes to have what is in
 // force, in parts of a bounded size, and is told nothing where nothing changes.
-func TestHoldsReachFollowers(t *testing.T) {
+func TestQuarantinesReachFollowers(t *testing.T) {
 	s := &register.State{}
-	sender, receiver := &sentHolds{}, &controllerStream{}
-	var got map[persimmoncross.Digest]persimmoncross.Hold
+	sender, receiver := &sentQuarantines{}, &controllerStream{}
+	var got map[persimmoncross.Digest]persimmoncross.Quarantine
 	send := func() {
 		for range 100 {
 			u := &wire.Update{}
 			complete := sender.addChanges(u, s)
-			if len(u.GetHolds()) > maxHoldsPerMessage {
+			if len(u.GetHolds()) > maxQuarantinesPerMessage {
 				t.Fatalf("%d holds in an update", len(u.GetHolds()))
 			}
-			if received := receiver.applyHolds(u); received != nil {
+			if received := receiver.applyQuarantines(u); received != nil {
 				got = received
 			}
 			if complete {
@@ -37,14 +37,14 @@
 		t.Fatal("there is no end")
 	}
 	for step, n := range []int{1, 300, 299, 5, 0, 64, 128} {
-		holds := map[persimmoncross.Digest]persimmoncross.Hold{}
+		holds := map[persimmoncross.Digest]persimmoncross.Quarantine{}
 		for i := range n {
-			holds[testDigest(i*(step+1))] = persimmoncross.Hold{
-				Digest:  testDigest(i * (step + 1)),
-				Service: "s",
-				Stage:   persimmoncross.HoldStage(1 + i%2),
-				Trial:   fmt.Sprint(i % 3),
-				Try:     i,
+			holds[testDigest(i*(step+1))] = persimmoncross.Quarantine{
+				Digest:     testDigest(i * (step + 1)),
+				Service:    "s",
+				Stage:      persimmoncross.QuarantineStage(1 + i%2),
+				TrialVM:    fmt.Sprint(i % 3),
+				TrialCount: i,
 			}
 		}
 		s = &register.State{
@@ -73,15 +73,15 @@
 		clock: clock,
 	}
 	report := func(sender string, n int, life string) {
-		b.receive(sender, wire.FromCases([]quarantine.Case{{
+		b.receive(sender, wire.FromCases([]quarantine.Record{{
 			Digest:  testDigest(n),
 			Service: "s",
-			Ends: []quarantine.End{{
-				Life: life,
-				At:   clock.now.Add(-time.Second),
-				Ran:  20 * time.Millisecond,
+			Crashes: []quarantine.Crash{{
+				InstanceID: life,
+				At:         clock.now.Add(-time.Second),
+				RunTime:    20 * time.Millisecond,
 			}},
-			Asked: clock.now,
+			LastRequested: clock.now,
 		}}, clock.now))
 	}
 	for i, sender := range []string{"a#1", "a#2", "b#1"} {
@@ -89,7 +89,7 @@
 	}
 	report("c#1", 1, "life0") // the same end, seen by another
 	cases, version := b.mergedSince(0, now)
-	if len(cases) != 1 || len(cases[0].Ends) != 3 || cases[0].Digest != testDigest(1) {
+	if len(cases) != 1 || len(cases[0].Crashes) != 3 || cases[0].Digest != testDigest(1) {
 		t.Fatalf("%+v", cases)
 	}
 	if more, _ := b.mergedSince(version, now); len(more) != 0 {
--- a/internal/node/large_test.go
+++ b/internal/node/large_documents_test.go
@@ -142,7 +142,7 @@
 func (f *fleet) declareDocument(c *Controller, number uint64, document []byte) {
 	f.t.Helper()
 	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
-		return c.Declare(context.Background(), number, document) == nil
+		return c.PublishDocument(context.Background(), number, document) == nil
 	})
 }
 
@@ -268,7 +268,7 @@
 		t.Errorf("a change of one route took %d bytes", got)
 	}
 	if got := link.bytesSentDuring(func() {
-		f.waitFor("an upgrade begins", func() bool { return controllers[2].Begin(context.Background(), "s", "v2", time.Second) == nil })
+		f.waitFor("an upgrade begins", func() bool { return controllers[2].BeginUpgrade(context.Background(), "s", "v2", time.Second) == nil })
 		f.waitFor("it has ended", func() bool {
 			v := e.view.Load()
 			return v.Upgrades["s"].Stage.Ended()
--- a/internal/node/duties.go
+++ b/internal/node/leaderloops.go
@@ -62,7 +62,7 @@
 	startedAt := c.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
-	list, err := c.Lister.Upstreams(ctx)
+	list, err := c.Lister.ListUpstreams(ctx)
 	if err != nil {
 		c.incrementCounter("list.failed")
 		c.Log.Warn().Err(err).Msg("the list of upstreams was not read")
@@ -90,19 +90,19 @@
 func (c *Controller) changeVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, voterChangeTimeout)
 	defer cancel()
-	facts := steward.Facts{
-		Self:     c.store.member,
-		Voters:   c.group.View().Set.Voters,
-		Silence:  map[persimmoncross.MemberID]time.Duration{},
-		Wanted:   2*c.Site.Losses + 1,
-		Patience: voterSilenceTimeout,
+	facts := steward.GroupStatus{
+		Self:               c.store.member,
+		Voters:             c.group.View().Config.Voters,
+		TimeSinceContact:   map[persimmoncross.MemberID]time.Duration{},
+		TargetVoters:       2*c.Site.Losses + 1,
+		UnreachableTimeout: voterSilenceTimeout,
 	}
-	for _, member := range c.group.Members(ctx) {
+	for _, member := range c.group.MemberStatuses(ctx) {
 		if member.Voter {
-			facts.Silence[member.Member.ID] = member.Silence
+			facts.TimeSinceContact[member.Member.ID] = member.TimeSinceContact
 			continue
 		}
-		if member.Silence > voterSilenceTimeout {
+		if member.TimeSinceContact > voterSilenceTimeout {
 			continue // it may never come back
 		}
 		facts.Learners = append(facts.Learners, steward.Learner{
@@ -110,8 +110,8 @@
 			CaughtUp: member.CaughtUp,
 		})
 	}
-	change := steward.Decide(facts)
-	if change.None() {
+	change := steward.NextChange(facts)
+	if change.IsZero() {
 		return
 	}
 	var err error
@@ -188,7 +188,7 @@
 func (c *Controller) advanceUpgrade(ctx context.Context, u register.Upgrade, elapsed time.Duration, reports []*wire.Account) {
 	list, _ := c.publisher.upstreams()
 	list = availableUpstreams(list, c.register.Current().Evacuations)
-	stage, reason := upgrade.Decide(u, elapsed, c.exposure(), sumTrials(u, reports), isTargetReady(u, list))
+	stage, reason := upgrade.NextStage(u, elapsed, c.exposure(), sumCanaryStats(u, reports), isTargetReady(u, list))
 	if stage == u.Stage {
 		return
 	}
@@ -204,10 +204,10 @@
 }
 
 // exposure returns what an unproven version may get.
-func (c *Controller) exposure() upgrade.Exposure {
-	return upgrade.Exposure{
-		Share: c.Site.Bounds.ExposureShare,
-		Slack: c.Site.Bounds.ExposureSlack,
+func (c *Controller) exposure() upgrade.ExposureLimit {
+	return upgrade.ExposureLimit{
+		Share:         c.Site.Bounds.ExposureShare,
+		ExtraRequests: c.Site.Bounds.ExposureSlack,
 	}
 }
 
@@ -234,7 +234,7 @@
 	updated, others := 0, 0
 	for _, x := range list {
 		switch {
-		case x.Service != u.Service || x.Leaving:
+		case x.Service != u.Service || x.Draining:
 		case x.Version == u.Target:
 			updated++
 		default:
@@ -244,11 +244,11 @@
 	return updated > 0 && 4*updated >= 3*others
 }
 
-// sumTrials adds up the accounts on one upgrade.
-func sumTrials(u register.Upgrade, reports []*wire.Account) upgrade.Pool {
-	total := upgrade.Pool{
-		New: map[string]upgrade.Count{},
-		Old: map[string]upgrade.Count{},
+// sumCanaryStats adds up the accounts on one upgrade.
+func sumCanaryStats(u register.Upgrade, reports []*wire.Account) upgrade.Evidence {
+	total := upgrade.Evidence{
+		New: map[string]upgrade.AnswerStats{},
+		Old: map[string]upgrade.AnswerStats{},
 	}
 	for _, a := range reports {
 		for _, t := range a.GetTrials() {
@@ -260,11 +260,11 @@
 				counts = total.New
 			}
 			c := counts[t.GetRoute()]
-			c.Runs += t.GetRuns()
+			c.Answers += t.GetRuns()
 			c.Failed += t.GetFailed()
-			c.Timed += t.GetTimed()
-			c.Time += t.GetTime()
-			c.Square += t.GetSquare()
+			c.TimedAnswers += t.GetTimed()
+			c.TotalSeconds += t.GetTime()
+			c.TotalSquaredSeconds += t.GetSquare()
 			counts[t.GetRoute()] = c
 		}
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -29,7 +29,7 @@
 // addLimits puts the limits that have changed into an update for a follower.
 func (p *publisher) addLimits(u *wire.Update, s *followerState) {
 	var changes []ratelimit.Observation
-	changes, s.limitsVersion, s.hasMoreLimits = p.limits.Since(s.limitsVersion, maxLimitsPerMessage)
+	changes, s.limitsVersion, s.hasMoreLimits = p.limits.ChangesSince(s.limitsVersion, maxLimitsPerMessage)
 	u.Limits = toWireLimits(changes, p.clock.Now())
 }
 
@@ -38,7 +38,7 @@
 func (f *follower) sendLimits(s *peer.Stream, version uint64) (uint64, error) {
 	for more := true; more; {
 		var changes []ratelimit.Observation
-		changes, version, more = f.Limits.Since(version, maxLimitsPerMessage)
+		changes, version, more = f.Limits.ChangesSince(version, maxLimitsPerMessage)
 		if len(changes) == 0 {
 			continue
 		}
@@ -53,9 +53,9 @@
 	var limits []*wire.Limit
 	for _, o := range list {
 		limits = append(limits, &wire.Limit{
-			Life: o.Life,
+			Life: o.InstanceID,
 			Rate: float32(o.Rate),
-			Age:  uint32(max(now.Sub(o.At), 0) / time.Millisecond),
+			Age:  uint32(max(now.Sub(o.ObservedAt), 0) / time.Millisecond),
 		})
 	}
 	return limits
@@ -65,9 +65,9 @@
 	var list []ratelimit.Observation
 	for _, x := range limits {
 		list = append(list, ratelimit.Observation{
-			Life: x.GetLife(),
-			Rate: float64(x.GetRate()),
-			At:   now.Add(-time.Duration(x.GetAge()) * time.Millisecond),
+			InstanceID: x.GetLife(),
+			Rate:       float64(x.GetRate()),
+			ObservedAt: now.Add(-time.Duration(x.GetAge()) * time.Millisecond),
 		})
 	}
 	return list
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -127,7 +127,7 @@
 		since = append(since, upstreams.setRateLimit(upstreams.all[i], limit))
 	}
 	for _, name := range []string{"vm1", "vm2", "vm3"} {
-		if f.processes[name].controller.Leads() {
+		if f.processes[name].controller.IsLeader() {
 			f.stop(name)
 			break
 		}
@@ -149,7 +149,7 @@
 func entriesWithRateLimit(entries []*Entry, u *fakeUpstream) (count int) {
 	for _, e := range entries {
 		for _, t := range e.view.Load().Targets["s"] {
-			if t.Incarnation == u.incarnation && e.pool.Limits.Rate(t.Life()) > 0 {
+			if t.Incarnation == u.incarnation && e.pool.RateLimits.Rate(t.InstanceID()) > 0 {
 				count++
 			}
 		}
@@ -198,9 +198,9 @@
 	var limits []ratelimit.Observation
 	for i := range 3*maxLimitsPerMessage + 1 {
 		limits = append(limits, ratelimit.Observation{
-			Life: fmt.Sprint("life", i),
-			Rate: 1,
-			At:   time.Now(),
+			InstanceID: fmt.Sprint("life", i),
+			Rate:       1,
+			ObservedAt: time.Now(),
 		})
 	}
 	h.mergeLimits(limits)
@@ -226,12 +226,12 @@
 		t.Errorf("%d of %d limits in %d updates", len(received), len(limits), updates)
 	}
 	// A newer observation of the same limit is not sent, another limit is.
-	limits[0].At = limits[0].At.Add(time.Second)
+	limits[0].ObservedAt = limits[0].ObservedAt.Add(time.Second)
 	h.mergeLimits(limits[:1])
 	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) > 0 {
 		t.Error("told again")
 	}
-	limits[0].Rate, limits[0].At = 0, limits[0].At.Add(time.Second)
+	limits[0].Rate, limits[0].ObservedAt = 0, limits[0].ObservedAt.Add(time.Second)
 	h.mergeLimits(limits[:1])
 	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) != 1 || u.GetLimits()[0].GetRate() != 0 {
 		t.Errorf("the end of a limit is not told: %v", u.GetLimits())
--- a/internal/node/listsums.go
+++ b/internal/node/listchecksums.go
@@ -58,7 +58,7 @@
 	if p.checksummed == nil {
 		list := make(map[string]*wire.Upstream, len(p.list))
 		for _, u := range p.list {
-			list[u.Life()] = toWireUpstream(u)
+			list[u.InstanceID()] = toWireUpstream(u)
 		}
 		p.checksummed = &checksummedList{
 			byID:      list,
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -33,10 +33,10 @@
 func diffLists(from, to []persimmoncross.Upstream) (changed []persimmoncross.Upstream, removed []string) {
 	previous := make(map[string]persimmoncross.Upstream, len(from))
 	for _, u := range from {
-		previous[u.Life()] = u
+		previous[u.InstanceID()] = u
 	}
 	for _, u := range to {
-		id := u.Life()
+		id := u.InstanceID()
 		if old, ok := previous[id]; !ok || !equalUpstream(old, u) {
 			changed = append(changed, u)
 		}
@@ -75,7 +75,7 @@
 		p.checksummed = nil
 		p.listIDs = make([]string, 0, len(list))
 		for _, u := range list {
-			p.listIDs = append(p.listIDs, u.Life())
+			p.listIDs = append(p.listIDs, u.InstanceID())
 		}
 		slices.Sort(p.listIDs)
 		p.listIDs = slices.Compact(p.listIDs)
@@ -85,8 +85,8 @@
 }
 
 func equalUpstream(a, b persimmoncross.Upstream) bool {
-	return a.Incarnation == b.Incarnation && a.Started.Equal(b.Started) && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
-		a.Version == b.Version && a.Slots == b.Slots && a.Leaving == b.Leaving && slices.Equal(a.Models, b.Models)
+	return a.Incarnation == b.Incarnation && a.StartedAt.Equal(b.StartedAt) && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
+		a.Version == b.Version && a.Slots == b.Slots && a.Draining == b.Draining && slices.Equal(a.Models, b.Models)
 }
 
 // maxUpstreamsPerUpdate and maxRemovedPerUpdate bound an update of a list of thousands: 10 KB
@@ -277,7 +277,7 @@
 			continue
 		}
 		for _, x := range c.changed {
-			id := x.Life()
+			id := x.InstanceID()
 			changed[id] = x
 			delete(removed, id)
 		}
@@ -298,8 +298,8 @@
 
 func toWireUpstream(u persimmoncross.Upstream) *wire.Upstream {
 	started := int64(0)
-	if !u.Started.IsZero() {
-		started = u.Started.UnixMilli()
+	if !u.StartedAt.IsZero() {
+		started = u.StartedAt.UnixMilli()
 	}
 	return &wire.Upstream{
 		Started:     started,
@@ -309,7 +309,7 @@
 		Datacentre:  u.DataCentre,
 		Version:     u.Version,
 		Slots:       uint32(u.Slots),
-		Leaving:     u.Leaving,
+		Leaving:     u.Draining,
 		Models:      u.Models,
 	}
 }
@@ -338,11 +338,11 @@
 		DataCentre:  x.GetDatacentre(),
 		Version:     x.GetVersion(),
 		Slots:       int(x.GetSlots()),
-		Leaving:     x.GetLeaving(),
+		Draining:    x.GetLeaving(),
 		Models:      x.GetModels(),
 	}
 	if ms := x.GetStarted(); ms != 0 {
-		u.Started = time.UnixMilli(ms)
+		u.StartedAt = time.UnixMilli(ms)
 	}
 	return u, true
 }
--- a/internal/node/listsums_test.go
+++ b/internal/node/listsums_test.go
@@ -36,7 +36,7 @@
 func newListFollower(list *[]persimmoncross.Upstream) *follower {
 	return &follower{
 		Metrics: metrics.NewRegistry(),
-		Take: func(u *wire.Update) bool {
+		ApplyUpdate: func(u *wire.Update) bool {
 			if u.GetListed() {
 				*list = upstreamsOf(u)
 			}
@@ -61,9 +61,9 @@
 					next = testUpstreams(1)
 				}
 			case 1:
-				next[i].Leaving = !next[i].Leaving
+				next[i].Draining = !next[i].Draining
 			case 2:
-				next[i].Started = time.UnixMilli(1_700_000_000_000 + int64(random.IntN(1000)))
+				next[i].StartedAt = time.UnixMilli(1_700_000_000_000 + int64(random.IntN(1000)))
 			default:
 				next = append(next, testUpstreams(700)[600+random.IntN(100)])
 			}
@@ -95,11 +95,11 @@
 			}
 			wantByLife := map[string]persimmoncross.Upstream{}
 			for _, u := range c.list {
-				wantByLife[u.Life()] = u
+				wantByLife[u.InstanceID()] = u
 			}
 			gotByLife := map[string]persimmoncross.Upstream{}
 			for _, u := range got {
-				gotByLife[u.Life()] = u
+				gotByLife[u.InstanceID()] = u
 			}
 			if !maps.EqualFunc(wantByLife, gotByLife, equalUpstream) {
 				t.Fatalf("round %d: the follower has %d upstreams, want %d", round, len(gotByLife), len(wantByLife))
@@ -178,10 +178,10 @@
 		size[packs] = sendUpdates()
 		missing := map[string]bool{}
 		for _, u := range next {
-			missing[u.Life()] = true
+			missing[u.InstanceID()] = true
 		}
 		for _, u := range got {
-			delete(missing, u.Life())
+			delete(missing, u.InstanceID())
 		}
 		if len(got) != len(next) || len(missing) > 0 || len(a.listIDs) != len(next) || len(s.listIDs) != len(next) {
 			t.Errorf("packed %v: %d upstreams, %d missing, loads of %d and %d", packs, len(got), len(missing), len(a.listIDs), len(s.listIDs))
@@ -266,13 +266,13 @@
 			}
 			missing := map[string]bool{}
 			for _, u := range list {
-				missing[u.Life()] = true
+				missing[u.InstanceID()] = true
 			}
 			for _, u := range got {
-				if !missing[u.Life()] {
-					t.Fatalf("round %d: %s has left the list", round, u.Life())
+				if !missing[u.InstanceID()] {
+					t.Fatalf("round %d: %s has left the list", round, u.InstanceID())
 				}
-				delete(missing, u.Life())
+				delete(missing, u.InstanceID())
 			}
 			if len(missing) > 0 || len(a.listIDs) != len(list) || !slices.Equal(a.listIDs, s.listIDs) {
 				t.Fatalf("round %d: %d are missing, %d of %d known in order", round, len(missing), len(a.listIDs), len(list))
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -168,20 +168,20 @@
 	a.fleetWorkAt = a.clock.Now()
 	a.fleetWork = make(map[string]upstreamWork, len(ids))
 	for _, l := range decodeLoads(ids, loads) {
-		a.fleetWork[l.Life] = upstreamWork{
-			work:              l.Work,
-			suspectingEntries: l.Doubters,
+		a.fleetWork[l.InstanceID] = upstreamWork{
+			work:              l.PrefillTime,
+			suspectingEntries: l.SuspectingEntries,
 		}
-		if l.Heard {
-			a.updateReceived(l.Life, lastReceived{
-				receivedAt: a.fleetWorkAt.Add(-l.Silence),
+		if l.Received {
+			a.updateReceived(l.InstanceID, lastReceived{
+				receivedAt: a.fleetWorkAt.Add(-l.SinceReceived),
 			})
 		}
-		if l.Told != nil {
-			a.updateReported(l.Life, reportedLoad{
-				running:    byte(l.Told.Running),
-				waiting:    byte(l.Told.Waiting),
-				reportedAt: a.fleetWorkAt.Add(-l.Age),
+		if l.Reported != nil {
+			a.updateReported(l.InstanceID, reportedLoad{
+				running:    byte(l.Reported.Running),
+				waiting:    byte(l.Reported.Waiting),
+				reportedAt: a.fleetWorkAt.Add(-l.ReportAge),
 			})
 		}
 	}
@@ -342,15 +342,15 @@
 	for i, id := range ids {
 		l := loads[loadRecordBytes*i : loadRecordBytes*(i+1)]
 		x := relay.FleetLoad{
-			Life:     id,
-			Heard:    l[0] != unknownLoad,
-			Silence:  time.Duration(l[0]) * loadTimeUnit,
-			Work:     time.Duration(l[4]) * loadTimeUnit,
-			Doubters: int(l[5]),
+			InstanceID:        id,
+			Received:          l[0] != unknownLoad,
+			SinceReceived:     time.Duration(l[0]) * loadTimeUnit,
+			PrefillTime:       time.Duration(l[4]) * loadTimeUnit,
+			SuspectingEntries: int(l[5]),
 		}
 		if l[1] != unknownLoad {
-			x.Age = time.Duration(l[1]) * loadTimeUnit
-			x.Told = &persimmoncross.Load{
+			x.ReportAge = time.Duration(l[1]) * loadTimeUnit
+			x.Reported = &persimmoncross.UpstreamLoad{
 				Running: int(l[2]),
 				Waiting: int(l[3]),
 			}
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -29,7 +29,7 @@
 func packedLoads(b *loadAggregator, order []string) map[string]relay.FleetLoad {
 	loads := map[string]relay.FleetLoad{}
 	for _, l := range decodeLoads(order, packLoads(b, order)) {
-		loads[l.Life] = l
+		loads[l.InstanceID] = l
 	}
 	return loads
 }
@@ -74,32 +74,32 @@
 	exchange()
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
 		got := packedLoads(b, order)
-		if got["u1"].Work != 1400*time.Millisecond || got["u2"].Work != 200*time.Millisecond {
-			t.Errorf("%s tells of work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].Work, got["u2"].Work)
+		if got["u1"].PrefillTime != 1400*time.Millisecond || got["u2"].PrefillTime != 200*time.Millisecond {
+			t.Errorf("%s tells of work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].PrefillTime, got["u2"].PrefillTime)
 		}
-		if got["u1"].Told != nil || got["u2"].Told == nil || got["u2"].Told.Running != 7 || got["u2"].Told.Waiting != maxLoadValue || got["u2"].Age != 60*time.Millisecond {
-			t.Errorf("%s tells of %+v and %+v", name, got["u1"].Told, got["u2"].Told)
+		if got["u1"].Reported != nil || got["u2"].Reported == nil || got["u2"].Reported.Running != 7 || got["u2"].Reported.Waiting != maxLoadValue || got["u2"].ReportAge != 60*time.Millisecond {
+			t.Errorf("%s tells of %+v and %+v", name, got["u1"].Reported, got["u2"].Reported)
 		}
 	}
-	if got := packedLoads(nonLeader, order); got["u1"].Doubters != 0 || got["u2"].Doubters != 2 {
+	if got := packedLoads(nonLeader, order); got["u1"].SuspectingEntries != 0 || got["u2"].SuspectingEntries != 2 {
 		t.Errorf("doubters: %+v", got)
 	}
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
-		if got := packedLoads(b, order); got["u1"].Heard || !got["u2"].Heard || got["u2"].Silence != 40*time.Millisecond {
+		if got := packedLoads(b, order); got["u1"].Received || !got["u2"].Received || got["u2"].SinceReceived != 40*time.Millisecond {
 			t.Errorf("%s heard %+v", name, got)
 		}
 	}
 	// An account replaces the one before.
 	nonLeader.receive("e2", nil)
 	exchange()
-	if got := packedLoads(nonLeader, order); got["u1"].Work != time.Second || got["u2"].Work != 0 {
+	if got := packedLoads(nonLeader, order); got["u1"].PrefillTime != time.Second || got["u2"].PrefillTime != 0 {
 		t.Errorf("after e2's answers began: %v", got)
 	}
 	// A leader that is gone, and entries that are silent, are forgotten.
 	clock.now = clock.now.Add(maxLoadAge / 2)
 	nonLeader.receive("e3", []*wire.UpstreamLoad{loadWithWork("u2", 100)})
 	clock.now = clock.now.Add(maxLoadAge/2 + time.Millisecond)
-	if got := packedLoads(nonLeader, order); got["u1"].Work != 0 || got["u2"].Work != 100*time.Millisecond || got["u2"].Told != nil {
+	if got := packedLoads(nonLeader, order); got["u1"].PrefillTime != 0 || got["u2"].PrefillTime != 100*time.Millisecond || got["u2"].Reported != nil {
 		t.Errorf("without a leader: %+v", got)
 	}
 }
@@ -151,19 +151,19 @@
 	if !ok {
 		t.Fatalf("%v is no upstream", x)
 	}
-	return u.Life()
+	return u.InstanceID()
 }
 
 // A stream's loads are read in the order of the list that the stream has told.
 func TestLoadsUseListOrder(t *testing.T) {
 	var got map[string]time.Duration
 	f := &follower{
-		Take: func(*wire.Update) bool { return true },
-		TakeLoads: func(order []string, loads []byte) {
+		ApplyUpdate: func(*wire.Update) bool { return true },
+		ApplyLoads: func(order []string, loads []byte) {
 			got = map[string]time.Duration{}
 			for _, l := range decodeLoads(order, loads) {
-				name, _, _ := strings.Cut(l.Life, "~")
-				got[name] = l.Work
+				name, _, _ := strings.Cut(l.InstanceID, "~")
+				got[name] = l.PrefillTime
 			}
 		},
 	}
--- a/internal/node/near.go
+++ b/internal/node/localprobe.go
@@ -78,7 +78,7 @@
 		}
 		return nil
 	}
-	if f.Only != nil || f.isLocal(followed) {
+	if f.OnlyController != nil || f.isLocal(followed) {
 		return nil
 	}
 	if p.nextProbeAt.IsZero() {
--- a/internal/node/identity.go
+++ b/internal/node/memberstore.go
@@ -47,7 +47,7 @@
 	}
 	log.Error().Err(err).Msg("the data folder is damaged: it is emptied, and this VM joins as a new member")
 	if err := emptyFolder(s.Data); err != nil {
-		return nil, newError("empty data folder", Start, err)
+		return nil, newError("empty data folder", StartFailed, err)
 	}
 	rejoining := *s
 	rejoining.Founding = false
@@ -136,9 +136,9 @@
 		voters := initialVoters(s)
 		st.member = initialVoterID(s.Peer.String())
 		if err := st.log.Compact(persimmoncross.Snapshot{
-			Index: initialIndex,
-			Term:  initialIndex,
-			Set:   voters,
+			Index:  initialIndex,
+			Term:   initialIndex,
+			Config: voters,
 		}, initialIndex); err != nil {
 			return err
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -67,7 +67,7 @@
 func serveMetrics(ctx context.Context, address string, registry metrics.Registry) error {
 	listener, err := socket.Listen().Listen(ctx, "tcp", address)
 	if err != nil {
-		return newError("serve metrics", Start, err)
+		return newError("serve metrics", StartFailed, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) { WriteMetrics(w, registry) })
@@ -78,7 +78,7 @@
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
-		return newError("serve metrics", Start, err)
+		return newError("serve metrics", StartFailed, err)
 	}
 	return nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -57,8 +57,8 @@
 		t.Fatal("an empty disk has the identity of its former self")
 	}
 	f.waitFor("the new identity votes in place of the old one", func() bool {
-		set := controllers[0].group.View().Set
-		return set.Has(restarted.store.member) && !set.Has(oldMember) && len(set.Voters) == 5
+		set := controllers[0].group.View().Config
+		return set.HasVoter(restarted.store.member) && !set.HasVoter(oldMember) && len(set.Voters) == 5
 	})
 	if got := f.readDocumentNumber(restarted); got != 3 {
 		t.Errorf("the wiped controller reads %d", got)
@@ -67,8 +67,8 @@
 	f.stop("vm5")
 	successor := f.startController(7, false)
 	f.waitFor("the successor votes in place of the lost one", func() bool {
-		set := controllers[0].group.View().Set
-		return set.Has(successor.store.member) && !set.Has(lostMember) && len(set.Voters) == 5
+		set := controllers[0].group.View().Config
+		return set.HasVoter(successor.store.member) && !set.HasVoter(lostMember) && len(set.Voters) == 5
 	})
 }
 
@@ -124,9 +124,9 @@
 		Incarnation: "u1",
 		Service:     "s",
 		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-		Leaving:     true,
+		Draining:    true,
 	})
-	f.waitFor("the upstream leaves", func() bool { return lateEntry.view.Load().Targets["s"][0].Leaves(time.Now()) })
+	f.waitFor("the upstream leaves", func() bool { return lateEntry.view.Load().Targets["s"][0].IsDraining(time.Now()) })
 }
 
 // A list that is older than the one in force is not taken, and is not lost:
@@ -135,7 +135,7 @@
 	e := newFleet(t, 75).stoppedEntry()
 	e.listReadAt = e.Clock.Now().Add(-time.Minute)
 	f := &follower{
-		Take: e.applyUpdate,
+		ApplyUpdate: e.applyUpdate,
 	}
 	a := &controllerStream{}
 	list := []*wire.Upstream{
@@ -251,15 +251,15 @@
 	if n != 0 {
 		t.Errorf("%d entries, want none", n)
 	}
-	p := sumTrials(register.Upgrade{
+	p := sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
 	}, accounts)
-	if c := p.New["r"]; c.Runs != 10 || c.Failed != 6 {
+	if c := p.New["r"]; c.Answers != 10 || c.Failed != 6 {
 		t.Errorf("counted: %+v", c)
 	}
-	if accounts, _ := h.currentReports(now.Add(2 * trialRetention)); len(accounts) != 0 {
+	if accounts, _ := h.currentReports(now.Add(2 * canaryStatsRetention)); len(accounts) != 0 {
 		t.Error("counts are kept for ever")
 	}
 }
@@ -309,12 +309,12 @@
 			Incarnation: id,
 			Service:     "s",
 			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-			Leaving:     leaving,
+			Draining:    leaving,
 		}
 	}
 	var got []persimmoncross.Upstream
 	f := &follower{
-		Take: func(u *wire.Update) bool {
+		ApplyUpdate: func(u *wire.Update) bool {
 			if u.GetListed() {
 				got = upstreamsOf(u)
 			}
@@ -402,7 +402,7 @@
 		Clock: noWaitClock{
 			t: t,
 		},
-		Only: func() string { return "" },
+		OnlyController: func() string { return "" },
 	}
 	if got := f.findController(t.Context()); got != nil {
 		t.Errorf("found %v", got)
--- a/internal/node/calls.go
+++ b/internal/node/peerhandler.go
@@ -23,10 +23,10 @@
 	if m.Group != groupName || !c.groupOpened.Load() {
 		return
 	}
-	if m.Kind == persimmoncross.MessageHello && !c.Leads() {
-		if leader := c.remoteLeader(); leader != "" && !m.Transfer {
-			m.Transfer = true // passed on
-			m.Dest = leader
+	if m.Kind == persimmoncross.MessageLearnerJoin && !c.IsLeader() {
+		if leader := c.remoteLeader(); leader != "" && !m.LeadershipTransfer {
+			m.LeadershipTransfer = true // passed on
+			m.ToVM = leader
 			c.node.Pass(m)
 		}
 		return
@@ -138,13 +138,13 @@
 
 // hasLease reports whether this controller's state is known to be recent.
 func (c *Controller) hasLease() bool {
-	return c.group.Leased()
+	return c.group.HasLease()
 }
 
 // voterAddresses returns the addresses of the voters.
 func (c *Controller) voterAddresses() []string {
 	var names []string
-	for _, v := range c.group.View().Set.Voters {
+	for _, v := range c.group.View().Config.Voters {
 		names = append(names, v.VM)
 	}
 	return names
@@ -152,5 +152,5 @@
 
 // isLeaderWithLease reports whether this controller leads and holds a quorum.
 func (c *Controller) isLeaderWithLease() bool {
-	return c.Leads() && c.group.Leased()
+	return c.IsLeader() && c.group.HasLease()
 }
--- a/internal/node/hub.go
+++ b/internal/node/publisher.go
@@ -26,8 +26,8 @@
 	loadInterval = 250 * time.Millisecond
 	// presenceTimeout is how long an account counts its entry as present.
 	presenceTimeout = 7 * time.Second
-	// trialRetention is how long the counts of an entry that is gone are kept.
-	trialRetention = 2 * time.Minute
+	// canaryStatsRetention is how long the counts of an entry that is gone are kept.
+	canaryStatsRetention = 2 * time.Minute
 )
 
 // publisher holds what a controller tells its followers, and what they told it.
@@ -112,7 +112,7 @@
 	}
 	id := reporterID(a)
 	p.reports[id] = receivedReport{
-		message:     mergeTrials(p.reports[id].message, a, upgrades),
+		message:     mergeCanaryStats(p.reports[id].message, a, upgrades),
 		receivedAt:  p.clock.Now(),
 		unforwarded: true,
 	}
@@ -125,7 +125,7 @@
 	defer p.mu.Unlock()
 	for key, a := range p.reports {
 		present := now.Sub(a.receivedAt) <= presenceTimeout
-		if !present && (len(a.message.GetTrials()) == 0 || now.Sub(a.receivedAt) > trialRetention) {
+		if !present && (len(a.message.GetTrials()) == 0 || now.Sub(a.receivedAt) > canaryStatsRetention) {
 			delete(p.reports, key)
 			continue
 		}
@@ -160,28 +160,28 @@
 	coldVersion   uint64
 	limitsVersion uint64 // the version of the limits
 	// hasMoreLimits tells that not all changes of limits fitted into the last update.
-	hasMoreLimits    bool
-	state            *register.State
-	listVersion      uint64
-	initialChecksums []uint64     // of the list that it had before
-	acceptsPacked    bool         // it reads packed upstreams
-	acceptsBitmaps   bool         // it reads by bitmaps which lives left the list
-	pendingPacked    [][]byte     // parts of the list that are still to be sent, after list
-	listStarted      bool         // what is sent goes on with a list
-	listIDs          []string     // the lives of the list, sorted
-	nextLoadsAt      time.Time    // when the loads are sent next
-	pendingList      *wire.Update // the list of which parts are still to be sent, nil: none
-	pendingListIDs   []string     // order, once list is sent
-	documentNumber   uint64       // of the document
-	documentChecksum uint64       // of the document
-	holds            sentHolds
-	hasMoreHolds     bool              // there are more holds to send
-	documentTransfer *documentTransfer // the document of which parts are still to be sent
+	hasMoreLimits      bool
+	state              *register.State
+	listVersion        uint64
+	initialChecksums   []uint64     // of the list that it had before
+	acceptsPacked      bool         // it reads packed upstreams
+	acceptsBitmaps     bool         // it reads by bitmaps which lives left the list
+	pendingPacked      [][]byte     // parts of the list that are still to be sent, after list
+	listStarted        bool         // what is sent goes on with a list
+	listIDs            []string     // the lives of the list, sorted
+	nextLoadsAt        time.Time    // when the loads are sent next
+	pendingList        *wire.Update // the list of which parts are still to be sent, nil: none
+	pendingListIDs     []string     // order, once list is sent
+	documentNumber     uint64       // of the document
+	documentChecksum   uint64       // of the document
+	holds              sentQuarantines
+	hasMoreQuarantines bool              // there are more holds to send
+	documentTransfer   *documentTransfer // the document of which parts are still to be sent
 }
 
 // hasPending reports whether there is more to send at once.
 func (s *followerState) hasPending() bool {
-	return s.pendingList != nil || len(s.pendingPacked) > 0 || s.documentTransfer != nil || s.hasMoreHolds || s.hasMoreLimits
+	return s.pendingList != nil || len(s.pendingPacked) > 0 || s.documentTransfer != nil || s.hasMoreQuarantines || s.hasMoreLimits
 }
 
 // nextUpdate returns the update for a follower, and the channel that is closed at
@@ -208,7 +208,7 @@
 		return u, p.changed
 	}
 	if s.entry {
-		s.hasMoreHolds = !s.holds.addChanges(u, p.state)
+		s.hasMoreQuarantines = !s.holds.addChanges(u, p.state)
 	}
 	p.addColdUpstreams(u, s) // before the list that cold lives come with
 	p.addLimits(u, s)
--- a/internal/node/ends_test.go
+++ b/internal/node/quarantine_test.go
@@ -42,7 +42,7 @@
 	f.waitFor("entries are ready", func() bool {
 		for _, e := range entries {
 			v := e.view.Load()
-			if !e.Ready() || len(v.Targets["s"]) != upstreams || v.Entries != 3 {
+			if !e.Ready() || len(v.Targets["s"]) != upstreams || v.EntryCount != 3 {
 				return false
 			}
 		}
@@ -86,7 +86,7 @@
 	f.waitFor("the entry that starts is ready", newEntry.Ready)
 	checkRefused(t, newEntry, body)
 	for n := 1; n <= 3; n++ {
-		if c := f.processes[fmt.Sprint("vm", n)].controller; c.Leads() {
+		if c := f.processes[fmt.Sprint("vm", n)].controller; c.IsLeader() {
 			f.stop(c.Site.Name)
 			break
 		}
@@ -305,8 +305,8 @@
 
 // refusesAny reports whether the entry refusesAny some request.
 func refusesAny(e *Entry) bool {
-	for _, h := range e.view.Load().Holds {
-		if h.Stage == persimmoncross.HoldRefuse {
+	for _, h := range e.view.Load().Quarantines {
+		if h.Stage == persimmoncross.QuarantineRefuse {
 			return true
 		}
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -24,8 +24,8 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Leaving reports whether the process is stopping.
-func (e *Entry) Leaving() bool { return e.stopping.Load() }
+// IsStopping reports whether the process is stopping.
+func (e *Entry) IsStopping() bool { return e.stopping.Load() }
 
 // Serve serves callers and readiness until the context ends, and then stops
 // without cutting what can still end within the grace.
@@ -70,7 +70,7 @@
 func (e *Entry) serveHTTP(ctx context.Context, address netip.AddrPort, h http.Handler) (*http.Server, error) {
 	listener, err := socket.Listen().Listen(ctx, "tcp", address.String())
 	if err != nil {
-		return nil, newError("start", Start, err)
+		return nil, newError("start", StartFailed, err)
 	}
 	server := &http.Server{
 		Handler:           h,
@@ -87,7 +87,7 @@
 func (c *Controller) ServeOperators(ctx context.Context, h http.Handler) error {
 	listener, err := socket.Listen().Listen(ctx, "tcp", c.Site.Operator.String())
 	if err != nil {
-		return newError("start", Start, err)
+		return newError("start", StartFailed, err)
 	}
 	server := &http.Server{
 		Handler:           h,
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -27,7 +27,7 @@
 		io.WriteString(w, "end")
 	})
 	readyHandler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if e.Leaving() {
+		if e.IsStopping() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -44,7 +44,7 @@
 	}
 	defer longResponse.Body.Close()
 	stop()
-	for !e.Leaving() {
+	for !e.IsStopping() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, tt := range []struct {
--- a/internal/vm/gate.go
+++ b/internal/vm/gate.go
@@ -15,35 +15,35 @@
 	otherWait = time.Second // the balancer has another VM
 )
 
-// gate tells whether this VM may take work. It implements [persimmoncross.Gate].
+// gate tells whether this VM may take work. It implements [persimmoncross.Admitter].
 type gate struct {
 	vm       *VM
 	leaving  atomic.Bool // a stop has begun: readyz fails, requests are still taken
 	stopping atomic.Bool // the grace is over: requests are refused
 }
 
-// Admit implements [persimmoncross.Gate].
+// Admit implements [persimmoncross.Admitter].
 func (g *gate) Admit() *persimmoncross.Refusal {
 	if g.stopping.Load() {
-		return persimmoncross.Refuse(persimmoncross.CodeStopping, "this VM is being stopped").After(otherWait)
+		return persimmoncross.NewRefusal(persimmoncross.CodeStopping, "this VM is being stopped").WithRetryAfter(otherWait)
 	}
 	if g.drained() {
-		return persimmoncross.Refuse(persimmoncross.CodeStopping, "this VM is drained").After(otherWait)
+		return persimmoncross.NewRefusal(persimmoncross.CodeStopping, "this VM is drained").WithRetryAfter(otherWait)
 	}
-	return g.Lease()
+	return g.CheckLease()
 }
 
-// Lease implements [persimmoncross.Gate].
-func (g *gate) Lease() *persimmoncross.Refusal {
+// CheckLease implements [persimmoncross.Admitter].
+func (g *gate) CheckLease() *persimmoncross.Refusal {
 	if !g.leased() {
-		return persimmoncross.Refuse(persimmoncross.CodeNoLease, "this VM has not heard of the settings in force for %v", leaseTime).After(leaseWait)
+		return persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "this VM has not heard of the settings in force for %v", leaseTime).WithRetryAfter(leaseWait)
 	}
 	return nil
 }
 
 func (g *gate) leased() bool {
 	// Without the fleet's time a request could not be stamped.
-	return g.vm.started.Load() && g.vm.presence.time.Load() != nil && g.vm.settings.Leased()
+	return g.vm.started.Load() && g.vm.presence.time.Load() != nil && g.vm.settings.HasLease()
 }
 
 func (g *gate) drained() bool { return g.vm.state.Current().Drained[g.vm.Local.Name] }
@@ -65,4 +65,4 @@
 	return nil
 }
 
-func leaderless(g *group.Group) bool { return g.View().Leader == "" }
+func leaderless(g *group.Replica) bool { return g.View().LeaderVM == "" }
