--- a/internal/vm/groups.go
+++ b/internal/vm/groups.go
@@ -113,24 +113,24 @@
 	return v.folder.WriteFile(identityName, data)
 }
 
-func (v *VM) newGroup(name string, machine persimmoncross.StateMachine) *group.Group {
-	return &group.Group{
+func (v *VM) newGroup(name string, machine persimmoncross.StateMachine) *group.Replica {
+	return &group.Replica{
 		Core: &consensus.Core{
-			Group:     name,
-			ID:        v.member,
-			VM:        v.Local.Name,
-			Heartbeat: heartbeat,
-			Election:  election,
-			Lease:     leaseTime,
-			Random:    newRandom(),
+			Group:             name,
+			ID:                v.member,
+			VM:                v.Local.Name,
+			HeartbeatInterval: heartbeat,
+			ElectionTimeout:   election,
+			LeaseDuration:     leaseTime,
+			Random:            newRandom(),
 			// Settings must be in force soon; bills need not be known at once.
-			Announce: name == settingsGroup,
+			BroadcastCommits: name == settingsGroup,
 		},
-		Machine: machine,
-		Sender:  v.node,
-		Clock:   v.Clock,
-		Metrics: v.metrics,
-		Log:     v.Log,
+		StateMachine: machine,
+		Sender:       v.node,
+		Clock:        v.Clock,
+		Metrics:      v.metrics,
+		Logger:       v.Log,
 	}
 }
 
@@ -199,7 +199,7 @@
 		}
 		if id.GetOrigin() != nil {
 			known := id.GetOrigin().Root()
-			if known.Has(v.member) {
+			if known.HasVoter(v.member) {
 				return &known, false, nil
 			}
 			return nil, true, nil
@@ -269,7 +269,7 @@
 			return err
 		}
 	}
-	for _, g := range []*group.Group{v.settings, v.bills} {
+	for _, g := range []*group.Replica{v.settings, v.bills} {
 		log, err := disk.OpenLog(v.folder, g.Core.Group)
 		if err != nil {
 			return err
@@ -305,9 +305,9 @@
 		return nil
 	}
 	return log.Compact(persimmoncross.Snapshot{
-		Index: originIndex,
-		Term:  originIndex,
-		Set:   *origin,
+		Index:  originIndex,
+		Term:   originIndex,
+		Config: *origin,
 	}, originIndex)
 }
 
@@ -330,7 +330,7 @@
 			}
 		}
 	}
-	for v.bills.View().Applied < commit {
+	for v.bills.View().AppliedIndex < commit {
 		select {
 		case <-ctx.Done():
 			return failure("catch up", Absent, ctx.Err(), "the ledger's leader does not answer")
--- a/internal/vm/handler.go
+++ b/internal/vm/handler.go
@@ -23,7 +23,7 @@
 }
 
 // group returns the running group with the name, nil if there is none here.
-func (h *handler) group(name string) *group.Group {
+func (h *handler) group(name string) *group.Replica {
 	if !h.vm.started.Load() {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	if !v.started.Load() {
 		return s
 	}
-	for _, g := range []*group.Group{v.settings, v.bills} {
+	for _, g := range []*group.Replica{v.settings, v.bills} {
 		if g != nil {
 			s.Groups = append(s.Groups, groupStatus(g))
 		}
@@ -115,14 +115,14 @@
 			Version:      subject.Version.String(),
 			Organisation: subject.Organisation,
 			Runs:         t.Runs,
-			Bad:          t.Bad,
-			Pairs:        t.Pairs,
-			Slower:       t.Slower,
-			Rated:        t.Rated,
-			Poor:         t.Poor,
+			Bad:          t.FailedRuns,
+			Pairs:        t.DiscordantPairs,
+			Slower:       t.SlowerPairs,
+			Rated:        t.Ratings,
+			Poor:         t.PoorRatings,
 		})
 	}
-	for pool, by := range v.limits.Running() {
+	for pool, by := range v.limits.LocalUsage() {
 		for organisation, n := range by {
 			s.Loads = append(s.Loads, &wire.Load{
 				Pool:         pool,
@@ -143,16 +143,16 @@
 	return s
 }
 
-func groupStatus(g *group.Group) *wire.GroupStatus {
+func groupStatus(g *group.Replica) *wire.GroupStatus {
 	view := g.View()
 	return &wire.GroupStatus{
 		Group:   g.Core.Group,
 		Member:  uint64(g.Core.ID),
 		Role:    view.Role.String(),
 		Term:    view.Term,
-		Commit:  view.Commit,
-		Applied: view.Applied,
-		Leader:  view.Leader,
-		Voters:  record.FromConfig(view.Set).GetVoters(),
+		Commit:  view.CommitIndex,
+		Applied: view.AppliedIndex,
+		Leader:  view.LeaderVM,
+		Voters:  record.FromConfig(view.Config).GetVoters(),
 	}
 }
--- a/internal/vm/holds.go
+++ b/internal/vm/holds.go
@@ -24,13 +24,13 @@
 )
 
 // ownCases returns what this VM saw, with ends named as all VMs name them.
-func (v *VM) ownCases(now time.Time) []quarantine.Case {
-	cases, _ := v.book.Cases(0, now)
+func (v *VM) ownCases(now time.Time) []quarantine.Record {
+	cases, _ := v.book.Records(0, now)
 	for _, c := range cases {
-		for i, e := range c.Ends {
-			name, _, _ := strings.Cut(e.Life, "~")
+		for i, e := range c.Crashes {
+			name, _, _ := strings.Cut(e.InstanceID, "~")
 			at := v.presence.stamp() - int64(now.Sub(e.At))
-			c.Ends[i].Life = name + "~" + strconv.FormatInt(at/int64(endSpan), 36)
+			c.Crashes[i].InstanceID = name + "~" + strconv.FormatInt(at/int64(endSpan), 36)
 		}
 	}
 	return cases
@@ -39,11 +39,11 @@
 // judgeHolds adds up what all VMs told last.
 func (v *VM) judgeHolds(answers []*wire.Status) {
 	now := v.Clock.Now()
-	lists := [][]quarantine.Case{v.ownCases(now)}
+	lists := [][]quarantine.Record{v.ownCases(now)}
 	for _, s := range v.presence.others() {
 		lists = append(lists, wire.Cases(s.status.GetCases(), s.at))
 	}
-	var holds []persimmoncross.Hold
+	var holds []persimmoncross.Quarantine
 	alone := true
 	for _, s := range answers {
 		if s != nil && s.GetVm() != v.Local.Name {
@@ -52,9 +52,9 @@
 		}
 	}
 	if !alone {
-		v.keeper.Learn(holds, now)
+		v.keeper.Bootstrap(holds, now)
 	}
-	quarantine.Log(v.Log, v.keeper.Judge(quarantine.Merge(lists, casesInAll), now), now, nil)
+	quarantine.LogChanges(v.Log, v.keeper.Evaluate(quarantine.Merge(lists, casesInAll), now), now, nil)
 }
 
 // others returns what the other VMs said last.
--- a/internal/vm/join.go
+++ b/internal/vm/join.go
@@ -15,7 +15,7 @@
 }
 
 // Join implements [persimmoncross.Joiner].
-func (j *joiner) Join(ctx context.Context, owner, organisation, key string, sink persimmoncross.Sink) error {
+func (j *joiner) Join(ctx context.Context, owner, organisation, key string, sink persimmoncross.ResponseSink) error {
 	if owner == j.vm.owner() {
 		// The recording has just ended: the ledger knows more at the next claim.
 		return failure("join", Absent, nil, "%s has ended the request", owner)
@@ -39,7 +39,7 @@
 
 // copyFrames hands the frames to the sink. Once the sink has got a part, the
 // answer's end is its refusal, never an error.
-func copyFrames(s *peer.Stream, sink persimmoncross.Sink) error {
+func copyFrames(s *peer.Stream, sink persimmoncross.ResponseSink) error {
 	started := false
 	for {
 		f := &wire.Frame{}
@@ -47,7 +47,7 @@
 			if !started {
 				return err
 			}
-			sink.End(persimmoncross.Refuse(persimmoncross.CodeUpstreamFailed, "the entry that runs the request is gone; ask again with the same key").WithRun(persimmoncross.Ran).After(otherWait))
+			sink.End(persimmoncross.NewRefusal(persimmoncross.CodeUpstreamFailed, "the entry that runs the request is gone; ask again with the same key").WithRunStatus(persimmoncross.Ran).WithRetryAfter(otherWait))
 			return nil
 		}
 		switch {
@@ -71,7 +71,7 @@
 
 // join serves another VM's joiner.
 func (h *handler) join(ctx context.Context, j *wire.Join, s *peer.Stream) {
-	if !h.vm.dispatcher.Follow(ctx, j.GetOrganisation(), j.GetKey(), &frameSink{
+	if !h.vm.dispatcher.ServeJoin(ctx, j.GetOrganisation(), j.GetKey(), &frameSink{
 		stream: s,
 	}) {
 		s.Send(&wire.Frame{
@@ -80,32 +80,32 @@
 	}
 }
 
-// frameSink sends an answer to another VM. It implements [persimmoncross.Sink].
+// frameSink sends an answer to another VM. It implements [persimmoncross.ResponseSink].
 type frameSink struct {
 	stream *peer.Stream
 }
 
-// Start implements [persimmoncross.Sink].
-func (f *frameSink) Start(h persimmoncross.Head) error {
+// Start implements [persimmoncross.ResponseSink].
+func (f *frameSink) Start(h persimmoncross.ResponseHead) error {
 	return f.stream.Send(&wire.Frame{
 		Head: &wire.Head{
 			Status:  int32(h.Status),
 			Type:    h.ContentType,
 			Version: h.Version.String(),
-			Request: h.Request,
+			Request: h.RequestID,
 			Stream:  h.Stream,
 		},
 	})
 }
 
-// Write implements [persimmoncross.Sink].
+// Write implements [persimmoncross.ResponseSink].
 func (f *frameSink) Write(chunk []byte) error {
 	return f.stream.Send(&wire.Frame{
 		Chunk: chunk,
 	})
 }
 
-// End implements [persimmoncross.Sink].
+// End implements [persimmoncross.ResponseSink].
 func (f *frameSink) End(r *persimmoncross.Refusal) {
 	end := &wire.Frame{
 		End: true,
@@ -121,12 +121,12 @@
 	f.stream.Send(end)
 }
 
-func headOf(h *wire.Head) persimmoncross.Head {
-	return persimmoncross.Head{
+func headOf(h *wire.Head) persimmoncross.ResponseHead {
+	return persimmoncross.ResponseHead{
 		Status:      int(h.GetStatus()),
 		ContentType: h.GetType(),
-		Version:     persimmoncross.ParseVersion(h.GetVersion()),
-		Request:     h.GetRequest(),
+		Version:     persimmoncross.ParseModelVersion(h.GetVersion()),
+		RequestID:   h.GetRequest(),
 		Stream:      h.GetStream(),
 	}
 }
@@ -135,7 +135,7 @@
 	if r == nil {
 		return nil
 	}
-	return persimmoncross.Refuse(persimmoncross.Code(r.GetCode()), "%s", r.GetDetail()).
-		WithRun(persimmoncross.Run(r.GetRun())).
-		After(durationOf(r.GetAfter()))
+	return persimmoncross.NewRefusal(persimmoncross.Code(r.GetCode()), "%s", r.GetDetail()).
+		WithRunStatus(persimmoncross.RunStatus(r.GetRun())).
+		WithRetryAfter(durationOf(r.GetAfter()))
 }
--- a/internal/vm/orders.go
+++ b/internal/vm/orders.go
@@ -36,8 +36,8 @@
 		if planner == nil || view.Term != term {
 			term = view.Term
 			planner = &orders.Planner{
-				Since: v.Clock.Now(),
-				Lease: leaseTime,
+				LeaderSince:       v.Clock.Now(),
+				FormerLeaderLease: leaseTime,
 			}
 		}
 		v.giveOrders(ctx, planner, term)
@@ -46,7 +46,7 @@
 
 func (v *VM) giveOrders(ctx context.Context, planner *orders.Planner, term uint64) {
 	s := v.state.Current()
-	planner.AtOnce = s.File.Loads
+	planner.MaxConcurrentLoads = s.File.Loads
 	var engines []orders.Engine
 	for _, u := range v.table.List() {
 		if u.Kind() == "engine" {
@@ -55,7 +55,7 @@
 	}
 	for _, o := range planner.Plan(v.Clock.Now(), engines, s.Withdrawn) {
 		if err := v.giveOrder(ctx, o, term); err != nil {
-			planner.Failed(o)
+			planner.OrderFailed(o)
 			v.count("order.failed")
 			v.Log.Warn().Err(err).Str("upstream", o.Engine).Str("kind", o.Kind).Str("version", o.Version.String()).Msg("order not taken")
 			continue
@@ -67,14 +67,14 @@
 
 func engineOf(u *routing.Upstream) orders.Engine {
 	e := orders.Engine{
-		Name:     u.Name,
-		Fencing:  u.Fencing(),
-		Reported: u.Reported(),
-		Live:     !u.Leaving() && u.Answers(),
-		Lives:    u.Lives(),
+		Name:            u.Name,
+		SupportsFencing: u.SupportsFencing(),
+		Reported:        u.ReportedVersions(),
+		Available:       !u.Draining() && u.HasRecentReport(),
+		Restarts:        u.Restarts(),
 	}
-	for _, name := range u.Versions() {
-		e.Declared = append(e.Declared, persimmoncross.ParseVersion(name))
+	for _, name := range u.DeclaredVersions() {
+		e.Declared = append(e.Declared, persimmoncross.ParseModelVersion(name))
 	}
 	return e
 }
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderWait)
 	defer cancel()
-	if !u.Fencing() {
+	if !u.SupportsFencing() {
 		v.pollOne(ctx, u)
 	}
 	if view := v.settings.View(); view.Role != consensus.Leader || view.Term != term || !v.gate.leased() {
--- a/internal/vm/presence.go
+++ b/internal/vm/presence.go
@@ -70,7 +70,7 @@
 func (p *presence) run(ctx context.Context) {
 	for {
 		p.vm.judgeHolds(p.ask(ctx))
-		p.vm.limits.Observe(p.loads())
+		p.vm.limits.SetPeerUsage(p.loads())
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/vm/repair.go
+++ b/internal/vm/repair.go
@@ -45,17 +45,17 @@
 	return 0
 }
 
-func (v *VM) repairGroup(ctx context.Context, g *group.Group, lost, with string, member persimmoncross.MemberID) error {
+func (v *VM) repairGroup(ctx context.Context, g *group.Replica, lost, with string, member persimmoncross.MemberID) error {
 	if member == 0 {
 		return failure("repair", Refused, nil, "VM %q has no disk and cannot vote", with)
 	}
 	var old persimmoncross.MemberID
-	for _, m := range g.View().Set.Voters {
+	for _, m := range g.View().Config.Voters {
 		if m.VM == lost && m.ID != member {
 			old = m.ID
 		}
 	}
-	if !g.View().Set.Has(member) {
+	if !g.View().Config.HasVoter(member) {
 		if old == 0 {
 			return refuse("VM %q has no vote in %s that could be replaced", lost, g.Core.Group)
 		}
@@ -79,14 +79,14 @@
 func refuse(format string, args ...any) error {
 	return &group.Error{
 		Operation: "repair",
-		Kind:      group.Refused,
+		Kind:      group.ChangeRejected,
 		Err:       failure("repair", Refused, nil, format, args...),
 	}
 }
 
 // changeVoters asks the group's leader, wherever it is, and waits while the
 // new voter catches up.
-func (v *VM) changeVoters(ctx context.Context, g *group.Group, c *wire.Voters) error {
+func (v *VM) changeVoters(ctx context.Context, g *group.Replica, c *wire.Voters) error {
 	for {
 		answer, err := v.askLeader(ctx, g, c)
 		if err == nil && answer.GetError() == "" {
@@ -106,8 +106,8 @@
 	}
 }
 
-func (v *VM) askLeader(ctx context.Context, g *group.Group, c *wire.Voters) (*wire.Proposed, error) {
-	leader := g.View().Leader
+func (v *VM) askLeader(ctx context.Context, g *group.Replica, c *wire.Voters) (*wire.Proposed, error) {
+	leader := g.View().LeaderVM
 	if leader == v.Local.Name {
 		return (&handler{
 			vm: v,
--- a/internal/vm/rollouts.go
+++ b/internal/vm/rollouts.go
@@ -23,8 +23,8 @@
 )
 
 // plans returns the roll-outs that go on, as this entry must keep to them.
-func (v *VM) plans(s *settings.Snapshot) map[persimmoncross.Version]rollout.Plan {
-	plans := map[persimmoncross.Version]rollout.Plan{}
+func (v *VM) plans(s *settings.Snapshot) map[persimmoncross.ModelVersion]rollout.Plan {
+	plans := map[persimmoncross.ModelVersion]rollout.Plan{}
 	for name, r := range s.File.Rollouts {
 		to, from := r.Versions()
 		stage := s.Stages[name]
@@ -32,10 +32,10 @@
 			continue
 		}
 		plans[to] = rollout.Plan{
-			Old:    from,
-			Stage:  stage.Index,
-			Budget: max(1, shareSlack*r.Budget/len(v.Local.Peers)),
-			Margin: r.Margin,
+			Baseline:    from,
+			Stage:       stage.Index,
+			StageBudget: max(1, shareSlack*r.Budget/len(v.Local.Peers)),
+			Margin:      r.Margin,
 		}
 	}
 	return plans
@@ -93,7 +93,7 @@
 
 func (c *controller) decide(ctx context.Context, name string, r *settings.Rollout, stage int) {
 	decision, reason := c.judge.Decide(c.pool(r), r.Budget, c.stageRuns(r, stage))
-	if decision == rollout.Wait {
+	if decision == rollout.DecisionWait {
 		return
 	}
 	next := &record.Stage{
@@ -103,7 +103,7 @@
 		Reason:  reason,
 	}
 	switch {
-	case decision == rollout.Back:
+	case decision == rollout.DecisionRollBack:
 		next.Stage = uint32(stage)
 		next.Verdict = settings.VerdictBack
 	case stage+1 >= len(r.Stages):
@@ -127,26 +127,26 @@
 	return sum
 }
 
-func (c *controller) pool(r *settings.Rollout) rollout.Pool {
-	p := rollout.Pool{
-		Margin: r.Margin,
-		New:    map[string]rollout.Tally{},
-		Old:    map[string]rollout.Tally{},
+func (c *controller) pool(r *settings.Rollout) rollout.PooledEvidence {
+	p := rollout.PooledEvidence{
+		Margin:    r.Margin,
+		Candidate: map[string]rollout.Tally{},
+		Baseline:  map[string]rollout.Tally{},
 	}
 	to, from := r.Versions()
 	for _, s := range c.evidence {
 		for _, e := range s.GetEvidence() {
-			subject := rollout.Subject{
-				Version:      persimmoncross.ParseVersion(e.GetVersion()),
+			subject := rollout.TallyKey{
+				Version:      persimmoncross.ParseModelVersion(e.GetVersion()),
 				Organisation: e.GetOrganisation(),
 			}
-			p.Take(subject, rollout.Tally{
-				Runs:   e.GetRuns(),
-				Bad:    e.GetBad(),
-				Pairs:  e.GetPairs(),
-				Slower: e.GetSlower(),
-				Rated:  e.GetRated(),
-				Poor:   e.GetPoor(),
+			p.Add(subject, rollout.Tally{
+				Runs:            e.GetRuns(),
+				FailedRuns:      e.GetBad(),
+				DiscordantPairs: e.GetPairs(),
+				SlowerPairs:     e.GetSlower(),
+				Ratings:         e.GetRated(),
+				PoorRatings:     e.GetPoor(),
 			}, to, from)
 		}
 	}
--- a/internal/vm/stop.go
+++ b/internal/vm/stop.go
@@ -28,7 +28,7 @@
 		<-v.Clock.After(*v.Local.Grace)
 	}
 	v.gate.stopping.Store(true)
-	for v.dispatcher.Running() > 0 {
+	for v.dispatcher.InFlight() > 0 {
 		<-v.Clock.After(stopPoll)
 	}
 	if v.started.Load() {
@@ -53,8 +53,8 @@
 	}
 }
 
-func (v *VM) groups() []*group.Group {
-	list := []*group.Group{v.settings}
+func (v *VM) groups() []*group.Replica {
+	list := []*group.Replica{v.settings}
 	if v.bills != nil {
 		list = append(list, v.bills)
 	}
@@ -69,14 +69,14 @@
 	return all
 }
 
-func (v *VM) transfer(ctx context.Context, g *group.Group) error {
+func (v *VM) transfer(ctx context.Context, g *group.Replica) error {
 	if g.View().Role != consensus.Leader {
 		return nil
 	}
-	if !g.Transfer(ctx) {
+	if !g.TransferLeadership(ctx) {
 		return failure("transfer", Refused, nil, "no other voter of %s can take over", g.Core.Group)
 	}
-	for g.View().Role == consensus.Leader || g.View().Leader == "" {
+	for g.View().Role == consensus.Leader || g.View().LeaderVM == "" {
 		select {
 		case <-ctx.Done():
 			return failure("transfer", Absent, ctx.Err(), "")
--- a/internal/vm/sweep.go
+++ b/internal/vm/sweep.go
@@ -93,7 +93,7 @@
 		bounded, cancel := context.WithTimeout(ctx, sweepWait)
 		runs, err := v.client.Runs(bounded, u.Address, request)
 		cancel()
-		if err != nil && u.Answers() {
+		if err != nil && u.HasRecentReport() {
 			return nil, false
 		}
 		for _, n := range runs {
--- a/internal/vm/upstreams.go
+++ b/internal/vm/upstreams.go
@@ -42,12 +42,12 @@
 		v.count("upstream.report.failed")
 		return
 	}
-	r.Taken = taken
-	life := u.Life()
-	if u.Learn(r) {
+	r.RequestedAt = taken
+	life := u.InstanceID()
+	if u.ApplyReport(r) {
 		v.count("upstream.again")
-		blamed := v.book.Succeeded(life, v.Clock.Now())
-		v.Log.Info().Str("upstream", u.Name).Time("started", r.Started).Uint64("sequence", r.Sequence).Strs("digests", quarantine.Named(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
+		blamed := v.book.InstanceReplaced(life, v.Clock.Now())
+		v.Log.Info().Str("upstream", u.Name).Time("started", r.StartedAt).Uint64("sequence", r.Sequence).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
 	}
 }
 
@@ -72,7 +72,7 @@
 			continue
 		}
 		for _, u := range v.table.List() {
-			u.SetLeaving(list[u.Address])
+			u.SetDraining(list[u.Address])
 		}
 	}
 }
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -74,9 +74,9 @@
 	origin      atomic.Pointer[persimmoncross.Config]
 	state       *settings.State
 	ledger      *ledger.Ledger // nil without a disk
-	settings    *group.Group
-	bills       *group.Group // nil without a disk
-	started     atomic.Bool  // the groups run
+	settings    *group.Replica
+	bills       *group.Replica // nil without a disk
+	started     atomic.Bool    // the groups run
 	node        *peer.Node
 	changes     *peer.Proposer
 	claims      *peer.Proposer
@@ -84,10 +84,10 @@
 	presence    *presence
 	table       *routing.Table
 	client      *engine.Client
-	evidence    *rollout.Evidence
-	book        *quarantine.Book
-	keeper      *quarantine.Keeper
-	limits      *limits.Limits
+	evidence    *rollout.Collector
+	book        *quarantine.Recorder
+	keeper      *quarantine.Store
+	limits      *limits.Limiter
 	dispatcher  *dispatch.Dispatcher
 	callers     *http.Server
 	operators   *http.Server
@@ -195,11 +195,11 @@
 func (v *VM) assemble() {
 	v.state = settings.NewState()
 	v.client = engine.NewClient()
-	v.book = &quarantine.Book{
+	v.book = &quarantine.Recorder{
 		VM: v.Local.Name,
 	}
-	v.keeper = &quarantine.Keeper{}
-	v.evidence = &rollout.Evidence{
+	v.keeper = &quarantine.Store{}
+	v.evidence = &rollout.Collector{
 		Clock: v.Clock,
 	}
 	v.node = &peer.Node{
@@ -229,17 +229,17 @@
 		vm: v,
 	}
 	v.table = &routing.Table{
-		Clock:      v.Clock,
-		DataCentre: v.Local.DataCentre,
-		Entries:    v.presence.entries,
-		Placer: &routing.Expected{
+		Clock:       v.Clock,
+		DataCentre:  v.Local.DataCentre,
+		LiveEntries: v.presence.entries,
+		Picker: &routing.ExpectedLatency{
 			Random: newRandom(),
 		},
 	}
 	v.state.Observe = v.takeSettings
-	v.limits = &limits.Limits{
-		Clock:   v.Clock,
-		Entries: v.presence.entries,
+	v.limits = &limits.Limiter{
+		Clock:       v.Clock,
+		LiveEntries: v.presence.entries,
 	}
 	v.dispatcher = v.newDispatcher()
 	v.dispatcher.Prepare()
@@ -277,7 +277,7 @@
 	return v.secrets.tlsConfig()
 }
 
-func (v *VM) newProposer(name string, local *group.Group) *peer.Proposer {
+func (v *VM) newProposer(name string, local *group.Replica) *peer.Proposer {
 	return &peer.Proposer{
 		Group: name,
 		Node:  v.node,
@@ -288,18 +288,18 @@
 
 func (v *VM) newDispatcher() *dispatch.Dispatcher {
 	return &dispatch.Dispatcher{
-		Owner:     v.owner(),
-		Clock:     v.Clock,
-		Stamp:     v.presence.stamp,
-		Settings:  v.state.Current,
-		Gate:      v.gate,
-		Ledger:    v.claims,
-		Upstreams: v.client,
-		Prober:    v.client,
-		Book:      v.book,
-		Keeper:    v.keeper,
-		Table:     v.table,
-		Limits:    v.limits,
+		Owner:              v.owner(),
+		Clock:              v.Clock,
+		FleetTime:          v.presence.stamp,
+		Settings:           v.state.Current,
+		Admitter:           v.gate,
+		Ledger:             v.claims,
+		UpstreamClient:     v.client,
+		Prober:             v.client,
+		QuarantineRecorder: v.book,
+		QuarantineStore:    v.keeper,
+		Table:              v.table,
+		Limiter:            v.limits,
 		Rater: &engine.Rater{
 			Client:  v.client,
 			Address: v.raterAddress,
@@ -307,11 +307,11 @@
 		Joiner: &joiner{
 			vm: v,
 		},
-		Cascades: &cascade.Estimator{},
-		Evidence: v.evidence,
-		Metrics:  v.metrics,
-		Log:      v.Log,
-		Random:   newRandom(),
+		CascadeEstimator: &cascade.Estimator{},
+		RolloutEvidence:  v.evidence,
+		Metrics:          v.metrics,
+		Log:              v.Log,
+		Random:           newRandom(),
 	}
 }
 
@@ -378,7 +378,7 @@
 	duties.Go(func() { v.pollUpstreams(ctx) })
 	duties.Go(func() { v.pollPlatform(ctx) })
 	duties.Go(func() { v.dispatcher.RunRatings(ctx) })
-	duties.Go(func() { v.dispatcher.RunLate(ctx) })
+	duties.Go(func() { v.dispatcher.RunLateSettlements(ctx) })
 	duties.Go(func() { v.rolloutLoop(ctx) })
 	duties.Go(func() { v.ordersLoop(ctx) })
 }
@@ -413,7 +413,7 @@
 	if v.folder == nil {
 		return
 	}
-	for _, g := range []*group.Group{v.settings, v.bills} {
+	for _, g := range []*group.Replica{v.settings, v.bills} {
 		if g.Storage != nil {
 			g.Storage.Close()
 		}
--- a/io/protocol/chat/chat.go
+++ b/io/protocol/chat/chat.go
@@ -59,7 +59,7 @@
 
 // For returns the request's body with the version in place of what the caller
 // named, asking a stream for its usage.
-func (r *Request) For(v persimmoncross.Version) []byte {
+func (r *Request) For(v persimmoncross.ModelVersion) []byte {
 	r.fields["model"], _ = json.Marshal(v.String())
 	if r.Stream {
 		r.fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
--- a/io/protocol/chat/chat_test.go
+++ b/io/protocol/chat/chat_test.go
@@ -21,7 +21,7 @@
 		}
 		var before, after map[string]any
 		json.Unmarshal(body, &before)
-		if err := json.Unmarshal(r.For(persimmoncross.ParseVersion("m@1")), &after); err != nil {
+		if err := json.Unmarshal(r.For(persimmoncross.ParseModelVersion("m@1")), &after); err != nil {
 			t.Fatal(err)
 		}
 		if after["model"] != "m@1" {
--- a/io/protocol/wire/fuzz_test.go
+++ b/io/protocol/wire/fuzz_test.go
@@ -18,7 +18,7 @@
 			{
 				Index: 1,
 				Kind:  persimmoncross.EntryConfig,
-				Set: persimmoncross.Config{
+				Config: persimmoncross.Config{
 					Voters: []persimmoncross.Member{
 						{
 							ID: 1,
--- a/io/transport/caller/server.go
+++ b/io/transport/caller/server.go
@@ -51,8 +51,8 @@
 	mux.Handle("POST /v1/chat/completions", s.endpoint(s.decodeChat, s.answer))
 	mux.Handle("GET /v1/models", s.endpoint(s.decodeModels, encodeModels))
 	mux.Handle(servicePrefix, s.endpoint(s.decodeService, s.answer))
-	mux.Handle("/v1/chat/completions", s.refuse(persimmoncross.CodeMethodWrong, "use POST"))
-	mux.Handle("/v1/models", s.refuse(persimmoncross.CodeMethodWrong, "use GET"))
+	mux.Handle("/v1/chat/completions", s.refuse(persimmoncross.CodeMethodNotAllowed, "use POST"))
+	mux.Handle("/v1/models", s.refuse(persimmoncross.CodeMethodNotAllowed, "use GET"))
 	mux.Handle("/", s.refuse(persimmoncross.CodePathUnknown, "there is nothing at this path"))
 	return s.partOnLeaving(mux)
 }
@@ -84,7 +84,7 @@
 
 func (s *Server) refuse(code persimmoncross.Code, detail string) http.Handler {
 	refusal := func(context.Context, *http.Request) (any, error) {
-		return nil, merry.Wrap(persimmoncross.Refuse(code, "%s", detail))
+		return nil, merry.Wrap(persimmoncross.NewRefusal(code, "%s", detail))
 	}
 	return s.endpoint(refusal, s.answer)
 }
@@ -92,7 +92,7 @@
 func (s *Server) encodeError(ctx context.Context, err error, w http.ResponseWriter) {
 	var refusal *persimmoncross.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = persimmoncross.Refuse(persimmoncross.CodeBodyMalformed, "%v", err)
+		refusal = persimmoncross.NewRefusal(persimmoncross.CodeBodyMalformed, "%v", err)
 	}
 	metrics.GetOrRegisterCounter("refused."+string(refusal.Code), s.Metrics).Inc(1)
 	id := idOf(ctx)
@@ -107,7 +107,7 @@
 
 // answer runs the request and writes its answer.
 func (s *Server) answer(ctx context.Context, w http.ResponseWriter, request any) error {
-	work := request.(*dispatch.Work)
+	work := request.(*dispatch.Request)
 	out := &sink{
 		w:       w,
 		control: http.NewResponseController(w),
@@ -125,36 +125,36 @@
 func (s *Server) organisation(r *http.Request) (*settings.Organisation, error) {
 	if s.Settings().Revision == 0 {
 		// A VM that knows no settings yet must not judge a key by them.
-		return nil, persimmoncross.Refuse(persimmoncross.CodeNoLease, "this VM has no settings yet").After(noSettingsWait)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "this VM has no settings yet").WithRetryAfter(noSettingsWait)
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeKeyUnknown, "want the header Authorization: Bearer KEY")
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeKeyUnknown, "want the header Authorization: Bearer KEY")
 	}
 	o, ok := s.Settings().Organisation(strings.TrimSpace(key))
 	if !ok {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeKeyUnknown, "no organisation has this key")
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeKeyUnknown, "no organisation has this key")
 	}
 	return o, nil
 }
 
 // newWork reads what all requests share.
-func (s *Server) newWork(ctx context.Context, r *http.Request) (*dispatch.Work, error) {
+func (s *Server) newWork(ctx context.Context, r *http.Request) (*dispatch.Request, error) {
 	o, err := s.organisation(r)
 	if err != nil {
 		return nil, err
 	}
-	w := &dispatch.Work{
-		ID:           idOf(ctx),
-		Key:          r.Header.Get("Idempotency-Key"),
-		Organisation: o,
-		Session:      r.Header.Get("Session-Id"),
-		Stall:        o.Stall,
-		Method:       r.Method,
-		Path:         r.URL.Path,
+	w := &dispatch.Request{
+		ID:             idOf(ctx),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		Organisation:   o,
+		SessionID:      r.Header.Get("Session-Id"),
+		StallTimeout:   o.Stall,
+		Method:         r.Method,
+		Path:           r.URL.Path,
 	}
-	if len(w.Key) > maxHeaderText || len(w.Session) > maxHeaderText {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeHeaderMalformed, "Idempotency-Key and Session-Id are at most %d bytes", maxHeaderText)
+	if len(w.IdempotencyKey) > maxHeaderText || len(w.SessionID) > maxHeaderText {
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeHeaderMalformed, "Idempotency-Key and Session-Id are at most %d bytes", maxHeaderText)
 	}
 	return w, nil
 }
@@ -168,7 +168,7 @@
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
-		return now, persimmoncross.Refuse(persimmoncross.CodeHeaderMalformed, "Request-Timeout: want seconds above 0, found %q", text)
+		return now, persimmoncross.NewRefusal(persimmoncross.CodeHeaderMalformed, "Request-Timeout: want seconds above 0, found %q", text)
 	}
 	if seconds >= longest.Seconds() {
 		return now.Add(longest), nil
@@ -186,17 +186,17 @@
 	case "true":
 		return fallback, nil // a caller can't relax what the settings forbid
 	default:
-		return false, persimmoncross.Refuse(persimmoncross.CodeHeaderMalformed, "Idempotent: want true or false, found %q", text)
+		return false, persimmoncross.NewRefusal(persimmoncross.CodeHeaderMalformed, "Idempotent: want true or false, found %q", text)
 	}
 }
 
 func readBody(r *http.Request, limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(limit)+1))
 	if err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeBodyMalformed, "the body broke off")
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeBodyMalformed, "the body broke off")
 	}
 	if len(body) > limit {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeBodyTooLarge, "the body is over %d bytes", limit)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeBodyTooLarge, "the body is over %d bytes", limit)
 	}
 	return body, nil
 }
@@ -211,11 +211,11 @@
 	}
 	parsed, err := chat.ParseRequest(w.Body)
 	if err != nil {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeBodyMalformed, "%v", err)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeBodyMalformed, "%v", err)
 	}
-	w.Name = parsed.Model
+	w.TargetName = parsed.Model
 	w.Stream = parsed.Stream
-	if w.Once, err = once(r, !w.Organisation.Idempotent); err != nil {
+	if w.AtMostOnce, err = once(r, !w.Organisation.Idempotent); err != nil {
 		return nil, err
 	}
 	w.Deadline, err = s.deadline(r, w.Organisation.Deadline)
@@ -238,16 +238,16 @@
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicePrefix), "/")
 	service, ok := s.Settings().Services[name]
 	if !ok {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeServiceUnknown, "there is no service %q", name)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeServiceUnknown, "there is no service %q", name)
 	}
 	if !w.Organisation.Services[name] {
-		return nil, persimmoncross.Refuse(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, name)
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, name)
 	}
-	w.Name = name
+	w.TargetName = name
 	w.Service = service
-	w.Stall = service.Stall
+	w.StallTimeout = service.Stall
 	path = "/" + path
-	if w.Once, err = once(r, service.OnceOnly(r.Method, path)); err != nil {
+	if w.AtMostOnce, err = once(r, service.OnceOnly(r.Method, path)); err != nil {
 		return nil, err
 	}
 	_, escaped, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix), "/")
--- a/io/transport/caller/sink.go
+++ b/io/transport/caller/sink.go
@@ -18,24 +18,24 @@
 // writeTimeout is how long a caller may take to accept one chunk.
 const writeTimeout = time.Minute
 
-// sink writes an answer to a caller. It implements [persimmoncross.Sink].
+// sink writes an answer to a caller. It implements [persimmoncross.ResponseSink].
 type sink struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	clock   persimmoncross.Clock
 	request string
-	head    persimmoncross.Head
+	head    persimmoncross.ResponseHead
 	held    []byte
 	begun   bool // the status line is out
 	buffer  []byte
 	aborted bool
 }
 
-// Start implements [persimmoncross.Sink].
-func (s *sink) Start(h persimmoncross.Head) error {
+// Start implements [persimmoncross.ResponseSink].
+func (s *sink) Start(h persimmoncross.ResponseHead) error {
 	s.head = h
-	if h.Request != "" {
-		s.request = h.Request
+	if h.RequestID != "" {
+		s.request = h.RequestID
 	}
 	if !h.Stream {
 		return nil
@@ -59,7 +59,7 @@
 	s.w.WriteHeader(s.head.Status)
 }
 
-// Write implements [persimmoncross.Sink].
+// Write implements [persimmoncross.ResponseSink].
 func (s *sink) Write(chunk []byte) error {
 	s.control.SetWriteDeadline(s.clock.Now().Add(writeTimeout))
 	if s.head.Stream {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// End implements [persimmoncross.Sink].
+// End implements [persimmoncross.ResponseSink].
 func (s *sink) End(r *persimmoncross.Refusal) {
 	s.control.SetWriteDeadline(s.clock.Now().Add(writeTimeout))
 	switch {
--- a/io/transport/disk/disk_test.go
+++ b/io/transport/disk/disk_test.go
@@ -160,10 +160,10 @@
 		},
 	}
 	if err := l.Compact(persimmoncross.Snapshot{
-		Index: 3,
-		Term:  1,
-		Set:   set,
-		Data:  []byte("state"),
+		Index:  3,
+		Term:   1,
+		Config: set,
+		Data:   []byte("state"),
 	}, 3); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 		t.Errorf("%d segments are left", len(names))
 	}
 	hard, s, list := reload(t, folder)
-	if hard.Term != 4 || string(s.Data) != "state" || !s.Set.Has(9) || len(list) != 1 || list[0].Index != 4 {
+	if hard.Term != 4 || string(s.Data) != "state" || !s.Config.HasVoter(9) || len(list) != 1 || list[0].Index != 4 {
 		t.Errorf("hard %+v, snapshot %d, %d entries", hard, s.Index, len(list))
 	}
 }
--- a/io/transport/engine/client.go
+++ b/io/transport/engine/client.go
@@ -49,7 +49,7 @@
 	idleFor     = 30 * time.Second
 )
 
-// Client implements [persimmoncross.Upstreams], [persimmoncross.Reporter] and,
+// Client implements [persimmoncross.UpstreamClient], [persimmoncross.ReportFetcher] and,
 // towards the rating service, [persimmoncross.Rater].
 type Client struct {
 	shared *http.Client
@@ -85,8 +85,8 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Begin implements [persimmoncross.Upstreams].
-func (c *Client) Begin(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Answer, error) {
+// Begin implements [persimmoncross.UpstreamClient].
+func (c *Client) Begin(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Response, error) {
 	if a.Version.Model == "" {
 		return c.beginService(ctx, address, a)
 	}
@@ -106,12 +106,12 @@
 	return c.chatAnswer(response, a)
 }
 
-// Resume implements [persimmoncross.Upstreams].
-func (c *Client) Resume(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt, chunks int) (persimmoncross.Answer, error) {
+// Resume implements [persimmoncross.UpstreamClient].
+func (c *Client) Resume(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt, chunks int) (persimmoncross.Response, error) {
 	path := "/v1/attempts/" + a.ID + "/stream?from=" + strconv.Itoa(chunks)
 	request, err := newRequest(ctx, http.MethodGet, address, path, nil, a)
 	if err != nil {
-		return nil, failed("malformed", persimmoncross.Unknown, "%v", err)
+		return nil, failed("malformed", persimmoncross.RunUnknown, "%v", err)
 	}
 	response, err := c.send(request, a)
 	if err != nil {
@@ -130,11 +130,11 @@
 	}
 	request.GetBody = nil // or net/http might send it again
 	request.Header.Set(headerAttempt, a.ID)
-	request.Header.Set(headerRequest, a.Request)
+	request.Header.Set(headerRequest, a.RequestID)
 	request.Header.Set(headerOrganisation, a.Organisation)
 	request.Header.Set(headerPriority, strconv.Itoa(a.Priority))
-	if a.Key != "" {
-		request.Header[headerKey] = []string{a.Key}
+	if a.IdempotencyKey != "" {
+		request.Header[headerKey] = []string{a.IdempotencyKey}
 	}
 	return request, nil
 }
@@ -148,7 +148,7 @@
 	}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	client := c.shared
-	if a.Once {
+	if a.AtMostOnce {
 		client = c.fresh
 	}
 	response, err := client.Do(request)
@@ -158,19 +158,19 @@
 	if !written.Load() {
 		return nil, failed("connect", persimmoncross.NotRun, "%v", err)
 	}
-	return nil, cut("noanswer", persimmoncross.Unknown, err)
+	return nil, cut("noanswer", persimmoncross.RunUnknown, err)
 }
 
-func (c *Client) chatAnswer(response *http.Response, a persimmoncross.Attempt) (persimmoncross.Answer, error) {
+func (c *Client) chatAnswer(response *http.Response, a persimmoncross.Attempt) (persimmoncross.Response, error) {
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
 		return nil, statusError(response)
 	}
-	if echoed := response.Header.Get(headerAttempt); !a.Blind && echoed != a.ID {
+	if echoed := response.Header.Get(headerAttempt); !a.OmitsAttemptID && echoed != a.ID {
 		response.Body.Close()
-		return nil, failed("crossed", persimmoncross.Unknown, "the answer is to attempt %q", echoed)
+		return nil, failed("crossed", persimmoncross.RunUnknown, "the answer is to attempt %q", echoed)
 	}
-	head := persimmoncross.Head{
+	head := persimmoncross.ResponseHead{
 		Status:      response.StatusCode,
 		ContentType: response.Header.Get("Content-Type"),
 		Version:     a.Version,
@@ -185,26 +185,26 @@
 // statusError sorts an engine's refusals.
 func statusError(response *http.Response) *persimmoncross.AttemptError {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxProblem))
-	run := persimmoncross.Unknown
+	run := persimmoncross.RunUnknown
 	if response.Header.Get(headerRun) == string(persimmoncross.NotRun) {
 		run = persimmoncross.NotRun
 	}
 	e := failed(fmt.Sprintf("status%d", response.StatusCode), run, "%s", text)
-	e.Status = response.StatusCode
+	e.HTTPStatus = response.StatusCode
 	switch {
 	case response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable:
-		e.Busy = true
+		e.Overloaded = true
 		e.RetryAfter = problem.RetryAfter(response.Header)
 	case response.StatusCode == http.StatusNotFound || response.StatusCode == http.StatusGone:
 		// The engine does not hold the version: another one may.
 	case response.StatusCode < http.StatusInternalServerError:
-		e.Client = true
+		e.ClientFault = true
 	}
 	return e
 }
 
 // wholeAnswer reads an answer that is not streamed and checks that it is whole.
-func wholeAnswer(head persimmoncross.Head, response *http.Response) (persimmoncross.Answer, error) {
+func wholeAnswer(head persimmoncross.ResponseHead, response *http.Response) (persimmoncross.Response, error) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody+1))
 	if err != nil {
@@ -232,17 +232,17 @@
 
 // whole is an answer that was read whole: one chunk.
 type whole struct {
-	head  persimmoncross.Head
+	head  persimmoncross.ResponseHead
 	body  []byte
 	usage persimmoncross.Usage
 	read  bool
 }
 
-func (w *whole) Head() persimmoncross.Head   { return w.head }
-func (w *whole) Usage() persimmoncross.Usage { return w.usage }
-func (w *whole) Close() error                { return nil }
+func (w *whole) Head() persimmoncross.ResponseHead { return w.head }
+func (w *whole) Usage() persimmoncross.Usage       { return w.usage }
+func (w *whole) Close() error                      { return nil }
 
-func (w *whole) Next() ([]byte, error) {
+func (w *whole) NextChunk() ([]byte, error) {
 	if w.read {
 		return nil, io.EOF
 	}
@@ -251,7 +251,7 @@
 }
 
 // beginService sends a plain service's call.
-func (c *Client) beginService(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Answer, error) {
+func (c *Client) beginService(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Response, error) {
 	request, err := newRequest(ctx, a.Method, address, a.Path, a.Body, a)
 	if err != nil {
 		return nil, failed("malformed", persimmoncross.NotRun, "%v", err)
@@ -269,10 +269,10 @@
 	}
 	if echoed := response.Header.Get(headerAttempt); echoed != "" && echoed != a.ID {
 		response.Body.Close()
-		return nil, failed("crossed", persimmoncross.Unknown, "the answer is to attempt %q", echoed)
+		return nil, failed("crossed", persimmoncross.RunUnknown, "the answer is to attempt %q", echoed)
 	}
 	return &serviceAnswer{
-		head: persimmoncross.Head{
+		head: persimmoncross.ResponseHead{
 			Status:      response.StatusCode,
 			ContentType: response.Header.Get("Content-Type"),
 		},
@@ -283,15 +283,15 @@
 // serviceAnswer passes a plain service's body on. net/http reports a body that
 // is shorter than announced.
 type serviceAnswer struct {
-	head persimmoncross.Head
+	head persimmoncross.ResponseHead
 	body io.ReadCloser
 }
 
-func (s *serviceAnswer) Head() persimmoncross.Head   { return s.head }
-func (s *serviceAnswer) Usage() persimmoncross.Usage { return persimmoncross.Usage{} }
-func (s *serviceAnswer) Close() error                { return s.body.Close() }
+func (s *serviceAnswer) Head() persimmoncross.ResponseHead { return s.head }
+func (s *serviceAnswer) Usage() persimmoncross.Usage       { return persimmoncross.Usage{} }
+func (s *serviceAnswer) Close() error                      { return s.body.Close() }
 
-func (s *serviceAnswer) Next() ([]byte, error) {
+func (s *serviceAnswer) NextChunk() ([]byte, error) {
 	buffer := make([]byte, piece)
 	n, err := io.ReadFull(s.body, buffer)
 	switch {
@@ -311,8 +311,8 @@
 	return err == io.EOF
 }
 
-// Report implements [persimmoncross.Reporter].
-func (c *Client) Report(ctx context.Context, address netip.AddrPort) (persimmoncross.Report, error) {
+// Report implements [persimmoncross.ReportFetcher].
+func (c *Client) Report(ctx context.Context, address netip.AddrPort) (persimmoncross.UpstreamReport, error) {
 	var body struct {
 		Born     *int64   `json:"born"` // Unix milliseconds
 		Sequence uint64   `json:"sequence"`
@@ -323,23 +323,23 @@
 		Leaving  bool     `json:"leaving"`
 	}
 	if err := c.getJSON(ctx, address, "/v1/load", &body); err != nil {
-		return persimmoncross.Report{}, err
+		return persimmoncross.UpstreamReport{}, err
 	}
 	if min(body.Running, body.Waiting, body.Slots) < 0 {
-		return persimmoncross.Report{}, errors.New("engine: a report with a negative number")
+		return persimmoncross.UpstreamReport{}, errors.New("engine: a report with a negative number")
 	}
-	r := persimmoncross.Report{
+	r := persimmoncross.UpstreamReport{
 		Sequence: body.Sequence,
 		Running:  body.Running,
 		Waiting:  body.Waiting,
 		Slots:    body.Slots,
-		Leaving:  body.Leaving,
+		Draining: body.Leaving,
 	}
 	if body.Born != nil {
-		r.Started = time.UnixMilli(*body.Born)
+		r.StartedAt = time.UnixMilli(*body.Born)
 	}
 	for _, v := range body.Versions {
-		r.Versions = append(r.Versions, persimmoncross.ParseVersion(v))
+		r.Versions = append(r.Versions, persimmoncross.ParseModelVersion(v))
 	}
 	return r, nil
 }
--- a/io/transport/engine/error.go
+++ b/io/transport/engine/error.go
@@ -9,7 +9,7 @@
 
 // failed returns the package's error, which is the root package's: what the
 // decisions need of it is there.
-func failed(reason string, run persimmoncross.Run, format string, args ...any) *persimmoncross.AttemptError {
+func failed(reason string, run persimmoncross.RunStatus, format string, args ...any) *persimmoncross.AttemptError {
 	return &persimmoncross.AttemptError{
 		Reason: reason,
 		Run:    run,
@@ -20,8 +20,8 @@
 var errNoMark = errors.New("the stream ended before its end mark")
 
 // cut returns the error of an attempt whose connection ended before its answer did.
-func cut(reason string, run persimmoncross.Run, err error) *persimmoncross.AttemptError {
+func cut(reason string, run persimmoncross.RunStatus, err error) *persimmoncross.AttemptError {
 	e := failed(reason, run, "%v", err)
-	e.Cut = true
+	e.ConnectionLost = true
 	return e
 }
--- a/io/transport/engine/rater.go
+++ b/io/transport/engine/rater.go
@@ -17,7 +17,7 @@
 }
 
 // Rate implements [persimmoncross.Rater].
-func (r *Rater) Rate(ctx context.Context, question, answer []byte, v persimmoncross.Version) (float64, error) {
+func (r *Rater) Rate(ctx context.Context, question, answer []byte, v persimmoncross.ModelVersion) (float64, error) {
 	address, ok := r.Address()
 	if !ok {
 		return 0, failed("norater", persimmoncross.NotRun, "no rater is set")
--- a/io/transport/engine/stream.go
+++ b/io/transport/engine/stream.go
@@ -12,7 +12,7 @@
 // streamAnswer is a chat answer that comes as events. It is whole when a
 // choice has finished and the engine's own end mark has come.
 type streamAnswer struct {
-	head     persimmoncross.Head
+	head     persimmoncross.ResponseHead
 	body     io.ReadCloser
 	events   *sse.Reader
 	usage    persimmoncross.Usage
@@ -20,7 +20,7 @@
 	finished bool
 }
 
-func newStreamAnswer(head persimmoncross.Head, body io.ReadCloser) *streamAnswer {
+func newStreamAnswer(head persimmoncross.ResponseHead, body io.ReadCloser) *streamAnswer {
 	return &streamAnswer{
 		head:   head,
 		body:   body,
@@ -28,18 +28,18 @@
 	}
 }
 
-// Head implements [persimmoncross.Answer].
-func (s *streamAnswer) Head() persimmoncross.Head { return s.head }
+// Head implements [persimmoncross.Response].
+func (s *streamAnswer) Head() persimmoncross.ResponseHead { return s.head }
 
-// Usage implements [persimmoncross.Answer]. Until the engine tells, each event
+// Usage implements [persimmoncross.Response]. Until the engine tells, each event
 // counts as one token.
 func (s *streamAnswer) Usage() persimmoncross.Usage { return s.usage }
 
-// Close implements [persimmoncross.Answer].
+// Close implements [persimmoncross.Response].
 func (s *streamAnswer) Close() error { return s.body.Close() }
 
-// Next implements [persimmoncross.Answer].
-func (s *streamAnswer) Next() ([]byte, error) {
+// NextChunk implements [persimmoncross.Response].
+func (s *streamAnswer) NextChunk() ([]byte, error) {
 	e, err := s.events.Next()
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, cut("cut", persimmoncross.Ran, errNoMark)
--- a/io/transport/forward/client.go
+++ b/io/transport/forward/client.go
@@ -30,7 +30,7 @@
 // Client implements [persimmoncross.Forwarder]. The exported fields are set
 // before Run.
 type Client struct {
-	Codec   persimmoncross.PassageCodec
+	Codec   persimmoncross.ProxyHeaderCodec
 	Clock   persimmoncross.Clock
 	Metrics metrics.Registry
 
--- a/io/transport/forward/env_test.go
+++ b/io/transport/forward/env_test.go
@@ -21,16 +21,16 @@
 // codec is a stand-in for a platform's names.
 type codec struct{}
 
-func (codec) Encode(h http.Header, a *persimmoncross.PassageAttempt, left time.Duration) {
-	h.Set("Id", a.Passage.ID)
+func (codec) Encode(h http.Header, a *persimmoncross.ProxyAttempt, left time.Duration) {
+	h.Set("Id", a.Request.ID)
 	h.Set("Left", strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (codec) Decode(status int, h http.Header) persimmoncross.PassageHead {
-	return persimmoncross.PassageHead{
-		Status:  status,
-		Request: h.Get("Id"),
-		NotRun:  h.Get("Not-Run") != "",
+func (codec) Decode(status int, h http.Header) persimmoncross.ProxyResponseHead {
+	return persimmoncross.ProxyResponseHead{
+		Status:    status,
+		RequestID: h.Get("Id"),
+		NotRun:    h.Get("Not-Run") != "",
 	}
 }
 
@@ -105,13 +105,13 @@
 	}
 }
 
-func (u *upstream) attempt(id string) *persimmoncross.PassageAttempt {
-	return &persimmoncross.PassageAttempt{
-		Passage: &persimmoncross.Passage{
-			ID:     id,
-			Method: http.MethodGet,
-			Target: "/a/%2e%2e/b?x=%zz&y=1",
-			Host:   "h.example",
+func (u *upstream) attempt(id string) *persimmoncross.ProxyAttempt {
+	return &persimmoncross.ProxyAttempt{
+		Request: &persimmoncross.ProxyRequest{
+			ID:            id,
+			Method:        http.MethodGet,
+			RequestTarget: "/a/%2e%2e/b?x=%zz&y=1",
+			Host:          "h.example",
 			Header: http.Header{
 				"Kept": {"1", "2"},
 			},
@@ -136,7 +136,7 @@
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func (c *Client) get(t *testing.T, a *persimmoncross.PassageAttempt) (string, error) {
+func (c *Client) get(t *testing.T, a *persimmoncross.ProxyAttempt) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -149,7 +149,7 @@
 	return string(body), err
 }
 
-func runOf(err error) persimmoncross.Run {
+func runOf(err error) persimmoncross.RunStatus {
 	var e *persimmoncross.AttemptError
 	if errors.As(err, &e) {
 		return e.Run
--- a/io/transport/forward/forward.go
+++ b/io/transport/forward/forward.go
@@ -32,9 +32,9 @@
 )
 
 // Forward implements [persimmoncross.Forwarder].
-func (c *Client) Forward(ctx context.Context, a *persimmoncross.PassageAttempt) (persimmoncross.PassageAnswer, error) {
+func (c *Client) Forward(ctx context.Context, a *persimmoncross.ProxyAttempt) (persimmoncross.ProxyResponse, error) {
 	now := c.Clock.Now()
-	life := a.Upstream.Life()
+	life := a.Upstream.InstanceID()
 	k, may := c.take(life, a.MaxConns, now)
 	if !may {
 		return nil, fail(reasonConns, persimmoncross.NotRun, "no connection is free")
@@ -74,7 +74,7 @@
 
 // broken tells what the end of a connection before the head means.
 func (c *Client) broken(ctx context.Context, w *writing, err error) *persimmoncross.AttemptError {
-	run := persimmoncross.Unknown
+	run := persimmoncross.RunUnknown
 	if w.sent == 0 {
 		run = persimmoncross.NotRun // not a byte left this process
 	}
@@ -130,8 +130,8 @@
 }
 
 // encode returns the request's bytes.
-func (c *Client) encode(a *persimmoncross.PassageAttempt) []byte {
-	p := a.Passage
+func (c *Client) encode(a *persimmoncross.ProxyAttempt) []byte {
+	p := a.Request
 	h := p.Header.Clone()
 	if h == nil {
 		h = http.Header{}
@@ -141,7 +141,7 @@
 		h.Set("Content-Length", strconv.Itoa(len(p.Body)))
 	}
 	b := bytes.NewBuffer(make([]byte, 0, len(p.Body)+1<<10))
-	b.WriteString(p.Method + " " + p.Target + " HTTP/1.1\r\nHost: " + p.Host + "\r\n")
+	b.WriteString(p.Method + " " + p.RequestTarget + " HTTP/1.1\r\nHost: " + p.Host + "\r\n")
 	h.Write(b) // a buffer takes all
 	b.WriteString("\r\n")
 	b.Write(p.Body)
@@ -160,25 +160,25 @@
 
 // receive reads the head of the answer to the attempt, past interim answers and
 // past late answers to earlier requests.
-func (c *Client) receive(k *conn, a *persimmoncross.PassageAttempt) (*http.Response, persimmoncross.PassageHead, error) {
+func (c *Client) receive(k *conn, a *persimmoncross.ProxyAttempt) (*http.Response, persimmoncross.ProxyResponseHead, error) {
 	asked := &http.Request{
-		Method: a.Passage.Method,
+		Method: a.Request.Method,
 	}
 	for range maxStray {
 		r, err := http.ReadResponse(k.in, asked)
 		if err != nil {
 			var n net.Error
 			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n) || errors.Is(err, net.ErrClosed) {
-				return nil, persimmoncross.PassageHead{}, err
+				return nil, persimmoncross.ProxyResponseHead{}, err
 			}
-			return nil, persimmoncross.PassageHead{}, garbledError(err.Error())
+			return nil, persimmoncross.ProxyResponseHead{}, garbledError(err.Error())
 		}
 		if r.StatusCode < http.StatusOK {
 			continue
 		}
 		head := c.Codec.Decode(r.StatusCode, r.Header)
 		head.Header = endToEnd(r.Header)
-		if head.Request == a.Passage.ID || (head.Request == "" && head.NotRun) {
+		if head.RequestID == a.Request.ID || (head.RequestID == "" && head.NotRun) {
 			if r.ContentLength >= 0 && len(r.TransferEncoding) == 0 {
 				head.Header.Set("Content-Length", strconv.FormatInt(r.ContentLength, 10))
 			}
@@ -186,11 +186,11 @@
 		}
 		c.count("stray")
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return nil, persimmoncross.PassageHead{}, garbledError("an answer to another request that breaks off")
+			return nil, persimmoncross.ProxyResponseHead{}, garbledError("an answer to another request that breaks off")
 		}
 		k.idleFor = 0 // its order is not to be trusted any more
 	}
-	return nil, persimmoncross.PassageHead{}, garbledError("answers to other requests")
+	return nil, persimmoncross.ProxyResponseHead{}, garbledError("answers to other requests")
 }
 
 // hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
@@ -218,7 +218,7 @@
 	}
 }
 
-// answer implements [persimmoncross.PassageAnswer].
+// answer implements [persimmoncross.ProxyResponse].
 type answer struct {
 	client   *Client
 	ctx      context.Context
@@ -226,14 +226,14 @@
 	stop     func() bool
 	writing  *writing
 	response *http.Response
-	head     persimmoncross.PassageHead
+	head     persimmoncross.ProxyResponseHead
 	closed   bool
 }
 
-// Head implements [persimmoncross.PassageAnswer].
-func (r *answer) Head() persimmoncross.PassageHead { return r.head }
+// Head implements [persimmoncross.ProxyResponse].
+func (r *answer) Head() persimmoncross.ProxyResponseHead { return r.head }
 
-// Read implements [persimmoncross.PassageAnswer].
+// Read implements [persimmoncross.ProxyResponse].
 func (r *answer) Read(p []byte) (int, error) {
 	if r.closed {
 		return 0, io.EOF
@@ -266,7 +266,7 @@
 	r.client.give(r.conn, r.client.Clock.Now())
 }
 
-// Close implements [persimmoncross.PassageAnswer].
+// Close implements [persimmoncross.ProxyResponse].
 func (r *answer) Close() error {
 	if !r.closed {
 		r.end()
@@ -280,12 +280,12 @@
 	r.client.drop(r.conn)
 }
 
-func fail(reason string, run persimmoncross.Run, detail string) *persimmoncross.AttemptError {
+func fail(reason string, run persimmoncross.RunStatus, detail string) *persimmoncross.AttemptError {
 	return &persimmoncross.AttemptError{
-		Reason: reason,
-		Run:    run,
-		Busy:   reason == reasonConns,
-		Cut:    reason == reasonCut,
-		Detail: detail,
+		Reason:         reason,
+		Run:            run,
+		Overloaded:     reason == reasonConns,
+		ConnectionLost: reason == reasonCut,
+		Detail:         detail,
 	}
 }
--- a/io/transport/forward/forward_test.go
+++ b/io/transport/forward/forward_test.go
@@ -24,8 +24,8 @@
 		return true
 	})
 	a := u.attempt("1")
-	a.Passage.Method = http.MethodPost
-	a.Passage.Body = []byte("b\x00dy\r\n\r\n")
+	a.Request.Method = http.MethodPost
+	a.Request.Body = []byte("b\x00dy\r\n\r\n")
 	if _, err := newClient().get(t, a); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	_, err := c.get(t, u.attempt("2"))
-	if runOf(err) != persimmoncross.Unknown {
+	if runOf(err) != persimmoncross.RunUnknown {
 		t.Errorf("error %v, want that it may have run", err)
 	}
 	if n := len(u.requests); n != 2 {
@@ -106,7 +106,7 @@
 		answer string // %s is replaced by the id
 		close  bool
 		body   string
-		run    persimmoncross.Run // of the error; "": none
+		run    persimmoncross.RunStatus // of the error; "": none
 	}{
 		{
 			name:   "with a length",
@@ -138,7 +138,7 @@
 			name:   "another's answer alone",
 			answer: late,
 			close:  true,
-			run:    persimmoncross.Unknown,
+			run:    persimmoncross.RunUnknown,
 		},
 		{
 			name:   "too short",
@@ -155,19 +155,19 @@
 		{
 			name:  "no answer",
 			close: true,
-			run:   persimmoncross.Unknown,
+			run:   persimmoncross.RunUnknown,
 		},
 		{
 			name:   "not HTTP",
 			answer: "hello\r\n\r\n",
 			close:  true,
-			run:    persimmoncross.Unknown,
+			run:    persimmoncross.RunUnknown,
 		},
 		{
 			name:   "without an id",
 			answer: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
 			close:  true,
-			run:    persimmoncross.Unknown,
+			run:    persimmoncross.RunUnknown,
 		},
 	}
 	for _, tt := range tests {
@@ -237,7 +237,7 @@
 	a.MaxConns = 1
 	_, err := c.get(t, a)
 	var e *persimmoncross.AttemptError
-	if !errors.As(err, &e) || !e.Busy || e.Run != persimmoncross.NotRun {
+	if !errors.As(err, &e) || !e.Overloaded || e.Run != persimmoncross.NotRun {
 		t.Errorf("error %v, want that no connection is free", err)
 	}
 	close(release)
@@ -276,8 +276,8 @@
 	c := newClient()
 	for i := range 2 {
 		a := u.attempt(strconv.Itoa(i))
-		a.Passage.Method = http.MethodPost
-		a.Passage.Body = make([]byte, 32<<20) // more than the sockets hold
+		a.Request.Method = http.MethodPost
+		a.Request.Body = make([]byte, 32<<20) // more than the sockets hold
 		if body, err := c.get(t, a); err != nil || body != "no" {
 			t.Fatalf("request %d: %q %v", i, body, err)
 		}
@@ -398,7 +398,7 @@
 		t.Errorf("%d requests at the address that it had", n)
 	}
 	again := one.attempt("c")
-	again.Upstream.Started = time.UnixMilli(1_790_000_000_000)
+	again.Upstream.StartedAt = time.UnixMilli(1_790_000_000_000)
 	if body, err := c.get(t, again); err != nil || body != "c" {
 		t.Fatal(body, err)
 	}
--- a/io/transport/operator/fleet.go
+++ b/io/transport/operator/fleet.go
@@ -189,7 +189,7 @@
 	r := request.(RepairRequest)
 	err := f.Repair(ctx, r.Lost, r.With)
 	var refused *group.Error
-	if errors.As(err, &refused) && refused.Kind == group.Refused {
+	if errors.As(err, &refused) && refused.Kind == group.ChangeRejected {
 		return nil, merry.Wrap(err, merry.WithHTTPCode(http.StatusConflict), withCode(settings.RefusedConflict))
 	}
 	if err != nil {
@@ -285,10 +285,10 @@
 			Address: u.Address.String(),
 
 			DataCentre: u.DataCentre(),
-			Leaving:    u.Leaving(),
-			Broken:     u.Broken(),
+			Leaving:    u.Draining(),
+			Broken:     u.HasOpenBreaker(),
 			InFlight:   u.InFlight(),
-			Versions:   u.Versions(),
+			Versions:   u.DeclaredVersions(),
 		})
 	}
 	return list
@@ -298,7 +298,7 @@
 	list := []RolloutStatus{}
 	for name, r := range s.File.Rollouts {
 		stage := s.Stages[name]
-		to := persimmoncross.ParseVersion(r.Model + "@" + r.To)
+		to := persimmoncross.ParseModelVersion(r.Model + "@" + r.To)
 		list = append(list, RolloutStatus{
 			Name:    name,
 			To:      to.String(),
--- a/io/transport/peer/node.go
+++ b/io/transport/peer/node.go
@@ -168,8 +168,8 @@
 // Send implements [persimmoncross.Sender].
 func (n *Node) Send(m persimmoncross.Message) {
 	w := wire.FromMessage(m)
-	if m.Dest != "" {
-		n.post(m.Dest, w)
+	if m.ToVM != "" {
+		n.post(m.ToVM, w)
 		return
 	}
 	for _, vm := range n.known() {
@@ -482,4 +482,4 @@
 }
 
 // Pass sends on a message that another VM wrote.
-func (n *Node) Pass(m persimmoncross.Message) { n.post(m.Dest, wire.FromMessage(m)) }
+func (n *Node) Pass(m persimmoncross.Message) { n.post(m.ToVM, wire.FromMessage(m)) }
--- a/io/transport/peer/proposer.go
+++ b/io/transport/peer/proposer.go
@@ -22,7 +22,7 @@
 type Proposer struct {
 	Group string
 	Node  *Node
-	Local *group.Group // nil: this VM has no member of the group
+	Local *group.Replica // nil: this VM has no member of the group
 	Clock persimmoncross.Clock
 
 	hint atomic.Pointer[string] // where the leader was last
@@ -55,7 +55,7 @@
 // target returns the VM to ask: the known leader, else each in turn.
 func (p *Proposer) target(try int) string {
 	if p.Local != nil {
-		if leader := p.Local.View().Leader; leader != "" {
+		if leader := p.Local.View().LeaderVM; leader != "" {
 			return leader
 		}
 	}
@@ -106,7 +106,7 @@
 
 // AnswerProposal proposes a command that another VM sent at this VM's member of the
 // group.
-func AnswerProposal(ctx context.Context, g *group.Group, p *wire.Propose) *wire.Proposed {
+func AnswerProposal(ctx context.Context, g *group.Replica, p *wire.Propose) *wire.Proposed {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.GetTimeout()))
 	defer cancel()
 	result, err := g.Propose(ctx, p.GetCommand())
@@ -125,7 +125,7 @@
 	var g *group.Error
 	if errors.As(err, &g) {
 		p.Leader = g.Leader
-		p.Refused = g.Kind == group.Refused
+		p.Refused = g.Kind == group.ChangeRejected
 	}
 	return p
 }
--- a/io/transport/peer/silence_test.go
+++ b/io/transport/peer/silence_test.go
@@ -140,7 +140,7 @@
 	}
 	if h.node != nil {
 		h.node.Send(persimmoncross.Message{
-			Dest: h.to,
+			ToVM: h.to,
 		})
 	}
 }
@@ -203,7 +203,7 @@
 	t.Helper()
 	for range 2000 {
 		p.a.Send(persimmoncross.Message{
-			Dest: "b",
+			ToVM: "b",
 		})
 		select {
 		case <-came:
@@ -241,7 +241,7 @@
 	p.link.forget()
 	p.drain()
 	p.a.Send(persimmoncross.Message{
-		Dest: "b",
+		ToVM: "b",
 	})
 	// What was on its way back may still be heard, nothing after it.
 	for n := 0; p.left() == 0; n++ {
@@ -250,7 +250,7 @@
 		}
 		p.clock.ahead.Add(int64(answerWait))
 		p.a.Send(persimmoncross.Message{
-			Dest: "b",
+			ToVM: "b",
 		})
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/log.go
+++ b/log.go
@@ -20,14 +20,14 @@
 	Voters []Member
 }
 
-// Has reports whether the member votes.
-func (c Config) Has(id MemberID) bool {
-	_, ok := c.Find(id)
+// HasVoter reports whether the member votes.
+func (c Config) HasVoter(id MemberID) bool {
+	_, ok := c.FindVoter(id)
 	return ok
 }
 
-// Find returns the voter with the identity.
-func (c Config) Find(id MemberID) (Member, bool) {
+// FindVoter returns the voter with the identity.
+func (c Config) FindVoter(id MemberID) (Member, bool) {
 	for _, m := range c.Voters {
 		if m.ID == id {
 			return m, true
@@ -48,11 +48,11 @@
 
 // Entry is one position of a replicated log.
 type Entry struct {
-	Index uint64
-	Term  uint64
-	Kind  EntryKind
-	Data  []byte
-	Set   Config // for EntryConfig
+	Index  uint64
+	Term   uint64
+	Kind   EntryKind
+	Data   []byte
+	Config Config // for EntryConfig
 }
 
 // HardState is what a member must remember over a restart, beside its log.
@@ -63,10 +63,10 @@
 
 // Snapshot replaces the log up to and including Index.
 type Snapshot struct {
-	Index uint64
-	Term  uint64
-	Set   Config
-	Data  []byte
+	Index  uint64
+	Term   uint64
+	Config Config
+	Data   []byte
 }
 
 // MessageKind tells one consensus message from another.
@@ -80,36 +80,36 @@
 	MessageVoteReply
 	MessageAppend
 	MessageAppendReply
-	MessageChunk      // a part of a snapshot
-	MessageChunkReply // the offset wanted next
-	MessageTimeoutNow // the leader asks the receiver to stand for election
-	MessageHello      // a learner asks the leader to be sent the log
+	MessageSnapshotChunk      // a part of a snapshot
+	MessageSnapshotChunkReply // the offset wanted next
+	MessageTimeoutNow         // the leader asks the receiver to stand for election
+	MessageLearnerJoin        // a learner asks the leader to be sent the log
 )
 
 // Message is one consensus message. Times are durations since a random origin
 // of the process that first wrote them; only that process may compare them.
 type Message struct {
-	Group     string
-	Kind      MessageKind
-	From      MemberID
-	To        MemberID
-	VM        string // the sender's VM
-	Dest      string // the receiver's VM; "" is every peer
-	Term      uint64
-	Index     uint64 // the entry before Entries, the last log entry, or the match
-	LogTerm   uint64 // the term of that entry
-	Commit    uint64
-	Entries   []Entry
-	Reject    bool
-	Hint      uint64        // with Reject: the last entry the sender has
-	Sent      time.Duration // the leader's time of sending, echoed by the reply
-	Probe     time.Duration // a follower's time, echoed once a quorum has confirmed the leader after it
-	Confirmed uint64        // the commit index that a lease from Probe requires
-	Transfer  bool          // the vote is asked for by the leader itself
-	Offset    uint64        // of a snapshot's chunk
-	Total     uint64        // the snapshot's size
-	Data      []byte        // the chunk
-	Set       Config        // the snapshot's voters
+	Group              string
+	Kind               MessageKind
+	From               MemberID
+	To                 MemberID
+	FromVM             string // the sender's VM
+	ToVM               string // the receiver's VM; "" is every peer
+	Term               uint64
+	Index              uint64 // the entry before Entries, the last log entry, or the match
+	LogTerm            uint64 // the term of that entry
+	Commit             uint64
+	Entries            []Entry
+	Reject             bool
+	LastIndexHint      uint64        // with Reject: the last entry the sender has
+	SentAt             time.Duration // the leader's time of sending, echoed by the reply
+	LeaseRequestedAt   time.Duration // a follower's time, echoed once a quorum has confirmed the leader after it
+	LeaseCommitIndex   uint64        // the commit index that a lease from Probe requires
+	LeadershipTransfer bool          // the vote is asked for by the leader itself
+	SnapshotOffset     uint64        // of a snapshot's chunk
+	SnapshotSize       uint64        // the snapshot's size
+	Data               []byte        // the chunk
+	Config             Config        // the snapshot's voters
 }
 
 // Storage keeps a member's log on disk. A call that returns nil has synced.
--- a/hold.go
+++ b/quarantine.go
@@ -29,40 +29,40 @@
 	return err
 }
 
-// HoldStage is what is done with requests that upstreams ended under.
-type HoldStage uint8
+// QuarantineStage is what is done with requests that upstreams ended under.
+type QuarantineStage uint8
 
 // The stages.
 const (
-	HoldFree   HoldStage = iota
-	HoldWatch            // it runs where no other suspect does
-	HoldRefuse           // it does not run
+	QuarantineNone    QuarantineStage = iota
+	QuarantineIsolate                 // it runs where no other suspect does
+	QuarantineRefuse                  // it does not run
 )
 
 // String returns the stage as logs have it.
-func (s HoldStage) String() string {
+func (s QuarantineStage) String() string {
 	switch s {
-	case HoldWatch:
+	case QuarantineIsolate:
 		return "watch"
-	case HoldRefuse:
+	case QuarantineRefuse:
 		return "refuse"
 	}
 	return "free"
 }
 
-// Hold is what all VMs are to know of a request under which upstreams ended.
-type Hold struct {
-	Digest  Digest    `json:"digest"`
-	Service string    `json:"service"` // that it goes to
-	Stage   HoldStage `json:"stage"`
-	// Trial is the VM that runs one copy of a refused request, "" if none does; Try
+// Quarantine is what all VMs are to know of a request under which upstreams ended.
+type Quarantine struct {
+	Digest  Digest          `json:"digest"`
+	Service string          `json:"service"` // that it goes to
+	Stage   QuarantineStage `json:"stage"`
+	// TrialVM is the VM that runs one copy of a refused request, "" if none does; Try
 	// counts the trials.
-	Trial string `json:"trial,omitempty"`
-	Try   int    `json:"try,omitempty"`
+	TrialVM    string `json:"trial,omitempty"`
+	TrialCount int    `json:"try,omitempty"`
 }
 
-// Apart reports whether copies of the request run at an upstream of their own.
-func (h Hold) Apart() bool { return h.Stage == HoldWatch || h.Trial != "" }
+// Isolated reports whether copies of the request run at an upstream of their own.
+func (h Quarantine) Isolated() bool { return h.Stage == QuarantineIsolate || h.TrialVM != "" }
 
 // Prober finds out whether an upstream's process is there.
 type Prober interface {
--- a/version.go
+++ b/version.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// Version names one version of one model, written "model@name".
-type Version struct {
+// ModelVersion names one version of one model, written "model@name".
+type ModelVersion struct {
 	Model string
 	Name  string
 }
 
-// ParseVersion splits "model@name". A text without "@" is a bare model, with an
+// ParseModelVersion splits "model@name". A text without "@" is a bare model, with an
 // empty Name.
-func ParseVersion(s string) Version {
+func ParseModelVersion(s string) ModelVersion {
 	model, name, _ := strings.Cut(s, "@")
-	return Version{
+	return ModelVersion{
 		Model: model,
 		Name:  name,
 	}
 }
 
 // String returns the written form.
-func (v Version) String() string {
+func (v ModelVersion) String() string {
 	if v.Name == "" {
 		return v.Model
 	}
@@ -27,4 +27,4 @@
 }
 
 // Pinned reports whether the version is named, not only the model.
-func (v Version) Pinned() bool { return v.Name != "" }
+func (v ModelVersion) Pinned() bool { return v.Name != "" }
