--- a/core/coordination/relay/backoff_test.go
+++ b/core/coordination/relay/backoff_test.go
@@ -7,14 +7,15 @@
 	"persimmoncross"
 )
 
-// rejectionWithRetryAfter is a rejection with a Retry-After.
+// rejectionWithRetryAfter returns a rejection with a Retry-After delay.
 func rejectionWithRetryAfter(d time.Duration) *fakeResponse {
 	a := rejectedResponse()
 	a.head.RetryAfter = d
 	return a
 }
 
-// An upstream gets requests within the Retry-After that it answered.
+// An upstream gets no request during the Retry-After delay that it answered with. Without the
+// backoff the entry would go on sending it requests.
 func TestNoRequestsDuringBackoff(t *testing.T) {
 	responses := []*fakeResponse{rejectionWithRetryAfter(time.Hour)}
 	for range 60 {
@@ -33,11 +34,11 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("an upstream in a backoff got %d requests", n)
+		t.Errorf("an upstream that answered with a Retry-After got %d requests, want 1", n)
 	}
 }
 
-// With all upstreams in a backoff callers are refused at once, with the shortest of them, and no
+// If all upstreams are in a backoff, callers are refused at once with the shortest delay, and no
 // upstream is tried again.
 func TestAllTargetsInBackoff(t *testing.T) {
 	backoffs := []time.Duration{8 * time.Second, 3 * time.Second, 8 * time.Second, 8 * time.Second}
@@ -52,10 +53,10 @@
 	for i, route := range []string{"safe", "once", "stream"} {
 		refusal := e.serve(t, route, nil)
 		if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter < 2900*time.Millisecond || refusal.RetryAfter > 5*time.Second {
-			t.Errorf("request %d: %+v", i, refusal)
+			t.Errorf("request %d: refusal %+v, want not run with a Retry-After of about 3s", i, refusal)
 		}
 	}
 	if n := len(e.forwarder.attempts); n != len(backoffs) {
-		t.Errorf("%d attempts, want one at each of %d upstreams", n, len(backoffs))
+		t.Errorf("got %d attempts, want one at each of %d upstreams", n, len(backoffs))
 	}
 }
--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -9,35 +9,36 @@
 	"persimmoncross/core/coordination/ratelimit"
 )
 
-// IsAvailable reports whether this entry may send the target a request now: the target is not
-// cold, over the limit that it named, or in a backoff.
+// IsAvailable reports whether this entry may send the target a request now. It may not while
+// slow start, the target's rate limit or a backoff blocks the target.
 func (t *Target) IsAvailable(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isAvailableLocked(now)
 }
 
-// isAvailableLocked is Bears for a caller that holds mu.
+// isAvailableLocked is like IsAvailable, but the caller holds mu.
 func (t *Target) isAvailableLocked(now time.Time) bool {
 	return t.slowStart.CanSend(now) && t.rateLimit.CanSend(now) && t.backoff.Remaining(now) == 0
 }
 
-// acquire reports the same, and accounts for a request if so.
+// acquire reports whether this entry may send the target a request now and, if so, counts the
+// request against the rate limit and the slow start interval.
 func (t *Target) acquire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.isAvailableLocked(now) && t.rateLimit.TryAcquire(now) && t.slowStart.TryAcquire(now)
 }
 
-// Why a target gets no requests from this entry; also names of counters.
+// Reasons why a target gets no requests from this entry. They are also parts of counter names.
 const (
 	blockedLimit   = "limit"
 	blockedCold    = "cold"
 	blockedBackoff = "backoff"
 )
 
-// availableIn returns how long the target gets no requests from this entry and why, 0 if
-// it may get one at any time.
+// availableIn returns how long the target gets no requests from this entry, and the reason.
+// The wait is 0 if the target may get a request at any time.
 func (t *Target) availableIn(now time.Time) (wait time.Duration, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,15 +54,15 @@
 	return wait, reason
 }
 
-// extendBackoff keeps requests from the target until then.
+// extendBackoff blocks requests to the target until the given time.
 func (t *Target) extendBackoff(until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.backoff.Extend(until)
 }
 
-// setRateLimit sets the target's limit in requests per second of all entries, 0 for none. It
-// reports whether that is a change.
+// setRateLimit sets the target's rate limit, in requests per second of all entries together;
+// 0 clears the limit. It reports whether the limit changed.
 func (t *Target) setRateLimit(rate float64, entryCount int, now time.Time) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,23 +74,24 @@
 	return changed
 }
 
-// setEntryCount sets the number of entries that share the target's limit.
+// setEntryCount sets the number of entries that share the target's rate limit.
 func (t *Target) setEntryCount(entryCount int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rateLimit.SetEntries(entryCount, now, rand.Float64())
 }
 
-// endRateLimit handles an answer without a limit to a request that was sent at the given
-// time, and reports whether it ends one.
+// endRateLimit handles a response that names no rate limit, to a request that was sent at the
+// given time. It reports whether the response ends a limit.
 func (t *Target) endRateLimit(sent time.Time) (ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rateLimit.HandleUnlimited(sent)
 }
 
-// applyFeedback handles what the head of an answer asks for, to an attempt that began at the
-// given time. A misdirected answer is from another upstream.
+// applyFeedback applies the rate limit, the Retry-After and the draining state that a response
+// head carries. The attempt began at start. A misdirected response is ignored, because it
+// comes from another upstream.
 func (c *call) applyFeedback(target *Target, head persimmoncross.ProxyResponseHead, start time.Time) {
 	if head.Misdirected {
 		return
@@ -101,12 +103,12 @@
 	}
 	if head.Draining && target.markDraining() {
 		c.relay.incrementCounter("leaving")
-		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Draining).Msg("upstream is leaving")
+		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Draining).Msg("upstream is draining")
 	}
 }
 
-// applyRateLimit updates the target's limit and reports changes to the other entries. The
-// absence of a limit from a rejection or a failure means nothing.
+// applyRateLimit updates the target's rate limit and publishes changes to the other entries.
+// A rejection or a failure that names no limit does not clear the limit.
 func (c *call) applyRateLimit(target *Target, head persimmoncross.ProxyResponseHead, start time.Time) {
 	r := c.relay
 	now := r.Clock.Now()
@@ -116,13 +118,13 @@
 		entryCount := r.View().entryCountOrDefault()
 		if target.setRateLimit(head.RateLimit, entryCount, now) {
 			r.incrementCounter("limit.set")
-			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream limit set")
+			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream rate limit set")
 		}
 	case head.NotRun || head.Status >= 500 || !target.endRateLimit(start):
 		return
 	default:
 		r.incrementCounter("limit.cleared")
-		r.logEvent(c.passage).Str("upstream", target.Incarnation).Msg("upstream limit cleared")
+		r.logEvent(c.passage).Str("upstream", target.Incarnation).Msg("upstream rate limit cleared")
 	}
 	if r.RateLimits == nil {
 		return
@@ -136,8 +138,8 @@
 	}, now)
 }
 
-// availableIn returns how long it takes until the first of the service's blocked upstreams
-// may get a request, and why it is blocked; 0 if none is.
+// availableIn returns the time until the first of the service's blocked upstreams may get a
+// request, and the reason why that upstream is blocked. The time is 0 if no upstream is blocked.
 func (c *call) availableIn() (shortest time.Duration, reason string) {
 	now := c.relay.Clock.Now()
 	for _, u := range c.eligibleTargets() {
@@ -149,13 +151,13 @@
 	return shortest, reason
 }
 
-// noneAvailable reports whether none of the service's upstreams may get a request now.
+// noneAvailable reports whether no upstream of the service may get a request now.
 func (c *call) noneAvailable() bool {
 	now := c.relay.Clock.Now()
 	return !slices.ContainsFunc(c.eligibleTargets(), func(u *Target) bool { return !u.IsDraining(now) && u.IsAvailable(now) })
 }
 
-// MergeRateLimits adds limits that other entries have observed.
+// MergeRateLimits adds rate limits that other entries have observed.
 func (p *Pool) MergeRateLimits(observations []ratelimit.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,8 +169,8 @@
 	}
 }
 
-// entryCountOrDefault returns how many entries share the upstreams, or an estimate before that is
-// known. The caller holds mu.
+// entryCountOrDefault returns how many entries share the upstreams, or defaultEntryCount while
+// the number is not known. The caller holds mu.
 func (p *Pool) entryCountOrDefault() int {
 	if p.entryCount == 0 {
 		return defaultEntryCount
--- a/core/coordination/relay/backpressure_test.go
+++ b/core/coordination/relay/backpressure_test.go
@@ -10,15 +10,16 @@
 	"persimmoncross/core/coordination/ratelimit"
 )
 
-// rateLimitedResponse is a good answer that names a limit.
+// rateLimitedResponse returns a successful response that names a rate limit, in requests per
+// second.
 func rateLimitedResponse(rate float64) *fakeResponse {
 	a := okResponse("x")
 	a.head.RateLimit = rate
 	return a
 }
 
-// After an answer with a limit the upstream gets no request for a window, also from an entry
-// that learned of the limit from another.
+// After a response with a rate limit the upstream gets no further request in the window. This
+// also holds for an entry that received the limit from another entry.
 func TestRateLimitIsObserved(t *testing.T) {
 	responses := []*fakeResponse{rateLimitedResponse(0.5)}
 	for range 40 {
@@ -38,18 +39,18 @@
 	}
 	first := e.forwarder.attempts[0].Upstream
 	if requestCounts[first.Incarnation] != 1 || len(requestCounts) != 4 {
-		t.Errorf("reached: %v", requestCounts)
+		t.Errorf("requests per upstream: %v, want 1 at the limited one and some at each of the others", requestCounts)
 	}
 	limits, _, _ := p.RateLimits.ChangesSince(0, 10)
 	if len(limits) != 1 || limits[0].InstanceID != first.InstanceID() || limits[0].Rate != 0.5 {
-		t.Errorf("sent to the other entries: %v", limits)
+		t.Errorf("limits published to the other entries: %v", limits)
 	}
 	other, q := newTestEnvWithPool(okResponse("x"), okResponse("x"), okResponse("x"))
 	q.RateLimits = &ratelimit.Store{}
 	q.MergeRateLimits(limits)
 	for _, u := range other.targets {
 		if u.IsAvailable(other.clock.Now()) != (u.InstanceID() != first.InstanceID()) {
-			t.Errorf("%s bears requests: %v", u.Incarnation, u.IsAvailable(other.clock.Now()))
+			t.Errorf("%s: available = %v after another entry observed the limit", u.Incarnation, u.IsAvailable(other.clock.Now()))
 		}
 	}
 	later := &Pool{
@@ -57,11 +58,11 @@
 		RateLimits: q.RateLimits,
 	}
 	if u := later.Update([]persimmoncross.Upstream{first})[testService][0]; u.IsAvailable(other.clock.Now()) {
-		t.Error("a life that is listed after its limit is known gets requests")
+		t.Error("an instance that was listed after its limit was known is available")
 	}
 }
 
-// Before the number of entries is known, an entry does not use a limit alone.
+// While the number of entries is not known, an entry does not use the whole rate limit.
 func TestRateLimitWithUnknownEntryCount(t *testing.T) {
 	e, p := newTestEnvWithPool()
 	p.RateLimits = &ratelimit.Store{}
@@ -71,21 +72,22 @@
 	}
 	alone.setRateLimit(1, 1, e.clock.Now())
 	if got, least := e.targets[0].rateLimit.Weight(), alone.rateLimit.Weight(); got < defaultEntryCount*least {
-		t.Errorf("its slots are %v apart, those of the only entry %v", got, least)
+		t.Errorf("rate limit weight %v, want at least defaultEntryCount times that of a single entry, %v", got, least)
 	}
 }
 
-// Only an answer to a request that ran, and was sent after the limit was named, ends it.
+// A rate limit is ended only by a response without a limit, to a request that ran and was sent
+// after the limit was observed.
 func TestEndOfRateLimit(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		response *fakeResponse
 		ends     bool
 	}{
-		{"an answer without one", okResponse("x"), true},
-		{"an answer that names it again", rateLimitedResponse(0.5), false},
-		{"a rejection", rejectedResponse(), false},
-		{"a failure", failedResponse(500), false},
+		{"response without a limit", okResponse("x"), true},
+		{"response with the same limit", rateLimitedResponse(0.5), false},
+		{"rejection without a limit", rejectedResponse(), false},
+		{"failure without a limit", failedResponse(500), false},
 	} {
 		e, p := newTestEnvWithPool(tt.response, okResponse("x"), okResponse("x"))
 		p.RateLimits = &ratelimit.Store{}
@@ -98,17 +100,17 @@
 			if len(e.forwarder.attempts) > 0 {
 				break
 			}
-			// The entry's slot is not open: an earlier beginning lets another one be.
+			// The entry's slot is not open. A new limiter gets another slot.
 			u.rateLimit = ratelimit.Limiter{}
 			u.setRateLimit(0.5, 8, time.Now().Add(-time.Hour))
 		}
 		if ended := u.rateLimit.Rate() == 0; len(e.forwarder.attempts) == 0 || ended != tt.ends {
-			t.Errorf("%s: %d attempts, ended %v", tt.name, len(e.forwarder.attempts), ended)
+			t.Errorf("%s: got %d attempts, limit ended = %v", tt.name, len(e.forwarder.attempts), ended)
 		}
 	}
 }
 
-// With every upstream over its limit callers are refused at once, with a Retry-After.
+// If every upstream is over its rate limit, callers are refused at once with a Retry-After.
 func TestAllTargetsRateLimited(t *testing.T) {
 	e, p := newTestEnvWithPool()
 	e.clock.(*steppingClock).now = time.Now()
@@ -119,13 +121,13 @@
 	for _, route := range []string{"once", "safe", "stream"} {
 		refusal := e.serve(t, route, nil)
 		if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.Code != persimmoncross.CodeNoUpstream {
-			t.Errorf("%s: %+v", route, refusal)
+			t.Errorf("route %s: refusal %+v, want no upstream, not run, with a Retry-After", route, refusal)
 		}
 	}
 	if n := len(e.forwarder.attempts); n > 0 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("got %d attempts, want none", n)
 	}
 	if n := metrics.GetOrRegisterCounter("relay.refused.limit", e.relay.Metrics).Count(); n != 3 {
-		t.Errorf("%d refusals for a limit are counted", n)
+		t.Errorf("counter refused.limit = %d, want 3", n)
 	}
 }
--- a/core/coordination/relay/call.go
+++ b/core/coordination/relay/call.go
@@ -19,14 +19,14 @@
 	"persimmoncross/core/state/register"
 )
 
-// Bounds of one passage.
+// Limits of one request.
 const (
-	maxAttempts      = 6   // attempts, rejected ones too
-	minConnsPerEntry = 2   // connections to an upstream, however many entries there are
-	maxConnsFraction = 0.9 // of an upstream's connections that all entries together use
+	maxAttempts      = 6   // attempts, including rejected ones
+	minConnsPerEntry = 2   // connections to an upstream per entry, however many entries there are
+	maxConnsFraction = 0.9 // fraction of an upstream's connections that all entries together use
 )
 
-// call is one passage on its way.
+// call is the handling of one request.
 type call struct {
 	relay          *Relay
 	passage        *persimmoncross.ProxyRequest
@@ -40,38 +40,38 @@
 	sink           persimmoncross.ProxyResponseSink
 
 	versionFilter     versionFilter
-	upgrade           *register.Upgrade // under way, nil if none is
+	upgrade           *register.Upgrade // upgrade in progress, nil if there is none
 	modelIndex        int               // index among the route's models
-	triedIncarnations map[string]bool   // incarnations
-	expectedWait      time.Duration     // that the upstream of the attempt had when it was picked
-	prefixSource      netip.AddrPort    // of the attempt's prompt, an upstream's; invalid: none
+	triedIncarnations map[string]bool   // names of the upstreams tried in this round
+	expectedWait      time.Duration     // expected wait of the attempt's upstream when it was picked
+	prefixSource      netip.AddrPort    // upstream to copy the prompt's shared parts from; invalid if none
 	attempts          int
 	reachedUpstream   bool // an attempt may have reached an upstream
-	retryTaken        bool // the next attempt's retry is taken out already
+	retryTaken        bool // the next attempt's retry is already taken from the retry budget
 	executions        int  // attempts that an upstream may have begun
-	headSent          bool // the caller has got the head
+	headSent          bool // the response head was sent to the caller
 	lastEventID       string
-	fallback          *bufferedResponse // an upstream's failure, answered if nothing better comes
+	fallback          *bufferedResponse // an upstream's failure, sent if no later attempt succeeds
 	lastError         *persimmoncross.AttemptError
-	quarantineRun     *quarantine.Run // of the attempt
+	quarantineRun     *quarantine.Run // the current attempt's run
 }
 
-// bufferedResponse is a whole answer that was not sent yet.
+// bufferedResponse is a complete response that was not sent yet.
 type bufferedResponse struct {
 	head persimmoncross.ProxyResponseHead
 	body []byte
 }
 
-// outcome is what became of an attempt.
+// outcome is the result of an attempt.
 type outcome uint8
 
 const (
-	outcomeDone    outcome = iota // answered, or the caller is gone
+	outcomeDone    outcome = iota // the response was sent, or the caller disconnected
 	outcomeRetry                  // another attempt may be made
 	outcomeNoRetry                // no other attempt may be made
 )
 
-// run makes attempts until one is answered or none may be made.
+// run makes attempts until one of them is answered or no further attempt may be made.
 func (c *call) run(ctx context.Context) *persimmoncross.Refusal {
 	r := c.relay
 	defer func() { c.quarantineCopy.Done(c.executions > 0) }()
@@ -83,13 +83,14 @@
 	c.updateVersionFilter()
 	for {
 		if c.attempts > 0 {
-			// The upgrade may have gone on: at its completion the old version's
-			// upstreams end at once, and their streams must find the new one's.
+			// The upgrade may have advanced. When it completes, the old version's upstreams
+			// exit at once, and their streams must resume at the new version's upstreams.
 			c.updateVersionFilter()
 		}
-		// What a request does to upstreams is asked before each attempt, by what it asks
-		// for: kept by id it would be forgotten with each copy, and the bound on retries
-		// be a product of copies, entries and runs.
+		// The quarantine stage is looked up before each attempt, by the digest of the
+		// request's content. With the request ID as the key, each copy of a request would
+		// start without a record, and the number of executions would be bounded only by the
+		// product of copies, entries and executions.
 		stage := c.quarantineStage()
 		if stage == persimmoncross.QuarantineRefuse {
 			return c.refuseQuarantined(ctx)
@@ -125,8 +126,8 @@
 
 func (c *call) maxExecutions() int { return max(c.route.MaxAttempts, 1) }
 
-// updateVersionFilter chooses the version's group. While the upgrade's stage stays, all
-// attempts get the same.
+// updateVersionFilter chooses the versions that the next attempt may run on. All attempts get
+// the same filter while the upgrade's stage stays the same.
 func (c *call) updateVersionFilter() {
 	r := c.relay
 	u, ok := r.View().Upgrades[c.service]
@@ -139,13 +140,13 @@
 	}
 }
 
-// pinSessionVersion binds the session to the version of the upstream that is about to
-// get it. What it returns is called at the attempt's end.
+// pinSessionVersion pins the session to the version of the target that is about to run the
+// request. The caller calls the returned function when the attempt ends.
 func (c *call) pinSessionVersion(target *Target) func(now time.Time) {
 	return c.relay.Sessions.BeginRun(c.service, c.passage.SessionID, target.Version, c.relay.Clock.Now())
 }
 
-// attempt sends the passage to the target and carries the answer back.
+// attempt sends the request to the target and forwards the response to the caller.
 func (c *call) attempt(ctx context.Context, target *Target) outcome {
 	r := c.relay
 	c.triedIncarnations[target.Incarnation] = true
@@ -196,7 +197,7 @@
 	head := response.Head()
 	c.logResponseHead(target, head, r.Clock.Now().Sub(start))
 	if head.Status < http.StatusInternalServerError || head.NotRun {
-		target.recordLoad(head.Load, r.Clock.Now()) // what fails at once is not to look idle
+		target.recordLoad(head.Load, r.Clock.Now()) // a target that fails at once must not look idle
 	}
 	if head.Misdirected || head.NotRun {
 		return c.handleRejection(target, head)
@@ -206,7 +207,7 @@
 	if c.route.Stream && head.Status == 200 {
 		return c.forwardStream(ctx, target, response, detector)
 	}
-	detector.stop() // the body of a plain answer follows its head
+	detector.stop() // the body of a response that is no stream directly follows the head
 	if head.Status < 500 {
 		r.CanaryStats.recordDuration(c.upgrade, c.canaryKey(target), r.Clock.Now().Sub(start))
 	}
@@ -219,7 +220,7 @@
 	return !errors.As(err, &e) || e.Run != persimmoncross.NotRun
 }
 
-// logResponseHead tells where an answer began and what was known of the upstream then.
+// logResponseHead logs which upstream began a response, and the load and estimates at that time.
 func (c *call) logResponseHead(target *Target, head persimmoncross.ProxyResponseHead, took time.Duration) {
 	event := c.relay.logEvent(c.passage).Str("session", c.passage.SessionID).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
 	if head.Load != nil {
@@ -245,13 +246,14 @@
 	return max(int(maxConnsFraction*float64(s.MaxConns))/v.entryCountOrDefault(), minConnsPerEntry)
 }
 
-// recordResult tells the breaker and the evidence of an attempt that ran.
+// recordResult records the result of an attempt that ran in the target's circuit breaker and in
+// the canary statistics.
 func (c *call) recordResult(target *Target, failed bool) {
 	target.recordResult(failed, c.relay.Clock.Now())
 	c.relay.CanaryStats.recordResult(c.upgrade, c.canaryKey(target), failed)
 }
 
-// canaryKey names what the evidence counts of the target.
+// canaryKey returns the key under which the canary statistics count the target's responses.
 func (c *call) canaryKey(target *Target) CanaryKey {
 	k := CanaryKey{
 		Service: c.service,
@@ -264,8 +266,8 @@
 	return k
 }
 
-// asAttemptError returns the error of an attempt; one of another kind has the reason,
-// and the run may have come so far.
+// asAttemptError returns err as an AttemptError. An error of another type is wrapped with the
+// given reason and run status.
 func asAttemptError(err error, reason string, run persimmoncross.RunStatus) *persimmoncross.AttemptError {
 	var e *persimmoncross.AttemptError
 	if errors.As(err, &e) {
@@ -278,7 +280,7 @@
 	}
 }
 
-// handleAttemptError takes an attempt that gave no head.
+// handleAttemptError handles an attempt that failed before the response head.
 func (c *call) handleAttemptError(ctx context.Context, target *Target, err error) outcome {
 	e := asAttemptError(err, "internal", persimmoncross.RunUnknown)
 	c.lastError = e
@@ -301,7 +303,7 @@
 	return outcomeRetry
 }
 
-// handleRejection takes an answer that says that nothing ran.
+// handleRejection handles a response that says that the upstream did not run the request.
 func (c *call) handleRejection(target *Target, head persimmoncross.ProxyResponseHead) outcome {
 	reason := "rejected"
 	if head.Misdirected {
@@ -324,8 +326,8 @@
 	return outcomeRetry
 }
 
-// giveUp returns the final answer to a passage that got none, or sends the
-// failure that an upstream gave.
+// giveUp returns the refusal for a request that got no response, or sends the failure response
+// of an upstream if there is one.
 func (c *call) giveUp(ctx context.Context, reason string) *persimmoncross.Refusal {
 	r := c.relay
 	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.passage.ArrivedAt))
@@ -336,7 +338,7 @@
 	if wait > 0 {
 		event = event.Str("blocked", blockReason).Dur("availableIn", wait)
 	}
-	event.Msg("given up")
+	event.Msg("giving up on the request")
 	r.incrementCounter("given-up." + strings.ReplaceAll(reason, " ", "-"))
 	if c.fallback != nil && !c.headSent {
 		c.sendBuffered(c.fallback.head, c.fallback.body)
@@ -353,8 +355,8 @@
 	return c.refuseNotRun(wait, blockReason)
 }
 
-// refuseNotRun refuses a passage that no upstream has begun. The arguments are the results
-// of availableIn.
+// refuseNotRun returns the refusal for a request that no upstream has begun. The arguments are
+// the results of availableIn.
 func (c *call) refuseNotRun(wait time.Duration, blockReason string) *persimmoncross.Refusal {
 	busy := c.lastError != nil && c.lastError.Overloaded
 	switch {
@@ -369,20 +371,20 @@
 	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "no upstream took the request").WithRetryAfter(c.retryAfter(wait))
 }
 
-// logEventWithDigest begins a log logEventWithDigest on a trouble of the passage: its digest joins those of
-// all passages that ask for the same.
+// logEventWithDigest returns a log event for a failure of the request. The digest relates the
+// event to those of all requests with the same content.
 func (c *call) logEventWithDigest() *zerolog.Event {
 	return c.relay.logEvent(c.passage).Stringer("digest", c.quarantineCopy.Digest)
 }
 
-// timeToHead estimates in which time an answer of the service timeToHead now.
+// timeToHead estimates how long the service now takes to send the response head for the request.
 func (c *call) timeToHead() time.Duration {
 	r := c.relay
 	return r.ModelStats.timeToHead(c.service, c.modelName(), c.passage.PromptTokens, r.Clock.Now())
 }
 
-// retryAfter returns when the caller should come back; expected is when there should
-// be room, 0 if that is not known.
+// retryAfter returns the delay after which the caller should retry. expectedWait is the time
+// until an upstream should have capacity, 0 if that is not known.
 func (c *call) retryAfter(expectedWait time.Duration) time.Duration {
 	r := c.relay
 	hint := retry.RetryAfter{
--- a/core/coordination/relay/canarystats.go
+++ b/core/coordination/relay/canarystats.go
@@ -7,35 +7,35 @@
 	"persimmoncross/core/state/register"
 )
 
-// minFailuresToHalt failures that one entry saw by itself, more than a quarter of all,
-// stop it from sending to the new version before the fleet decides.
+// minFailuresToHalt is the number of failures after which an entry by itself stops sending to
+// the new version, before the fleet decides. They must also be more than a quarter of the
+// executions that this entry observed.
 const minFailuresToHalt = 5
 
-// CanaryKey names what is counted apart.
+// CanaryKey identifies one count. Responses with different keys are counted separately.
 type CanaryKey struct {
 	Service      string
 	Version      string
 	Route        string
-	UpgradeOrder uint64 // of the upgrade
+	UpgradeOrder uint64 // Order of the upgrade
 }
 
-// CanaryCount counts answers since the entry's start.
+// CanaryCount counts responses since the entry's start.
 type CanaryCount struct {
 	Executions        uint64
 	Failed            uint64
-	DurationCount     uint64  // answers whose time says something of the version
-	DurationSum       float64 // seconds of those together: for each event of a stream, else to the head
-	DurationSquareSum float64 // of those seconds, squared, together
+	DurationCount     uint64  // responses whose duration is indicative of the version
+	DurationSum       float64 // sum of durations in seconds: per event of a stream, else until the head
+	DurationSquareSum float64 // sum of the squares of these durations
 }
 
-// CanaryStats counts the answers of both versions while an upgrade is under way.
+// CanaryStats counts the responses of both versions while an upgrade is in progress.
 type CanaryStats struct {
 	mu     sync.Mutex // guards counts
 	counts map[CanaryKey]*CanaryCount
 }
 
-// recordResult takes an answer; u is the upgrade of its service, nil if none is under
-// way.
+// recordResult counts a response. u is the upgrade of its service, nil if none is in progress.
 func (s *CanaryStats) recordResult(u *register.Upgrade, k CanaryKey, failed bool) {
 	if u == nil {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// recordDuration takes how long an answer took.
+// recordDuration counts the duration of a response. u is as for recordResult.
 func (s *CanaryStats) recordDuration(u *register.Upgrade, k CanaryKey, duration time.Duration) {
 	if u == nil {
 		return
@@ -74,7 +74,8 @@
 	return c
 }
 
-// isHalted reports whether this entry has seen enough to stop by itself.
+// isHalted reports whether this entry has observed enough failures of the new version to stop
+// sending to it without a decision of the fleet.
 func (s *CanaryStats) isHalted(u register.Upgrade) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	return all
 }
 
-// Prune drops the counts of upgrades that are over.
+// Prune deletes the counts of all upgrades that are not in activeUpgrades.
 func (s *CanaryStats) Prune(activeUpgrades map[uint64]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/coordination/relay/draining_test.go
+++ b/core/coordination/relay/draining_test.go
@@ -7,16 +7,17 @@
 	"persimmoncross"
 )
 
-// An upstream that announces that it is leaving gets new work until the list says so too.
-// Rejections and failures announce it as well; later answers without it change nothing.
+// An upstream that announces that it is draining gets no new work, even before the list shows
+// that it is draining. Without this, it would get new work until the list is updated. Rejections
+// and failures announce draining too, and later lists without it change nothing.
 func TestNoRequestsToDrainingTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		response *fakeResponse
 	}{
-		{"with an answer", okResponse("x")},
-		{"with a rejection", rejectedResponse()},
-		{"with a failure", failedResponse(http.StatusInternalServerError)},
+		{"announced in a successful response", okResponse("x")},
+		{"announced in a rejection", rejectedResponse()},
+		{"announced in a failure", failedResponse(http.StatusInternalServerError)},
 	} {
 		tt.response.head.Draining = true
 		responses := []*fakeResponse{tt.response}
@@ -32,15 +33,15 @@
 		first := e.forwarder.attempts[0].Upstream
 		for _, a := range e.forwarder.attempts[1:] {
 			if a.Upstream.InstanceID() == first.InstanceID() {
-				t.Errorf("%s: an upstream that leaves got another request", tt.name)
+				t.Errorf("%s: a draining upstream got another request", tt.name)
 				break
 			}
 		}
-		// A later list that does not show it yet changes nothing.
+		// A later list that does not show the upstream as draining changes nothing.
 		first.Slots++
 		for _, u := range p.Update([]persimmoncross.Upstream{first})[testService] {
 			if !u.IsDraining(e.clock.Now()) {
-				t.Errorf("%s: it is forgotten with the next list", tt.name)
+				t.Errorf("%s: the draining state is lost with the next list", tt.name)
 			}
 		}
 	}
--- a/core/coordination/relay/env_test.go
+++ b/core/coordination/relay/env_test.go
@@ -21,8 +21,8 @@
 	"persimmoncross/core/state/register"
 )
 
-// steppingClock is a clock on which a short pause is over at once, and a longer wait
-// never is: the limits of attempts do not race with the stand-ins' answers.
+// steppingClock is a clock on which a wait of up to 100 ms ends at once and a longer one never
+// ends, so that the timeouts of attempts don't race with the responses of the fakes.
 type steppingClock struct {
 	mu  sync.Mutex // guards now
 	now time.Time
@@ -50,17 +50,17 @@
 	return fired
 }
 
-// frozenClock is a clock that stands still: no wait is ever over.
+// frozenClock is a clock whose time does not advance and whose waits never end.
 type frozenClock struct{ now time.Time }
 
 func (c frozenClock) Now() time.Time                       { return c.now }
 func (c frozenClock) After(time.Duration) <-chan time.Time { return nil }
 
-// fakeResponse is what a stand-in upstream answers to one attempt.
+// fakeResponse is the response of a fake upstream to one attempt.
 type fakeResponse struct {
 	head        persimmoncross.ProxyResponseHead
 	body        string
-	interrupted bool // the body breaks off
+	interrupted bool // the connection is cut after the body
 	err         *persimmoncross.AttemptError
 	onAttempt   func()
 	reader      *bytes.Reader
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// fakeForwarder answers the attempts in order and keeps them.
+// fakeForwarder answers the attempts with the responses in order, and records the attempts.
 type fakeForwarder struct {
 	responses []*fakeResponse
 
@@ -123,7 +123,7 @@
 	return next, nil
 }
 
-// recordingSink is a caller.
+// recordingSink records the response that a caller gets.
 type recordingSink struct {
 	head *persimmoncross.ProxyResponseHead
 	body bytes.Buffer
@@ -131,7 +131,7 @@
 
 func (r *recordingSink) WriteHead(h persimmoncross.ProxyResponseHead) error {
 	if r.head != nil {
-		return errors.New("a second head")
+		return errors.New("WriteHead was called twice")
 	}
 	r.head = &h
 	return nil
@@ -144,7 +144,7 @@
 
 func (r *recordingSink) Flush() error { return nil }
 
-// testEnv is a relay before stand-ins.
+// testEnv is a relay with a fake forwarder, sink and clock.
 type testEnv struct {
 	relay     *Relay
 	forwarder *fakeForwarder
@@ -259,7 +259,7 @@
 	return e
 }
 
-// serve sends a passage on the route.
+// serve sends a request on the route, after change has modified it.
 func (e *testEnv) serve(t *testing.T, route string, change func(p *persimmoncross.ProxyRequest)) *persimmoncross.Refusal {
 	t.Helper()
 	p := &persimmoncross.ProxyRequest{
@@ -274,7 +274,7 @@
 	if change != nil {
 		change(p)
 	}
-	// The deadlines of contexts are of the system's clock.
+	// The deadlines of contexts use the system clock.
 	e.view.Catalog.Routes[0].Timeout = 20 * time.Second
 	p.ArrivedAt = time.Now()
 	if l, ok := e.clock.(*steppingClock); ok {
@@ -285,7 +285,7 @@
 	return e.relay.Serve(context.Background(), p, e.sink)
 }
 
-// okResponse is a good answer that is no stream.
+// okResponse returns a successful response that is no stream.
 func okResponse(body string) *fakeResponse {
 	return &fakeResponse{
 		head: persimmoncross.ProxyResponseHead{
@@ -297,14 +297,14 @@
 	}
 }
 
-// failedResponse is an upstream's own failedResponse.
+// failedResponse returns a failure response of the upstream itself.
 func failedResponse(status int) *fakeResponse {
 	a := okResponse("failed")
 	a.head.Status = status
 	return a
 }
 
-// rejectedResponse says that nothing ran.
+// rejectedResponse returns a response that says that the request did not run.
 func rejectedResponse() *fakeResponse {
 	a := failedResponse(http.StatusServiceUnavailable)
 	a.head.HasSignature = false
@@ -312,7 +312,7 @@
 	return a
 }
 
-// lostResponse is an attempt whose answer never came.
+// lostResponse returns the result of an attempt that got no response.
 func lostResponse(run persimmoncross.RunStatus) *fakeResponse {
 	return &fakeResponse{
 		err: &persimmoncross.AttemptError{
--- a/core/coordination/relay/escalation.go
+++ b/core/coordination/relay/escalation.go
@@ -7,7 +7,7 @@
 	"persimmoncross/core/coordination/cascade"
 )
 
-// modelName is the model that the next attempt asks.
+// modelName returns the model that the next attempt uses.
 func (c *call) modelName() string {
 	if c.passage.RouterPicksModel && len(c.route.Models) > 0 {
 		return c.route.Models[c.modelIndex]
@@ -15,7 +15,7 @@
 	return c.passage.Model
 }
 
-// firstModelIndex returns the model to begin with.
+// firstModelIndex returns the index of the model that the first attempt uses.
 func (c *call) firstModelIndex() int {
 	r, models := c.relay, c.route.Models
 	if len(models) == 0 {
@@ -32,12 +32,12 @@
 		RetryBudgetLeft:   r.retryBudgetLeft(c.service),
 	}
 	first := r.Cascade.FirstModel(models, o)
-	r.logEvent(c.passage).Float64("doubted", o.LowConfidenceRate).Dur("begin", o.TimeToFirstToken).Dur("reading", o.PrefillTime).Float64("crowd", o.SlotUtilization).Float64("retries", o.RetryBudgetLeft).Int("model", first).Msg("first model")
+	r.logEvent(c.passage).Float64("doubted", o.LowConfidenceRate).Dur("begin", o.TimeToFirstToken).Dur("reading", o.PrefillTime).Float64("crowd", o.SlotUtilization).Float64("retries", o.RetryBudgetLeft).Int("model", first).Msg("first model chosen")
 	return first
 }
 
-// escalateModel drops an answer that its model doubts, while the caller has none
-// of it, and lets a larger model be asked.
+// escalateModel reports whether to drop a response of low confidence, of which nothing was sent
+// to the caller, and to retry with a larger model. If so, it selects that model.
 func (c *call) escalateModel(confidence int) bool {
 	r := c.relay
 	if c.headSent || c.quarantineCopy.IsTrial() || !c.passage.RouterPicksModel || len(c.route.Models) == 0 || c.executions >= c.maxExecutions() {
@@ -46,7 +46,7 @@
 	r.ModelStats.recordConfidence(c.service, c.modelName(), r.Cascade.IsLowConfidence(c.route.Models, c.modelIndex, confidence))
 	d := c.escalationInputs(confidence, r.Clock.Now())
 	next, escalate := r.Cascade.Escalate(c.route.Models, d)
-	r.logEvent(c.passage).Dur("begin", d.TimeToFirstToken).Dur("reading", d.PrefillTime).Float64("crowd", d.SlotUtilization).Dur("left", d.ObjectiveLeft).Float64("retries", d.RetryBudgetLeft).Bool("larger", escalate).Msg("confidence weighed")
+	r.logEvent(c.passage).Dur("begin", d.TimeToFirstToken).Dur("reading", d.PrefillTime).Float64("crowd", d.SlotUtilization).Dur("left", d.ObjectiveLeft).Float64("retries", d.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
 	if !escalate {
 		return false
 	}
@@ -59,7 +59,8 @@
 	return true
 }
 
-// escalationInputs tells what is known when a model has answered with the confidence.
+// escalationInputs returns the conditions for the escalation decision after a model answered
+// with the given confidence.
 func (c *call) escalationInputs(confidence int, now time.Time) cascade.EscalationConditions {
 	timeToHead, prefillTime := c.estimateLargestModel(now)
 	return cascade.EscalationConditions{
@@ -75,15 +76,16 @@
 	}
 }
 
-// estimateLargestModel estimates how long the route's estimateLargestModel model takes to begin an answer to the
-// prompt now, and how much of that is its reading; zero if nothing is known.
+// estimateLargestModel estimates how long the route's largest model now takes to send the
+// response head for the prompt, and how much of that is prefill time. The estimates are 0 if
+// nothing is known.
 func (c *call) estimateLargestModel(now time.Time) (timeToHead, prefillTime time.Duration) {
 	stats, model, tokens := c.relay.ModelStats, c.route.Models[len(c.route.Models)-1], c.passage.PromptTokens
 	return stats.timeToHead(c.service, model, tokens, now), stats.prefillTime(c.service, model, tokens)
 }
 
-// fleetUtilization returns the part of the slots that are taken at the upstreams that the
-// passage may go to.
+// fleetUtilization returns the slot utilization of the upstreams that the request may be sent
+// to, as a fraction.
 func (c *call) fleetUtilization(now time.Time) float64 {
 	requests, slots := 0.0, 0
 	for _, u := range c.eligibleTargets() {
--- a/core/coordination/relay/fleetload.go
+++ b/core/coordination/relay/fleetload.go
@@ -7,28 +7,28 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// fleetLoadDelay is how old what all entries know is taken to be when it comes: half
-// the interval of accounts and of updates, over two controllers.
+// fleetLoadDelay is the assumed age of a FleetLoad on arrival. It is half the interval of the
+// entries' reports plus half the interval of updates, with two controllers on the way.
 const fleetLoadDelay = 500 * time.Millisecond
 
-// FleetLoad is what all entries together know of an upstream.
+// FleetLoad is the load and state of an upstream as observed by all entries together.
 type FleetLoad struct {
 	InstanceID        string
-	Reported          *persimmoncross.UpstreamLoad // by the upstream, without its slots; nil: not lately
-	ReportAge         time.Duration                // of Told, at the controller
-	PrefillTime       time.Duration                // that the prompts take to be read whose answers have not begun
-	SuspectingEntries int                          // entries
-	Received          bool                         // bytes came from it lately
-	SinceReceived     time.Duration                // since then, at the controller
+	Reported          *persimmoncross.UpstreamLoad // reported by the upstream, without its slots; nil if not recently
+	ReportAge         time.Duration                // age of Reported at the controller
+	PrefillTime       time.Duration                // total of the prompts whose response heads are pending
+	SuspectingEntries int                          // number of entries that suspect the upstream
+	Received          bool                         // an entry recently received bytes from the upstream
+	SinceReceived     time.Duration                // time since then, at the controller
 }
 
-// fleetState is the same, kept with its target.
+// fleetState is the last FleetLoad of a target.
 type fleetState struct {
 	FleetLoad
-	asOf time.Time // to which Work and Doubters belong
+	asOf time.Time // when the values of FleetLoad are assumed to have been current
 }
 
-// reportedAt returns when the target reportedAt its load, zero if not lately.
+// reportedAt returns when the target reported its load, zero if it did not recently.
 func (f fleetState) reportedAt() time.Time {
 	if f.Reported == nil {
 		return time.Time{}
@@ -36,7 +36,8 @@
 	return f.asOf.Add(-f.ReportAge)
 }
 
-// receivedAt returns when bytes came from the target to any entry, zero if not lately.
+// receivedAt returns when any entry last received bytes from the target, zero if none did
+// recently.
 func (f fleetState) receivedAt() time.Time {
 	if !f.Received {
 		return time.Time{}
@@ -44,18 +45,18 @@
 	return f.asOf.Add(-f.SinceReceived)
 }
 
-// EntryLoad is what this entry knows of an upstream.
+// EntryLoad is the load and state of an upstream as observed by this entry.
 type EntryLoad struct {
 	InstanceID    string
-	Reported      *persimmoncross.UpstreamLoad // nil: nothing since the call before
-	ReportedAt    time.Time                    // of Told
-	PrefillTime   time.Duration                // of this entry's own prompts
+	Reported      *persimmoncross.UpstreamLoad // nil if the upstream reported none since the previous CollectLoads
+	ReportedAt    time.Time                    // when Reported was received
+	PrefillTime   time.Duration                // total of this entry's prompts whose response heads are pending
 	Suspected     bool
-	Received      bool          // bytes came since the call before
-	SinceReceived time.Duration // since then
+	Received      bool          // bytes were received since the previous CollectLoads
+	SinceReceived time.Duration // time since the last of them
 }
 
-// CollectLoads returns what this entry knows that the others may not.
+// CollectLoads returns the observations of this entry that the other entries may not have.
 func (p *Pool) CollectLoads() []EntryLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +94,7 @@
 	return l
 }
 
-// ApplyFleetLoads takes what all entries know.
+// ApplyFleetLoads applies the observations of all entries to the targets.
 func (p *Pool) ApplyFleetLoads(loads []FleetLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,9 +115,9 @@
 	}
 }
 
-// isAvoidedByFleet reports whether other targets are to be preferred for what other
-// entries know: several doubt it and it has answered none. chance is between 0
-// and 1; by it a few requests try whether it works again.
+// isAvoidedByFleet reports whether other targets are preferred because several entries suspect
+// this one and no entry has received a response from it. chance is a random number between 0
+// and 1 that lets a few requests probe whether the target works again.
 func (t *Target) isAvoidedByFleet(now time.Time, entryCount int, chance float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,16 +132,16 @@
 	return shared.ShouldAvoid(chance)
 }
 
-// isSuspectedByOthers reports whether so many entries doubt the target that it is not
-// this one's link.
+// isSuspectedByOthers reports whether a quorum of entries suspects the target, so that the cause
+// is not this entry's link.
 func (t *Target) isSuspectedByOthers(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleet.SuspectingEntries >= outlier.SuspicionQuorum && now.Sub(t.fleet.asOf) <= maxLoadAge
 }
 
-// pendingSince counts the requests whose heads are awaited and that were sent after the
-// time, and adds up the reading of their prompts. The caller holds mu.
+// pendingSince returns the number of requests that were sent after the given time and whose
+// response heads are pending, and the total prefill time of their prompts. The caller holds mu.
 func (t *Target) pendingSince(sentAfter time.Time) (n int, prefillTime time.Duration) {
 	for _, a := range t.pendingHeads {
 		if a.sentAt.After(sentAfter) {
@@ -151,8 +152,8 @@
 	return n, prefillTime
 }
 
-// pendingPrefill estimates how long the prompts take to be read that the target has to
-// read now: what all entries await there, and what this one has sent since.
+// pendingPrefill estimates the total prefill time of the prompts that the target has to process
+// now. It covers the pending prompts of all entries and those that this entry has sent since.
 func (t *Target) pendingPrefill(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,8 +165,9 @@
 	return max(t.fleet.PrefillTime+sentSince, own)
 }
 
-// fleetRequestEstimate estimates the requests at the target from what it told any entry. It is
-// half a second old: of use where requests last longer than that.
+// fleetRequestEstimate estimates the number of requests at the target from the load that the
+// target reported to any entry. The report is half a second old, so the estimate is useful
+// where requests last longer than that.
 func (t *Target) fleetRequestEstimate(now time.Time) float64 {
 	t.mu.Lock()
 	fleet := t.fleet
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -8,41 +8,42 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// One of many entries makes a small part of an upstream's work: what the others
-// await there turns a prompt away from its home too, for as long as it is known.
+// One entry of many sends only a small part of an upstream's requests. Prompts that other entries
+// have pending at the preferred upstream also move a prompt to another one, while their fleet
+// load is recent.
 func TestFleetLoadAffectsPlacement(t *testing.T) {
 	now := time.Unix(100, 0)
 	reread := 50 * time.Millisecond
 	tests := []struct {
 		name        string
-		prefillTime time.Duration // that others await at the home
+		prefillTime time.Duration // of the prompts of other entries at the preferred upstream
 		reported    *persimmoncross.UpstreamLoad
-		elapsed     time.Duration // after the account came
+		elapsed     time.Duration // since the fleet load was received
 		reread      time.Duration
 		wantMoved   bool
 	}{
 		{
-			name:   "nothing is awaited",
+			name:   "no pending prompts",
 			reread: reread,
 		},
 		{
-			name:        "less than the shared parts take to be read again",
+			name:        "less than the prefill of the shared parts",
 			prefillTime: 100*time.Millisecond + reread,
 			reread:      reread,
 		},
 		{
-			name:        "a long prompt is read",
+			name:        "long prompt pending",
 			prefillTime: 2 * time.Second,
 			reread:      reread,
 			wantMoved:   true,
 		},
 		{
-			name:        "the account is old",
+			name:        "fleet load too old",
 			prefillTime: 2 * time.Second,
 			elapsed:     maxLoadAge,
 		},
 		{
-			name: "every slot is taken",
+			name: "every slot in use",
 			reported: &persimmoncross.UpstreamLoad{
 				Running: 10,
 				Waiting: 4,
@@ -58,13 +59,13 @@
 			Reported:    tt.reported,
 		}, now)
 		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != home) != tt.wantMoved {
-			t.Errorf("%s: moved: %v, want %v", tt.name, got != home, tt.wantMoved)
+			t.Errorf("%s: moved from the preferred upstream = %v, want %v", tt.name, got != home, tt.wantMoved)
 		}
 	}
 }
 
-// What an entry awaits is in its account until the answer begins; what an
-// upstream told is in one account.
+// A pending prompt is in each load report of the entry until its response begins. A load that an
+// upstream reported is in one report only.
 func TestCollectLoads(t *testing.T) {
 	clock := &steppingClock{
 		now: time.Unix(100, 0),
@@ -84,14 +85,14 @@
 	}, clock.Now())
 	first := p.CollectLoads()
 	if len(first) != 1 || first[0].PrefillTime != time.Second || first[0].Reported == nil || first[0].Reported.Waiting != 2 {
-		t.Fatalf("the account is %+v", first)
+		t.Fatalf("first load report: %+v", first)
 	}
 	if next := p.CollectLoads(); len(next) != 1 || next[0].Reported != nil || next[0].PrefillTime != time.Second {
-		t.Errorf("the next account is %+v", next)
+		t.Errorf("next load report: %+v", next)
 	}
 	recordHead(clock.Now(), true)
 	if last := p.CollectLoads(); len(last) != 0 {
-		t.Errorf("the account after the answer began is %+v", last)
+		t.Errorf("load report after the response began: %+v, want none", last)
 	}
 	p.ApplyFleetLoads([]FleetLoad{
 		{
@@ -103,21 +104,21 @@
 		},
 	})
 	if got := target.pendingPrefill(clock.Now()); got != 3*time.Second {
-		t.Errorf("%v of reading is awaited, want 3 s", got)
+		t.Errorf("pending prefill time %v, want 3s", got)
 	}
 	target.awaitHead(clock.Now(), time.Second)
 	if got := target.pendingPrefill(clock.Now()); got != 4*time.Second {
-		t.Errorf("with an own prompt sent since %v, want 4 s", got)
+		t.Errorf("pending prefill time with a prompt that this entry sent since: %v, want 4s", got)
 	}
 }
 
-// The time that a model takes to read is what grows with the prompt, however long
-// the queue is meanwhile.
+// The estimated prefill time is the part of the time to the response head that grows with the
+// prompt, however long the queue is.
 func TestPrefillTimeEstimate(t *testing.T) {
 	p := &ModelStats{}
 	now := time.Unix(100, 0)
 	if got := p.prefillTime("s", "m", 1000); got != 0 {
-		t.Errorf("an unknown model reads in %v", got)
+		t.Errorf("prefill time of an unknown model: %v, want 0", got)
 	}
 	for i := range 300 {
 		prompt := 1000 * (1 + i%7)
@@ -125,12 +126,12 @@
 		p.awaitHead("s", "m", prompt, now)(now.Add(queue+time.Duration(prompt)*50*time.Microsecond), true)
 	}
 	if got := p.prefillTime("s", "m", 10000); got < 350*time.Millisecond || got > 650*time.Millisecond {
-		t.Errorf("10,000 tokens are read in %v, want about 500 ms", got)
+		t.Errorf("prefill time of 10,000 tokens: %v, want about 500 ms", got)
 	}
 }
 
-// What several entries can't reach is avoided by all, but for a few that try,
-// until it answers one of them.
+// An upstream that several entries can't reach is avoided by all entries, apart from a few
+// requests that probe it, until it answers an entry.
 func TestTargetSuspectedByFleetIsAvoided(t *testing.T) {
 	now := time.Unix(100, 0)
 	load := &persimmoncross.UpstreamLoad{}
@@ -142,14 +143,14 @@
 		avoided bool
 	}{
 		{
-			name: "one entry doubts it: it may be cut off by itself",
+			name: "one suspecting entry, which may itself be cut off",
 			load: FleetLoad{
 				SuspectingEntries: 1,
 			},
 			chance: 0.9,
 		},
 		{
-			name: "two do",
+			name: "two suspecting entries",
 			load: FleetLoad{
 				SuspectingEntries: 2,
 			},
@@ -157,14 +158,14 @@
 			avoided: true,
 		},
 		{
-			name: "a few requests try",
+			name: "a few requests probe the upstream",
 			load: FleetLoad{
 				SuspectingEntries: 2,
 			},
 			chance: 0.01,
 		},
 		{
-			name: "it has answered another entry",
+			name: "the upstream has answered another entry",
 			load: FleetLoad{
 				SuspectingEntries: 2,
 				Reported:          load,
@@ -173,7 +174,7 @@
 			chance: 0.9,
 		},
 		{
-			name: "it answered before it was lost",
+			name: "the last response to any entry is too old",
 			load: FleetLoad{
 				SuspectingEntries: 2,
 				Reported:          load,
@@ -183,7 +184,7 @@
 			avoided: true,
 		},
 		{
-			name: "the account is old",
+			name: "fleet load too old",
 			load: FleetLoad{
 				SuspectingEntries: 2,
 			},
@@ -195,34 +196,35 @@
 		u := newTargets(1)[0]
 		u.applyFleetLoad(tt.load, now.Add(-fleetLoadDelay))
 		if got := u.isAvoidedByFleet(now.Add(tt.elapsed), 74, tt.chance); got != tt.avoided {
-			t.Errorf("%s: avoided %v", tt.name, got)
+			t.Errorf("%s: avoided = %v", tt.name, got)
 		}
 	}
 }
 
-// An entry tells of its doubt until the upstream answers, and not for ever.
+// An entry reports that it suspects an upstream until the upstream answers, or until
+// outlier.SuspicionRetention has passed.
 func TestEntryPublishesSuspicion(t *testing.T) {
 	now := time.Unix(100, 0)
 	u := newTargets(1)[0]
 	u.recordResult(true, now)
 	if u.collectLoad(now).Suspected {
-		t.Error("one failure is a doubt")
+		t.Error("the upstream is reported as suspected after one failure")
 	}
 	u.markSuspected(now)
 	if !u.collectLoad(now.Add(2*outlier.InitialSuspicion)).Suspected || u.collectLoad(now.Add(outlier.SuspicionRetention+time.Millisecond)).Suspected {
-		t.Error("a doubt is told for as long as nothing is known, within its bound")
+		t.Error("suspicion without a later result is not reported for exactly SuspicionRetention")
 	}
 	u.clearSuspicion()
 	if u.collectLoad(now).Suspected {
-		t.Error("an upstream that answered is doubted")
+		t.Error("an upstream that answered is reported as suspected")
 	}
 	u.recordMisdirected(now)
 	if !u.collectLoad(now).Suspected {
-		t.Error("an address that another upstream has is not told")
+		t.Error("an upstream whose address another one uses is not reported as suspected")
 	}
 }
 
-// An answer to another entry shows that an upstream is only busy.
+// Bytes that another entry received from an upstream show that it is busy and has not stalled.
 func TestReceivedByOtherEntries(t *testing.T) {
 	now := time.Unix(100, 0)
 	u := newTargets(1)[0]
@@ -231,44 +233,44 @@
 		SinceReceived: 200 * time.Millisecond,
 	}, now)
 	if u.receivedSince(now.Add(-100*time.Millisecond)) || !u.receivedSince(now.Add(-300*time.Millisecond)) {
-		t.Error("the age of what others heard does not count")
+		t.Error("receivedSince does not follow the age of what other entries received")
 	}
 	u.recordReceived(u.clockOrigin.Add(time.Second))
 	l := u.collectLoad(u.clockOrigin.Add(1100 * time.Millisecond))
 	if !l.Received || l.SinceReceived != 100*time.Millisecond {
-		t.Errorf("the account is %+v", l)
+		t.Errorf("load report: %+v, want bytes received 100 ms ago", l)
 	}
 	if l := u.collectLoad(u.clockOrigin.Add(1200 * time.Millisecond)); l.Received {
-		t.Error("one sign of life is told twice")
+		t.Error("the same received bytes are reported twice")
 	}
 }
 
-// What does not go to its home copies the shared parts from there; at home
-// nothing is to be copied, nor where the home begins answers late.
+// A prompt that is not placed at its preferred upstream copies the shared parts from there.
+// Nothing is copied at the preferred upstream, or from one that responds late.
 func TestSpilledPromptHasPrefixSource(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
 	home, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if from != nil {
-		t.Errorf("at its home a prompt copies from %s", from.Incarnation)
+		t.Errorf("a prompt at its preferred upstream copies from %s", from.Incarnation)
 	}
 	home.applyFleetLoad(FleetLoad{
 		PrefillTime: time.Second,
 	}, now)
 	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if spilled == home || from != home {
-		t.Errorf("a spilled prompt copies from %v, want its home", from)
+		t.Errorf("a spilled prompt copies from %v, want its preferred upstream", from)
 	}
 	home.awaitHead(now, 0)
 	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkCost); from == home {
-		t.Error("a home that has not begun an answer for 3 s is to send its copy")
+		t.Error("the prefix source is an upstream that has sent no response head for 3 s")
 	}
 	if _, from = placeRequest(all, newPrompt("", 0), now, noLinkCost); from != nil {
-		t.Error("a request without a prompt copies one")
+		t.Error("a request without a prompt has a prefix source")
 	}
 }
 
-// The attempt carries the address to copy from, and only where there is one.
+// The attempt carries the address of the prefix source, and only if there is one.
 func TestAttemptCarriesPrefixSource(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		e := newTestEnv(okResponse("x"))
@@ -290,10 +292,10 @@
 		e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) { p.PromptParts = prompt })
 		a := e.forwarder.attempts[0]
 		if got := a.Upstream.Incarnation == home.Incarnation; got == busy {
-			t.Errorf("busy %v: at home %v", busy, got)
+			t.Errorf("busy = %v: placed at the preferred upstream = %v", busy, got)
 		}
 		if got := a.PrefixCacheSource.IsValid(); got != busy {
-			t.Errorf("busy %v: copies from %v", busy, a.PrefixCacheSource)
+			t.Errorf("busy = %v: prefix source %v", busy, a.PrefixCacheSource)
 		}
 	}
 }
--- a/core/coordination/relay/modelstats.go
+++ b/core/coordination/relay/modelstats.go
@@ -8,8 +8,8 @@
 	"persimmoncross/core/coordination/forecast"
 )
 
-// ModelStats keeps, for each service and model, what this entry saw of the times in
-// which answers began, and of the model's opinions of them.
+// ModelStats keeps, for each service and model, the times until response heads and the
+// confidence values that this entry observed.
 type ModelStats struct {
 	mu            sync.Mutex // guards all below
 	headForecasts map[modelKey]*forecast.FirstTokenEstimator
@@ -21,7 +21,8 @@
 	model   string
 }
 
-// headForecast returns the model's times. The caller holds mu.
+// headForecast returns the model's estimator of the time to the response head. The caller
+// holds mu.
 func (s *ModelStats) headForecast(service, model string) *forecast.FirstTokenEstimator {
 	k := modelKey{
 		service: service,
@@ -38,8 +39,8 @@
 	return h
 }
 
-// awaitHead notes that a head is awaited, and returns what ends the wait; ok tells
-// whether the head came.
+// awaitHead records that a response head is pending. The caller calls the returned function when
+// the wait ends; received tells whether the head was received.
 func (s *ModelStats) awaitHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,23 +53,23 @@
 	}
 }
 
-// prefillTime estimates how long the model takes to read a prompt of so many tokens,
-// without what it waits for that; zero if nothing is known.
+// prefillTime estimates the prefill time of a prompt of the given number of tokens, without
+// queueing. It returns 0 if nothing is known.
 func (s *ModelStats) prefillTime(service, model string, promptTokens int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.headForecast(service, model).PrefillTime(promptTokens)
 }
 
-// timeToHead returns how long the model takes to begin an answer to a prompt of so
-// many tokens now; zero if nothing is known.
+// timeToHead estimates how long the model now takes to send the response head for a prompt of
+// the given number of tokens. It returns 0 if nothing is known.
 func (s *ModelStats) timeToHead(service, model string, promptTokens int, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.headForecast(service, model).TimeToFirstToken(promptTokens, now)
 }
 
-// recordConfidence notes whether an answer of the model was doubted.
+// recordConfidence records whether a response of the model had low confidence.
 func (s *ModelStats) recordConfidence(service, model string, low bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,8 @@
 	s.confidences[k].Record(low)
 }
 
-// lowConfidenceShare returns the share of the model's answers lately that were lowConfidenceShare.
+// lowConfidenceShare returns the fraction of the model's recent responses that had low
+// confidence.
 func (s *ModelStats) lowConfidenceShare(service, model string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -11,10 +11,10 @@
 	"persimmoncross/core/coordination/placement"
 )
 
-// retryRoundDelay is before upstreams that rejected are asked again.
+// retryRoundDelay is the delay before upstreams that rejected the request are tried again.
 const retryRoundDelay = 40 * time.Millisecond
 
-// pickTarget returns the upstream for the next attempt, nil if there is none.
+// pickTarget returns the target for the next attempt, nil if there is none.
 func (c *call) pickTarget(stage persimmoncross.QuarantineStage) *Target {
 	c.prefixSource = netip.AddrPort{}
 	if stage == persimmoncross.QuarantineIsolate {
@@ -42,7 +42,7 @@
 	}
 }
 
-// eligibleTargets returns the service's upstreams that may run the passage at all.
+// eligibleTargets returns the service's targets in the regions where the request may run.
 func (c *call) eligibleTargets() []*Target {
 	all := c.relay.View().Targets[c.service]
 	if len(c.residency.routeRegions)+len(c.residency.organisationRegions) == 0 {
@@ -51,7 +51,7 @@
 	return slices.DeleteFunc(slices.Clone(all), func(u *Target) bool { return !c.residency.allows(u.DataCentre) })
 }
 
-// placementPrompt returns what placing needs to know of the passage's placementPrompt.
+// placementPrompt returns the properties of the request's prompt that placement uses.
 func (c *call) placementPrompt() placement.Prompt {
 	p := placement.Prompt{
 		PrefixPrefillTime: c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.passage.SharedPromptTokens()),
@@ -62,9 +62,9 @@
 	return p
 }
 
-// prefixKey returns the key by which a prompt finds the upstreams that hold its
-// shared parts: the last part is the request's own, the one before it is the
-// deepest that others share.
+// prefixKey returns the key that selects the preferred upstream, which has the prompt's shared
+// parts in its cache. The last part belongs to this request alone, so the key is taken from the
+// part before it, the last one that other requests share.
 func prefixKey(p *persimmoncross.ProxyRequest, model string) string {
 	n := len(p.PromptParts)
 	if n == 0 {
@@ -73,7 +73,7 @@
 	return model + "\x00" + p.PromptParts[max(n-2, 0)].ID
 }
 
-// linkCost returns what the link to the target is expected to cost the answer.
+// linkCost returns the expected delay of the response on the link to the target.
 func (c *call) linkCost(target *Target, now time.Time) time.Duration {
 	tokens := 0
 	if c.route.Stream {
@@ -82,8 +82,8 @@
 	return c.relay.linkCost(target.DataCentre, tokens, now)
 }
 
-// placeRequest picks one of the targets, which are not empty, and the one to copy the
-// prompt's shared parts from, nil if none is.
+// placeRequest picks one of the targets, of which there is at least one. It also returns the
+// target to copy the prompt's shared parts from, nil if there is none.
 func placeRequest(targets []*Target, p placement.Prompt, now time.Time, linkCost func(*Target) time.Duration) (target, source *Target) {
 	candidates := make([]placement.Candidate, len(targets))
 	for i, u := range targets {
@@ -114,12 +114,12 @@
 	if len(trusted) > 0 {
 		return c.excludeReserved(trusted)
 	}
-	return c.excludeReserved(available) // all are suspect: any is better than none
+	return c.excludeReserved(available) // all are suspected, and a suspected target is better than none
 }
 
-// awaitRetryRound waits a little where all upstreams rejected the request, or no list
-// of them is known yet, and lets them be asked again, while that can still be in
-// time.
+// awaitRetryRound starts another round of attempts after retryRoundDelay, where all upstreams
+// rejected the request or the entry has no list of upstreams yet. It reports false if no other
+// round may be made before the request's deadline.
 func (c *call) awaitRetryRound(ctx context.Context) bool {
 	r := c.relay
 	if len(c.triedIncarnations) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.passage.ArrivedAt) > startupWaitTimeout) {
--- a/core/coordination/relay/placement_test.go
+++ b/core/coordination/relay/placement_test.go
@@ -11,8 +11,8 @@
 	"persimmoncross/core/state/register"
 )
 
-// The estimate follows the prompt's size, and sees a queue in the heads that
-// are awaited before any of them has come.
+// The estimate grows with the prompt's size. It also includes the age of pending response heads,
+// so that a queue shows before any of them is received.
 func TestTimeToHeadEstimate(t *testing.T) {
 	p := &ModelStats{}
 	now := time.Unix(0, 0)
@@ -25,16 +25,16 @@
 	small := p.timeToHead("s", "m", 1000, now)
 	large := p.timeToHead("s", "m", 20000, now)
 	if ratio := float64(large-small) / float64(19000*50*time.Microsecond); ratio < 0.8 || ratio > 1.2 {
-		t.Errorf("a token adds %.2f of its time (small %v, large %v)", ratio, small, large)
+		t.Errorf("estimated time per token is %.2f of the actual one (1,000 tokens: %v, 20,000 tokens: %v)", ratio, small, large)
 	}
 	end := p.awaitHead("s", "m", 1000, now)
 	later := now.Add(3 * time.Second)
 	if got := p.timeToHead("s", "m", 1000, later); got < 2*time.Second {
-		t.Errorf("a head that is awaited for 3 s gives an estimate of %v", got)
+		t.Errorf("estimate with a response head pending for 3 s: %v, want at least 2s", got)
 	}
 	end(later, false)
 	if got := p.timeToHead("s", "other", 1000, later); got != 0 {
-		t.Errorf("an unknown model begins in %v", got)
+		t.Errorf("estimate for an unknown model: %v, want 0", got)
 	}
 }
 
@@ -53,13 +53,13 @@
 	return pool.Update(list)["s"]
 }
 
-// placeByPrefix is place without what the target copies from.
+// placeByPrefix is like placeRequest, but does not return the prefix source.
 func placeByPrefix(candidates []*Target, prefix string, reread time.Duration, now time.Time) *Target {
 	t, _ := placeRequest(candidates, newPrompt(prefix, reread), now, noLinkCost)
 	return t
 }
 
-// noLinkCost is the cost of links that lose nothing.
+// noLinkCost is the cost of links without loss.
 func noLinkCost(*Target) time.Duration { return 0 }
 
 func newPrompt(prefix string, reread time.Duration) placement.Prompt {
@@ -86,14 +86,14 @@
 	}
 	for id, n := range count {
 		if n > 2*len(homes)/len(all) {
-			t.Errorf("%s is the home of %d of %d", id, n, len(homes))
+			t.Errorf("%s is the preferred upstream of %d prompts of %d", id, n, len(homes))
 		}
 	}
-	// With one upstream gone only its own prompts move.
+	// If one upstream is removed, only the prompts that preferred it move.
 	gone := all[0].Incarnation
 	for home, id := range homes {
 		if got := placeByPrefix(all[1:], home, 0, now).Incarnation; id != gone && got != id {
-			t.Errorf("%s moved from %s to %s though %s was lost", home, id, got, gone)
+			t.Errorf("%s moved from %s to %s, but only %s was removed", home, id, got, gone)
 		}
 	}
 }
@@ -106,22 +106,22 @@
 		home.inFlight.Add(1)
 	}
 	if got := placeByPrefix(all, "part", 0, now); got == home {
-		t.Error("a home with 9 of 10 slots in use takes more, though the others are idle")
+		t.Error("a preferred upstream with 9 of 10 slots in use gets another request, though the others are idle")
 	}
 	home.inFlight.Store(0)
 	recordHead := home.awaitHead(now, 0)
 	later := now.Add(2 * time.Second)
 	if got := placeByPrefix(all, "part", 0, later); got == home {
-		t.Error("a home that has not begun an answer for 2 s takes more")
+		t.Error("a preferred upstream that has sent no response head for 2 s gets another request")
 	}
 	recordHead(later, true)
 	if got := placeByPrefix(all, "part", 0, later.Add(time.Minute)); got != home {
-		t.Error("the home is not found again after the queue is gone")
+		t.Error("the preferred upstream is not used again after its queue is gone")
 	}
 }
 
-// All entries must place a session alike, whatever each of them remembers, and
-// a session that an upgrade has moved must not go back while it goes well.
+// All entries must choose the same version for a session, whatever sessions each of them has
+// recorded. A session that an upgrade has moved must not move back while the upgrade advances.
 func TestSessionsUnderUpgrade(t *testing.T) {
 	now := time.Unix(100, 0)
 	const share = 0.09
@@ -138,10 +138,10 @@
 			one := (&Sessions{}).chooseVersions(u, session, "a", share, false, now)
 			other := (&Sessions{}).chooseVersions(u, session, "b", share, false, now)
 			if one != other {
-				t.Fatalf("%s: entries differ on %s", stage, session)
+				t.Fatalf("stage %s: entries choose different versions for %s", stage, session)
 			}
 			if moved[session] && !one.targetOnly {
-				t.Fatalf("%s: %s goes back", stage, session)
+				t.Fatalf("stage %s: %s moves back to the old version", stage, session)
 			}
 			moved[session] = one.targetOnly
 			if stage == register.Trial && one.targetOnly {
@@ -150,22 +150,22 @@
 		}
 	}
 	if onCanary < 100 || onCanary > 260 {
-		t.Errorf("%d of 2000 sessions are on trial, want about %.0f", onCanary, 2000*share)
+		t.Errorf("%d of 2000 sessions run on the canary, want about %.0f", onCanary, 2000*share)
 	}
 	u.Stage = register.Withdrawn
 	if g := (&Sessions{}).chooseVersions(u, "session1", "a", share, false, now); g.targetOnly || !g.strict {
-		t.Error("a withdrawn version is allowed")
+		t.Error("a withdrawn version may get requests")
 	}
 	u.Stage = register.Trial
 	for i := range 500 {
 		if g := (&Sessions{}).chooseVersions(u, fmt.Sprint(i), "a", share, true, now); g.targetOnly || !g.strict {
-			t.Fatal("a braked version is allowed")
+			t.Fatal("a halted version may get requests")
 		}
 	}
 }
 
-// A session that runs on the old version when the trial begins stays there
-// until it has been idle.
+// A session that runs on the old version when the trial begins stays there until it has been
+// idle for IdleTimeout.
 func TestCanaryKeepsRunningSessions(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := &Sessions{
@@ -184,18 +184,19 @@
 	}
 	endRun := s.BeginRun("s", session, "v1", now)
 	if s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute)).targetOnly {
-		t.Error("a session was moved while its request ran")
+		t.Error("a session was moved while its request was running")
 	}
 	endRun(now.Add(time.Minute))
 	if s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute+4*time.Second)).targetOnly {
-		t.Error("a session was moved before it was idle")
+		t.Error("a session was moved before its idle timeout")
 	}
 	if !s.chooseVersions(u, session, "a", 0.1, false, now.Add(time.Minute+6*time.Second)).targetOnly {
-		t.Error("an idle session does not take part in the trial")
+		t.Error("a session was not moved to the canary after its idle timeout")
 	}
 }
 
-// Failures count by version and route; a few of them brake the entry itself.
+// Failures are counted by version and route. A few failures make the entry itself halt the
+// canary.
 func TestCanaryFailuresHaltEntry(t *testing.T) {
 	e := &CanaryStats{}
 	u := register.Upgrade{
@@ -217,19 +218,19 @@
 		e.recordResult(&u, newKey, i%2 == 0)
 	}
 	if !e.isHalted(u) {
-		t.Error("10 failures of 20 do not brake")
+		t.Error("the canary is not halted after 10 failures of 20 executions")
 	}
 	old := e.Counts()[oldKey]
 	if old.Executions != 20 || old.Failed != 0 || old.DurationCount != 20 || math.Abs(old.DurationSum-2) > 1e-9 || math.Abs(old.DurationSquareSum-0.2) > 1e-9 {
-		t.Errorf("the old version's count is %+v", old)
+		t.Errorf("count of the old version: %+v", old)
 	}
 	e.Prune(map[uint64]bool{})
 	if len(e.Counts()) != 0 || e.isHalted(u) {
-		t.Error("an upgrade that is over is still counted")
+		t.Error("counts of an upgrade that has ended are kept")
 	}
 }
 
-// What this entry knows of an upstream outlives a change of the list.
+// The state that this entry keeps for an upstream survives a change of the list.
 func TestPoolKeepsTargetState(t *testing.T) {
 	var gone []string
 	p := &Pool{
@@ -246,20 +247,20 @@
 	u.Draining = true
 	second := p.Update([]persimmoncross.Upstream{u})["s"][0]
 	if !second.IsDraining(time.Unix(0, 0)) || second.inFlight.Load() != 3 {
-		t.Errorf("leaves %v, %d in flight", second.IsDraining(time.Unix(0, 0)), second.inFlight.Load())
+		t.Errorf("draining = %v with %d requests in flight, want true with 3", second.IsDraining(time.Unix(0, 0)), second.inFlight.Load())
 	}
 	first.inFlight.Add(-3)
 	if n := second.inFlight.Load(); n != 0 {
-		t.Errorf("%d in flight after the end", n)
+		t.Errorf("%d requests in flight after the last one ended", n)
 	}
 	p.Update(nil)
 	if len(gone) != 1 || gone[0] != u.InstanceID() {
-		t.Errorf("gone: %v", gone)
+		t.Errorf("OnRemoved was called with %v, want one call with the instance ID", gone)
 	}
 }
 
-// A session that ran on the old version at any entry before the trial stays
-// there at all of them.
+// A session that ran on the old version at any entry before the trial stays on that version at
+// all entries.
 func TestPinnedSessionsStayAtAllEntries(t *testing.T) {
 	now := time.Unix(100, 0)
 	const share = 0.2
@@ -274,12 +275,12 @@
 	for i := range 200 {
 		one.BeginRun("s", fmt.Sprint("session", i), "v1", now)(now)
 		if one.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now).targetOnly {
-			t.Fatal("a session is on trial while the trial is prepared")
+			t.Fatal("a session runs on the canary while the trial is prepared")
 		}
 	}
 	u.Kept = one.SessionsToPin(u, share, now.Add(time.Second))
 	if n := len(u.Kept); n < 20 || n > 60 {
-		t.Errorf("%d of 200 sessions are kept, want about %.0f", n, 200*share)
+		t.Errorf("%d of 200 sessions are pinned, want about %.0f", n, 200*share)
 	}
 	u.Stage = register.Trial
 	other := &Sessions{
@@ -289,16 +290,16 @@
 	for i := range 400 {
 		only := other.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now.Add(2*time.Second)).targetOnly
 		if i < 200 && only {
-			t.Errorf("session %d was moved at another entry", i)
+			t.Errorf("pinned session %d was moved at another entry", i)
 		}
 		if only {
 			onCanary++
 		}
 	}
 	if onCanary == 0 {
-		t.Error("no new session takes part in the trial")
+		t.Error("no new session runs on the canary")
 	}
 	if n := len(one.SessionsToPin(u, share, now.Add(time.Minute))); n != 0 {
-		t.Errorf("%d idle sessions are kept", n)
+		t.Errorf("%d idle sessions are pinned, want none", n)
 	}
 }
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -15,42 +15,42 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// maxLoadAge is how long an upstream's own word on its load is used. Past it only
-// this entry's own requests are counted.
+// maxLoadAge is how long a load that an upstream reported is used. After that, only this
+// entry's own requests are counted.
 const maxLoadAge = 2 * time.Second
 
-// Of the estimate of how long a target takes to begin an answer: the weight of
-// one answer, and the time in which an estimate that is not renewed halves.
+// Parameters of the estimate of a target's time to the response head.
 const (
-	timeToHeadWeight   = 0.3
-	timeToHeadHalfLife = 1500 * time.Millisecond
+	timeToHeadWeight   = 0.3                     // weight of one response
+	timeToHeadHalfLife = 1500 * time.Millisecond // of an estimate that gets no new responses
 )
 
-// Target is one life of an upstream with what this entry knows of it.
+// Target is one instance of an upstream with the state that this entry keeps for it.
 type Target struct {
 	persimmoncross.Upstream
 	*targetState
 }
 
-// targetState is what an entry learns by itself. It outlives changes of the list.
+// targetState is the state of a target that an entry observes or receives apart from the list
+// of upstreams. The state is kept when the list changes.
 type targetState struct {
 	inFlight      atomic.Int64
-	activeStreams atomic.Int64 // streams that have begun
-	clockOrigin   time.Time    // of heard: the time of day may jump
-	lastReceived  atomic.Int64 // nanoseconds since origin at which bytes came last
+	activeStreams atomic.Int64 // streams of this entry in progress
+	clockOrigin   time.Time    // origin of lastReceived, since the time of day may jump
+	lastReceived  atomic.Int64 // when bytes were last received, in nanoseconds since clockOrigin
 
 	mu               sync.Mutex // guards all below
 	reportedLoad     persimmoncross.UpstreamLoad
-	inFlightAtReport int64 // requests of this entry when told came
+	inFlightAtReport int64 // in-flight requests of this entry when reportedLoad was received
 	reportedAt       time.Time
-	// lastReceivedPublished is heard when it was last passed on.
+	// lastReceivedPublished is the value of lastReceived that was last published.
 	lastReceivedPublished int64
-	loadUnpublished       bool       // told came from the upstream and was not passed on
-	fleet                 fleetState // what all entries know
+	loadUnpublished       bool       // reportedLoad was not published yet
+	fleet                 fleetState // observations of all entries
 
-	meanTimeToHead float64 // mean seconds to the head of an answer, lately
+	meanTimeToHead float64 // recent mean time to the response head in seconds
 	meanUpdatedAt  time.Time
-	pendingHeads   map[uint64]pendingHead // heads that are awaited
+	pendingHeads   map[uint64]pendingHead // requests whose response heads are pending
 	lastPendingID  uint64
 
 	breaker      outlier.Breaker
@@ -60,17 +60,17 @@
 	slowStart    slowstart.Pacer
 	rateLimit    ratelimit.Limiter
 	backoff      ratelimit.Backoff
-	draining     bool // an answer said that the upstream is leaving
+	draining     bool // a response said that the upstream is draining
 }
 
-// pendingHead is a request whose head is awaited.
+// pendingHead is a request whose response head is pending.
 type pendingHead struct {
 	sentAt      time.Time
-	prefillTime time.Duration // that its prompt takes to be read
+	prefillTime time.Duration // estimated prefill time of its prompt
 }
 
-// IsDraining reports whether the target gets no new work: the list or an answer says that it
-// is leaving, or another upstream answers at its address.
+// IsDraining reports whether the target gets no new work because the list or a response says
+// that it is draining, or because another upstream answers at its address.
 func (t *Target) IsDraining(now time.Time) bool {
 	if t.Draining {
 		return true
@@ -80,8 +80,9 @@
 	return t.draining || t.addressReuse.IsActive(now)
 }
 
-// markDraining stops new work to the target: its answers announce that it is leaving, which is
-// final for a life. It reports whether that is new.
+// markDraining stops new work to the target after a response announced that it is draining.
+// An instance that drains never gets new work again. markDraining reports whether the state
+// changed.
 func (t *Target) markDraining() (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +91,7 @@
 	return changed
 }
 
-// recordMisdirected takes an answer by another upstream at the target's address.
+// recordMisdirected records a response that another upstream sent from the target's address.
 func (t *Target) recordMisdirected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +99,7 @@
 	t.addressReuse.Record(now)
 }
 
-// recordLoad takes the load that an answer told.
+// recordLoad records the load that a response reported.
 func (t *Target) recordLoad(load *persimmoncross.UpstreamLoad, now time.Time) {
 	if load == nil {
 		return
@@ -111,8 +112,8 @@
 	t.loadUnpublished = true
 }
 
-// requestEstimate estimates the requests at the upstream: its own word, moved by what this
-// entry has sent and finished since.
+// requestEstimate estimates the number of requests at the upstream: the number that the upstream
+// reported, adjusted by the requests that this entry has sent and finished since.
 func (t *Target) requestEstimate(now time.Time) float64 {
 	inFlight := t.inFlight.Load()
 	t.mu.Lock()
@@ -124,21 +125,22 @@
 	return float64(max(reported+inFlight-t.inFlightAtReport, inFlight))
 }
 
-// markSuspected prefers other targets for a while, each time longer.
+// markSuspected makes this entry prefer other targets for a while. The time grows with each
+// suspicion.
 func (t *Target) markSuspected(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.suspicion.Suspect(now)
 }
 
-// recordAttempt notes that an attempt starts.
+// recordAttempt records that an attempt starts.
 func (t *Target) recordAttempt() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.StartAttempt()
 }
 
-// recordResult takes the outcome of an attempt that may have run.
+// recordResult records the result of an attempt that may have run.
 func (t *Target) recordResult(failed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +150,7 @@
 	}
 }
 
-// recordUnreachable takes an attempt that did not get there.
+// recordUnreachable records an attempt that did not reach the target.
 func (t *Target) recordUnreachable(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,14 +158,14 @@
 	t.suspicion.Suspect(now)
 }
 
-// recordInconclusive takes an attempt that tells nothing of the target.
+// recordInconclusive records an attempt whose result says nothing about the target's health.
 func (t *Target) recordInconclusive() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaker.AbandonProbe()
 }
 
-// clearSuspicion ends the suspicion: the target has answered.
+// clearSuspicion ends the suspicion of the target, which has answered.
 func (t *Target) clearSuspicion() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,31 +173,32 @@
 	t.addressReuse.Clear()
 }
 
-// isSuspected reports whether other targets are to be preferred.
+// isSuspected reports whether other targets are preferred because the circuit breaker is open or
+// the target is suspected.
 func (t *Target) isSuspected(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.breaker.Allows(now) || t.suspicion.IsActive(now)
 }
 
-// recordPause notes the recordPause before an event of a stream.
+// recordPause records the pause before an event of a stream.
 func (t *Target) recordPause(d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pauses.Record(d, now)
 }
 
-// longestPause returns the longest pause between events of its streams lately.
+// longestPause returns the longest recent pause between events of the target's streams.
 func (t *Target) longestPause(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pauses.Longest(now)
 }
 
-// recordReceived notes that bytes came from the target.
+// recordReceived records that bytes were received from the target.
 func (t *Target) recordReceived(now time.Time) { t.lastReceived.Store(int64(now.Sub(t.clockOrigin))) }
 
-// receivedSince reports whether bytes came after the time, here or to another entry.
+// receivedSince reports whether this or another entry received bytes after the given time.
 func (t *Target) receivedSince(start time.Time) bool {
 	if t.lastReceived.Load() > int64(start.Sub(t.clockOrigin)) {
 		return true
@@ -205,8 +208,8 @@
 	return t.fleet.receivedAt().After(start)
 }
 
-// awaitHead notes that a head is awaited from the target, for a prompt that takes so
-// long to be read, and returns what ends it.
+// awaitHead records that a response head is pending at the target, for a prompt of the given
+// prefill time. The caller calls the returned function when the wait ends.
 func (t *Target) awaitHead(now time.Time, prefillTime time.Duration) func(now time.Time, received bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,7 +235,7 @@
 	}
 }
 
-// timeToHead estimates how long the target takes to begin an answer now.
+// timeToHead estimates how long the target now takes to send a response head.
 func (t *Target) timeToHead(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -243,7 +246,7 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// placementCandidate returns what placing needs to know of the target.
+// placementCandidate returns the properties of the target that placement uses.
 func (t *Target) placementCandidate(now time.Time) placement.Candidate {
 	return placement.Candidate{
 		ID:                t.Incarnation,
@@ -256,30 +259,30 @@
 	}
 }
 
-// utilization is busy as a part of the slots.
+// utilization returns the slot utilization by requestEstimate, as a fraction.
 func (t *Target) utilization(now time.Time) float64 {
 	return t.requestEstimate(now) / float64(max(t.Slots, 1))
 }
 
-// Pool keeps the targets over changes of the list. The exported fields are set
-// before Update.
+// Pool keeps the targets and their state over changes of the list of upstreams. The exported
+// fields are set before Update.
 type Pool struct {
 	Clock persimmoncross.Clock
-	// OnRemoved is called for each life that left the list; may be nil.
+	// OnRemoved is called with the instance ID of each upstream that left the list; may be nil.
 	OnRemoved func(life string)
-	// OnReplaced is called for each life that has another in its place, under its name or
-	// at its address; may be nil.
+	// OnReplaced is called for each instance that another one replaced under its name or at
+	// its address; may be nil.
 	OnReplaced func(was, is persimmoncross.Upstream)
-	// RateLimits are those that this entry or others have observed.
+	// RateLimits are the rate limits that this entry or others have observed.
 	RateLimits *ratelimit.Store
 
 	mu            sync.Mutex // guards all below
 	byInstanceID  map[string]*Target
-	coldInstances map[string]slowstart.ColdUpstream // that were told, and are not over
-	entryCount    int                               // that share the upstreams; 0: not known yet
+	coldInstances map[string]slowstart.ColdUpstream // from SetCold, by instance ID
+	entryCount    int                               // entries that share the upstreams; 0 if not known yet
 }
 
-// Update takes the list and returns the targets by service.
+// Update applies a new list of upstreams and returns the targets by service.
 func (p *Pool) Update(upstreams []persimmoncross.Upstream) map[string][]*Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -300,7 +303,8 @@
 	return services
 }
 
-// notifyRemovals tells of the lives that are over. The caller holds mu.
+// notifyRemovals calls OnRemoved and OnReplaced for the instances that left the list. The caller
+// holds mu.
 func (p *Pool) notifyRemovals(old map[string]*Target) {
 	byName := map[string]persimmoncross.Upstream{}
 	byAddress := map[netip.AddrPort]persimmoncross.Upstream{}
@@ -328,7 +332,8 @@
 	}
 }
 
-// updateTarget keeps what is known of a life; its facts on the list may change.
+// updateTarget returns the target for an upstream on the list. It keeps the state of an instance
+// whose properties on the list have changed.
 func (p *Pool) updateTarget(old *Target, u persimmoncross.Upstream) *Target {
 	if old != nil && old.Draining == u.Draining && old.Version == u.Version && old.Slots == u.Slots && old.Service == u.Service &&
 		old.DataCentre == u.DataCentre && slices.Equal(old.Models, u.Models) {
--- a/core/coordination/relay/quarantine.go
+++ b/core/coordination/relay/quarantine.go
@@ -8,12 +8,12 @@
 	"persimmoncross/core/coordination/quarantine"
 )
 
-// maxReservedFraction is the part of the upstreams that requests under suspicion may take for
-// themselves at most: with more of them they run among the others.
+// maxReservedFraction is the largest fraction of the candidates that may be reserved for isolated
+// requests. Above it, other requests run at the reserved instances too.
 const maxReservedFraction = 0.25
 
-// ReservedInstances returns the lives of the upstreams at which requests under suspicion run,
-// by the list.
+// ReservedInstances returns the instance IDs of the targets at which the isolated requests of
+// the list of quarantines run.
 func ReservedInstances(quarantines map[persimmoncross.Digest]persimmoncross.Quarantine, targets map[string][]*Target) map[string]bool {
 	reserved := map[string]bool{}
 	for _, h := range quarantines {
@@ -27,7 +27,7 @@
 	return reserved
 }
 
-// isolationTarget returns the upstream for a request under suspicion, nil if there is none.
+// isolationTarget returns the target for an isolated request, nil if there is none.
 func isolationTarget(digest persimmoncross.Digest, targets []*Target) *Target {
 	names := make([]string, len(targets))
 	for i, u := range targets {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// quarantineStage returns what is done with the passage's request.
+// quarantineStage returns the quarantine stage that applies to the request.
 func (c *call) quarantineStage() persimmoncross.QuarantineStage {
 	wasTrial := c.quarantineCopy.IsTrial()
 	stage := c.quarantineCopy.EffectiveStage(c.relay.View().Quarantines[c.quarantineCopy.Digest], c.executions > 0)
@@ -49,10 +49,10 @@
 	return stage
 }
 
-// pickIsolated returns the one upstream at which a request under suspicion runs, nil if
-// that can't be reached. Another one is not taken: where upstreams end faster than
-// they start, the few that are up would get all suspects, and each of their ends
-// would have all of them for a cause.
+// pickIsolated returns the one target at which an isolated request runs, nil if that target
+// accepts no request now. No other target is used: where upstreams crash faster than they
+// start, the few that are up would get all isolated requests, and each crash would be
+// attributed to all of them.
 func (c *call) pickIsolated() *Target {
 	c.relay.incrementCounter("quarantine.watched")
 	c.relay.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, c.relay.Clock.Now())
@@ -76,8 +76,8 @@
 	return u
 }
 
-// excludeReserved leaves out the upstreams that requests under suspicion have for themselves:
-// the next end there is to cut few.
+// excludeReserved removes the targets that are reserved for isolated requests, so that the next
+// crash of a reserved instance interrupts few other requests.
 func (c *call) excludeReserved(candidates []*Target) []*Target {
 	v := c.relay.View()
 	if len(v.ReservedInstances) == 0 || len(candidates) == 0 {
@@ -90,8 +90,8 @@
 	return free
 }
 
-// refuseQuarantined refuses a request that ends upstreams. One that has run before it was
-// known is not said not to have.
+// refuseQuarantined refuses a request that crashes upstreams. The refusal of a request that may
+// have run before its quarantine does not say that it did not run.
 func (c *call) refuseQuarantined(ctx context.Context) *persimmoncross.Refusal {
 	r := c.relay
 	r.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, r.Clock.Now())
@@ -99,23 +99,23 @@
 	if c.executions > 0 || c.headSent {
 		return c.giveUp(ctx, "quarantine")
 	}
-	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: upstreams end under this request")
+	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("request refused: it is quarantined for crashing upstreams")
 	return persimmoncross.NewRefusal(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").WithRetryAfter(quarantine.RetryAfter)
 }
 
-// refuseIsolated refuses a copy of a request under suspicion whose upstream takes none now. It
-// will be another one soon.
+// refuseIsolated refuses a copy of an isolated request whose target accepts no request now.
+// Another target is soon chosen for the request.
 func (c *call) refuseIsolated(ctx context.Context) *persimmoncross.Refusal {
 	c.relay.incrementCounter("quarantine.turned-away")
 	if c.executions > 0 || c.headSent {
 		return c.giveUp(ctx, "quarantine")
 	}
-	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("refused: the upstream for this request takes none now")
+	c.logEventWithDigest().Str("route", c.route.Name).Int("sends", c.attempts).Msg("request refused: its isolation upstream accepts no requests now")
 	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").WithRetryAfter(c.retryAfter(0))
 }
 
-// recordCut tells the book that an answer broke off, or never began, with its connection,
-// and lets it be found out whether the upstream has ended.
+// recordCut records that the connection was lost before or during a response, and probes in the
+// background whether the upstream has crashed.
 func (c *call) recordCut(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
 	r := c.relay
 	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.ConnectionLost || !c.quarantineRun.MarkDisconnected(r.Clock.Now()) {
@@ -130,6 +130,6 @@
 			return
 		}
 		r.incrementCounter("quarantine.ended")
-		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
+		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while running requests")
 	}()
 }
--- a/core/coordination/relay/quarantine_test.go
+++ b/core/coordination/relay/quarantine_test.go
@@ -11,12 +11,12 @@
 	"persimmoncross/core/coordination/quarantine"
 )
 
-// fakeProber tells of all upstreams the same.
+// fakeProber is a prober that returns the same result for all upstreams.
 type fakeProber bool
 
 func (f fakeProber) Gone(context.Context, netip.AddrPort) bool { return bool(f) }
 
-// addQuarantine puts a hold on what serve sends on the route.
+// addQuarantine quarantines the request that serve sends on the route.
 func (e *testEnv) addQuarantine(route string, h persimmoncross.Quarantine) persimmoncross.Digest {
 	d := quarantine.DigestOf("o", http.MethodPost, "h", "/"+route+"/x", [32]byte{})
 	h.Digest = d
@@ -28,15 +28,15 @@
 	return d
 }
 
-// cutResponse is an attempt whose connection ended.
+// cutResponse returns the result of an attempt whose connection was lost.
 func cutResponse() *fakeResponse {
 	a := lostResponse(persimmoncross.RunUnknown)
 	a.err.ConnectionLost = true
 	return a
 }
 
-// What is refused gets its answer at once, and a true one: not run, and not to come
-// back soon.
+// A quarantined request is refused at once. The refusal says that the request did not run and
+// that the caller should not retry soon.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	e := newTestEnv(okResponse("x"))
 	e.addQuarantine("safe", persimmoncross.Quarantine{
@@ -47,14 +47,14 @@
 		t.Errorf("%+v", refusal)
 	}
 	if len(e.forwarder.attempts) != 0 {
-		t.Error("it was sent on")
+		t.Error("a quarantined request was sent to an upstream")
 	}
 	if refusal := e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) { p.BodyDigest[0] = 1 }); refusal != nil {
-		t.Errorf("another body: %v", refusal)
+		t.Errorf("a request with another body was refused: %v", refusal)
 	}
 }
 
-// A request that has run when it is found out is not said not to have.
+// The refusal of a request that is quarantined while it runs does not say that it did not run.
 func TestQuarantineDuringExecution(t *testing.T) {
 	e := newTestEnv()
 	first := cutResponse()
@@ -69,12 +69,12 @@
 		t.Errorf("%+v", refusal)
 	}
 	if n := len(e.forwarder.attempts); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("got %d attempts, want 1", n)
 	}
 }
 
-// Under suspicion it runs at one upstream, and nothing else does there; where that
-// one is down it goes nowhere else, and is not said to have run.
+// An isolated request runs at one upstream, and no other request runs there. If that upstream is
+// down, the request runs nowhere else, and its refusal says that it did not run.
 func TestSuspectRequestIsIsolated(t *testing.T) {
 	e := newTestEnv()
 	d := e.addQuarantine("safe", persimmoncross.Quarantine{
@@ -95,20 +95,21 @@
 			t.Fatal(refusal)
 		}
 		if at := e.forwarder.attempts[i].Upstream.Incarnation; (at == isolated) != suspect {
-			t.Fatalf("suspect %v at %s, its own is %s", suspect, at, isolated)
+			t.Fatalf("suspect = %v: ran at %s, the isolation upstream is %s", suspect, at, isolated)
 		}
 		e.sink.head = nil
 	}
-	refusal := e.serve(t, "safe", nil) // the stand-in has no more answers: nobody there
+	refusal := e.serve(t, "safe", nil) // the fake has no more responses, as if the upstream were down
 	if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.RetryAfter > 5*time.Second {
 		t.Errorf("%+v", refusal)
 	}
 	if n := len(e.forwarder.attempts); n != 41 {
-		t.Errorf("%d attempts, want one more", n)
+		t.Errorf("got %d attempts, want 41", n)
 	}
 }
 
-// A trial runs once, at the VM that is to make it; what it shows is told.
+// The trial run of a refused request takes place once, at the VM that TrialVM names, and its
+// result is recorded.
 func TestQuarantineTrialRunsOnce(t *testing.T) {
 	e := newTestEnv(okResponse("x"), okResponse("y"))
 	e.relay.QuarantineRecorder.VM = "vm"
@@ -118,7 +119,7 @@
 		TrialCount: 1,
 	})
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
-		t.Fatal("the trial of another VM ran here")
+		t.Fatal("the trial run of another VM took place here")
 	}
 	digest := e.addQuarantine("safe", persimmoncross.Quarantine{
 		Stage:      persimmoncross.QuarantineRefuse,
@@ -129,7 +130,7 @@
 		t.Fatal(refusal)
 	}
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
-		t.Error("a second copy ran")
+		t.Error("a second copy of the request ran")
 	}
 	cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
 	if len(cases) != 1 || cases[0].Digest != digest || cases[0].ClearedAt.IsZero() {
@@ -137,7 +138,7 @@
 	}
 }
 
-// An answer that breaks off counts as an end only where nothing listens any more.
+// A lost connection counts as a crash only if nothing listens at the upstream's address any more.
 func TestCutCountsOnlyIfUpstreamIsGone(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		e := newTestEnv(cutResponse(), okResponse("x"))
@@ -145,7 +146,7 @@
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
 			t.Fatal(refusal)
 		}
-		// The look at the upstream is made beside the request.
+		// The upstream is probed concurrently with the request.
 		probed := func() bool {
 			return e.relay.Metrics.Get("relay.quarantine.ended") != nil || e.relay.Metrics.Get("relay.quarantine.lived") != nil
 		}
@@ -154,7 +155,7 @@
 		}
 		cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
 		if (len(cases) == 1 && len(cases[0].Crashes) == 1) != gone {
-			t.Errorf("gone %v: %+v", gone, cases)
+			t.Errorf("gone = %v: records %+v", gone, cases)
 		}
 	}
 }
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay decides what happens to one passage: whether it may run, on
-// which service, version, model and upstream, whether another is tried, and
-// when to give up. It sends nothing itself.
+// Package relay decides how an entry handles a proxy request: whether the request may run, on
+// which service, version, model and upstream, whether to retry it, and when to give up. The
+// package itself sends nothing over the network.
 package relay
 
 import (
@@ -22,20 +22,21 @@
 	"persimmoncross/core/state/register"
 )
 
-// View is what an entry knows of the fleet at a moment. It never changes.
+// View is an immutable snapshot of the fleet's state at an entry.
 type View struct {
-	Catalog           *catalog.Catalog // nil: none is known yet
+	Catalog           *catalog.Catalog // nil if the entry has none yet
 	Upgrades          map[string]register.Upgrade
-	Targets           map[string][]*Target // by service, without the data centres that are evacuated
-	EntryCount        int                  // how many entries share the upstreams' connections
+	Targets           map[string][]*Target // by service, without those in evacuated data centres
+	EntryCount        int                  // entries that share the upstreams' connections
 	Quarantines       map[persimmoncross.Digest]persimmoncross.Quarantine
-	ReservedInstances map[string]bool // lives of upstreams: see [Reserve]
+	ReservedInstances map[string]bool // instance IDs, see the function ReservedInstances
 }
 
-// defaultEntryCount is how many entries are assumed while their number is not known.
+// defaultEntryCount is the assumed number of entries while their number is not known.
 const defaultEntryCount = 8
 
-// entryCountOrDefault returns how many share what the operator and the upstreams allow.
+// entryCountOrDefault returns the number of entries that share the operator's and the upstreams'
+// limits, or defaultEntryCount while that number is not known.
 func (v *View) entryCountOrDefault() int {
 	if v == nil || v.EntryCount == 0 {
 		return defaultEntryCount
@@ -43,38 +44,38 @@
 	return v.EntryCount
 }
 
-// Config are what the operator allows, from the local settings.
+// Config holds the operator's limits from the local settings.
 type Config struct {
-	RetryBudgetRatio        float64       // extra arrivals at a service for each request to it
-	RetryBudgetWindow       time.Duration // over which they are counted
-	RetryBudgetMinimum      float64       // extra arrivals beside that, of all entries together
-	MaxCanaryShare          float64       // of a service's requests, for a version on trial
-	SessionIdleTimeout      time.Duration // after which a session may move to another version
-	DefaultLatencyObjective time.Duration // used for a route that declares none
+	RetryBudgetRatio        float64       // retries that each request to a service allows
+	RetryBudgetWindow       time.Duration // window over which requests and retries are counted
+	RetryBudgetMinimum      float64       // retries allowed in addition, of all entries together
+	MaxCanaryShare          float64       // largest share of a service's requests for a version on trial
+	SessionIdleTimeout      time.Duration // idle time after which a session may move to another version
+	DefaultLatencyObjective time.Duration // latency objective of a route that declares none
 }
 
-// Of the operator's bound on retries: what all entries together use of the share
-// and of the slack, so that the edges of a window stay within it.
+// Fractions of the operator's retry budget that all entries together use, so that the budget is
+// also kept at the edges of a window.
 const (
-	retryRatioFactor   = 0.95
-	retryMinimumFactor = 0.7
+	retryRatioFactor   = 0.95 // of RetryBudgetRatio
+	retryMinimumFactor = 0.7  // of RetryBudgetMinimum
 )
 
-// histogramSampleSize is the number of values that a histogram keeps, 8 bytes each.
+// histogramSampleSize is the number of values that a histogram keeps, of 8 bytes each.
 const histogramSampleSize = 500
 
-// Relay serves passages. The exported fields are set before use.
+// Relay serves proxy requests. The exported fields are set before use.
 type Relay struct {
 	Forwarder          persimmoncross.Forwarder
-	Prober             persimmoncross.Prober // nil: nothing is found out of upstreams
+	Prober             persimmoncross.Prober // if nil, no upstream is probed for a crash
 	View               func() *View
 	Clock              persimmoncross.Clock
 	Config             Config
-	RegionByDataCentre map[string]string // of data centres
+	RegionByDataCentre map[string]string // region of each data centre
 	Sessions           *Sessions
 	CanaryStats        *CanaryStats
 	QuarantineRecorder *quarantine.Recorder
-	RateLimits         *ratelimit.Store // shared with the other entries; nil: limits stay local
+	RateLimits         *ratelimit.Store // shared with the other entries; if nil, limits stay local
 	ModelStats         *ModelStats
 	Cascade            cascade.EscalationPolicy
 	Metrics            metrics.Registry
@@ -83,30 +84,31 @@
 	mu           sync.Mutex // guards all below
 	retryBudgets map[string]*retry.Budget
 	links        outlier.LossyLinks
-	// outages are those for which callers are refused, by service; the settings' is
-	// under "".
+	// outages are the current outages by service. The key "" stands for missing settings.
 	outages map[string]*outage
 }
 
-// outage is a span in which callers were refused.
+// outage is a period in which requests were refused.
 type outage struct {
-	start       time.Time // the first of them arrived
-	lastRefusal time.Time // the latest was refused
+	start       time.Time // when the first refused request arrived
+	lastRefusal time.Time // when the last request was refused
 }
 
-// maxRefusalGap is the pause between refusals after which the next one is of a new
-// trouble: a service with few callers does not answer in between.
+// maxRefusalGap is the longest pause between two refusals of one outage. A later refusal starts
+// a new outage, because a service with few callers may not answer any request in between.
 const maxRefusalGap = 5 * time.Second
 
-// A request that comes before the settings waits startupWaitTimeout for them: an election
-// and the way from a controller take about half of it.
+// Timeout and interval of the wait for the settings after a start.
 const (
+	// startupWaitTimeout is how long a request waits for the settings. An election and the
+	// transfer from a controller take about half of it.
 	startupWaitTimeout  = 1200 * time.Millisecond
 	startupPollInterval = 25 * time.Millisecond
 )
 
-// Serve answers the passage through the sink. It returns why there is no whole
-// answer; then the sink has got nothing, or an answer that must be cut off.
+// Serve handles the request and writes the response to the sink. It returns a refusal if there is
+// no complete response. Nothing was written to the sink then, or the written response must be
+// aborted.
 func (r *Relay) Serve(ctx context.Context, p *persimmoncross.ProxyRequest, sink persimmoncross.ProxyResponseSink) *persimmoncross.Refusal {
 	r.incrementCounter("passages")
 	v := r.awaitView(ctx)
@@ -158,8 +160,8 @@
 	return c.run(ctx)
 }
 
-// awaitView returns the view, and waits a little for one after a start: what
-// judges neither keys nor routes yet can soon serve them.
+// awaitView returns the view. After a start it waits up to startupWaitTimeout for the settings,
+// because an entry that can't check keys and routes yet can soon serve the request.
 func (r *Relay) awaitView(ctx context.Context) *View {
 	deadline := r.Clock.Now().Add(startupWaitTimeout)
 	for {
@@ -175,7 +177,7 @@
 	}
 }
 
-// pickService splits a route's requests by weight.
+// pickService picks one of the route's services at random, by weight.
 func pickService(route *catalog.Route) string {
 	if len(route.Split) == 1 {
 		return route.Split[0].Service
@@ -193,22 +195,21 @@
 	return route.Split[0].Service
 }
 
-// countRequest lets the service's retries grow by a request.
+// countRequest adds a request to the service's retry budget.
 func (r *Relay) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryBudget(service).RecordRequest(r.Config.RetryBudgetRatio*retryRatioFactor, r.Clock.Now())
 }
 
-// takeRetry takes a retry at the service out, and reports whether there was one.
+// takeRetry takes a retry from the service's retry budget and reports whether one was left.
 func (r *Relay) takeRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.retryBudget(service).TryRetry(r.Clock.Now())
 }
 
-// retryBudgetLeft returns which part of the retries at the service that a window allows
-// is left.
+// retryBudgetLeft returns the fraction of the service's retry budget that is left in the window.
 func (r *Relay) retryBudgetLeft(service string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +221,7 @@
 	return 0
 }
 
-// retryBudget returns the service's. The caller holds mu.
+// retryBudget returns the service's retry budget. The caller holds mu.
 func (r *Relay) retryBudget(service string) *retry.Budget {
 	if r.retryBudgets == nil {
 		r.retryBudgets = map[string]*retry.Budget{}
@@ -236,8 +237,9 @@
 	return b
 }
 
-// recordRefusal returns how long callers have been refused by the service, or for want
-// of settings. The first of them arrived then.
+// recordRefusal records the refusal of a request that arrived at the given time. It returns the
+// age of the outage: the time since the arrival of the first request that was refused for the
+// service, or for missing settings if service is "".
 func (r *Relay) recordRefusal(service string, arrived time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,15 +258,15 @@
 	return max(now.Sub(current.start), 0)
 }
 
-// endOutage notes that the service has answered.
+// endOutage ends the service's outage after an upstream has answered.
 func (r *Relay) endOutage(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.outages, service)
 }
 
-// recordEventBatch notes events of a stream that came together from the data centre
-// after so long a wait.
+// recordEventBatch records events of a stream that were received together from the data centre
+// after the given wait.
 func (r *Relay) recordEventBatch(dataCentre string, wait time.Duration, events int, now time.Time) {
 	r.mu.Lock()
 	stalled := r.links.RecordEvents(dataCentre, wait, events, now)
@@ -274,8 +276,8 @@
 	}
 }
 
-// linkCost returns what the link to the data centre is expected to cost an answer
-// of up to so many tokens, as a wait.
+// linkCost returns the expected delay on the link to the data centre for a response of up to
+// the given number of tokens.
 func (r *Relay) linkCost(dataCentre string, tokens int, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -286,7 +288,7 @@
 	metrics.GetOrRegisterCounter("relay."+name, r.Metrics).Inc(1)
 }
 
-// observeDuration adds to a histogram of milliseconds.
+// observeDuration adds a duration to a histogram, in milliseconds.
 func (r *Relay) observeDuration(name string, duration time.Duration) {
 	newHistogram := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize)) }
 	r.Metrics.GetOrRegister("relay."+name, newHistogram).(metrics.Histogram).Update(duration.Milliseconds())
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -18,7 +18,7 @@
 		responses []*fakeResponse
 		attempts  int
 		body      string
-		status    int // of what the caller got; 0: a refusal
+		status    int // status that the caller got; 0 for a refusal
 		refusal   persimmoncross.Code
 		run       persimmoncross.RunStatus
 	}{
@@ -31,7 +31,7 @@
 			status:    200,
 		},
 		{
-			name:      "what may have run is not sent again",
+			name:      "request that may have run is not retried",
 			route:     "once",
 			responses: []*fakeResponse{lostResponse(cut)},
 			attempts:  1,
@@ -39,7 +39,7 @@
 			run:       persimmoncross.RunUnknown,
 		},
 		{
-			name:      "what did not run is",
+			name:      "request that did not run is retried",
 			route:     "once",
 			responses: []*fakeResponse{rejectedResponse(), lostResponse(unsent), okResponse("x")},
 			attempts:  3,
@@ -47,7 +47,7 @@
 			status:    200,
 		},
 		{
-			name:      "its failure is passed on",
+			name:      "failure of the upstream is forwarded",
 			route:     "once",
 			responses: []*fakeResponse{failedResponse(500)},
 			attempts:  1,
@@ -55,7 +55,7 @@
 			status:    500,
 		},
 		{
-			name:      "nothing ran anywhere",
+			name:      "every upstream rejects",
 			route:     "once",
 			responses: []*fakeResponse{rejectedResponse(), rejectedResponse()},
 			attempts:  maxAttempts,
@@ -63,7 +63,7 @@
 			run:       persimmoncross.NotRun,
 		},
 		{
-			name:      "a safe one goes on after a cut",
+			name:      "repeatable request is retried after a lost connection",
 			route:     "safe",
 			responses: []*fakeResponse{lostResponse(cut), okResponse("x")},
 			attempts:  2,
@@ -71,7 +71,7 @@
 			status:    200,
 		},
 		{
-			name:      "and after a failure",
+			name:      "repeatable request is retried after a failure",
 			route:     "safe",
 			responses: []*fakeResponse{failedResponse(500), okResponse("x")},
 			attempts:  2,
@@ -79,7 +79,7 @@
 			status:    200,
 		},
 		{
-			name:      "as often as the route allows",
+			name:      "repeatable request is retried as often as the route allows",
 			route:     "safe",
 			responses: []*fakeResponse{failedResponse(500), failedResponse(502), failedResponse(503)},
 			attempts:  3,
@@ -87,7 +87,7 @@
 			status:    503,
 		},
 		{
-			name:  "a body that breaks off is not begun",
+			name:  "interrupted body is replaced before anything is sent",
 			route: "safe",
 			responses: []*fakeResponse{{
 				head:        okResponse("").head,
@@ -99,7 +99,7 @@
 			status:   200,
 		},
 		{
-			name:  "nor passed on where it may not run again",
+			name:  "interrupted body is not sent if the request may not run again",
 			route: "once",
 			responses: []*fakeResponse{{
 				head:        okResponse("").head,
@@ -116,17 +116,17 @@
 			e := newTestEnv(tt.responses...)
 			r := e.serve(t, tt.route, nil)
 			if got := len(e.forwarder.attempts); got != tt.attempts {
-				t.Errorf("%d attempts, want %d", got, tt.attempts)
+				t.Errorf("got %d attempts, want %d", got, tt.attempts)
 			}
 			if e.forwarder.openResponses != 0 {
-				t.Errorf("%d answers were not closed", e.forwarder.openResponses)
+				t.Errorf("%d responses were not closed", e.forwarder.openResponses)
 			}
 			if tt.status == 0 {
 				if r == nil || r.Code != tt.refusal || r.Run != tt.run {
 					t.Fatalf("refusal %v, want %s (%s)", r, tt.refusal, tt.run)
 				}
 				if e.sink.head != nil {
-					t.Error("the caller got a head and a refusal")
+					t.Error("the caller got a response head and a refusal")
 				}
 				return
 			}
@@ -140,8 +140,8 @@
 	}
 }
 
-// No attempt goes to an upstream that was tried, is leaving, or whose address
-// another one has.
+// No attempt is sent to an upstream that was tried already or is draining, or whose address
+// another upstream uses.
 func TestRetryPicksAnotherUpstream(t *testing.T) {
 	e := newTestEnv(lostResponse(persimmoncross.NotRun), lostResponse(persimmoncross.NotRun), okResponse("x"))
 	e.targets[0].Draining = true
@@ -153,7 +153,7 @@
 	}
 	for _, a := range e.forwarder.attempts {
 		if seen[a.Upstream.Incarnation] {
-			t.Errorf("%s was sent to again", a.Upstream.Incarnation)
+			t.Errorf("%s is draining or was tried already, but got an attempt", a.Upstream.Incarnation)
 		}
 		seen[a.Upstream.Incarnation] = true
 	}
@@ -166,7 +166,7 @@
 	}
 	for _, u := range e.targets {
 		if got := u.IsDraining(began); got != (u.Incarnation == e.forwarder.attempts[0].Upstream.Incarnation) {
-			t.Errorf("%s leaves: %v", u.Incarnation, got)
+			t.Errorf("%s: draining = %v after a misdirected response", u.Incarnation, got)
 		}
 	}
 }
@@ -204,21 +204,21 @@
 				t.Errorf("refusal %v, want status %d", r, tt.status)
 			}
 			if len(e.forwarder.attempts) > 0 {
-				t.Error("it was sent")
+				t.Error("the request was sent to an upstream")
 			}
 		})
 	}
 }
 
-// A VM without settings judges nothing: neither a key nor a route is refused,
-// and the caller is told when to come back.
+// A VM without settings refuses neither an unknown key nor an unknown route as such. It asks the
+// caller to retry later.
 func TestRequestBeforeSettingsArrive(t *testing.T) {
 	e := newTestEnv(okResponse("x"))
 	view := e.view
 	e.relay.View = func() *View { return &View{} }
 	r := e.serve(t, "nowhere", func(p *persimmoncross.ProxyRequest) { p.IdempotencyKey = "" })
 	if r == nil || r.Status() != http.StatusServiceUnavailable || r.RetryAfter <= 0 || r.Run != persimmoncross.NotRun {
-		t.Fatalf("refusal %v", r)
+		t.Fatalf("refusal %v, want status 503, not run, with a Retry-After", r)
 	}
 	calls := 0
 	e.relay.View = func() *View {
@@ -228,7 +228,7 @@
 		return view
 	}
 	if r := e.serve(t, "safe", nil); r != nil {
-		t.Errorf("settings that came soon did not serve the request: %v", r)
+		t.Errorf("the request was refused though the settings arrived soon: %v", r)
 	}
 }
 
@@ -244,12 +244,12 @@
 		}
 	}
 	if failed != 12 {
-		t.Fatalf("%d of 12 failed", failed)
+		t.Fatalf("%d of 12 requests failed, want all", failed)
 	}
 	extra := len(e.forwarder.attempts) - 12
-	// Ten are held in store, and each request adds its share.
+	// The base allowance permits ten retries, and each request adds its share.
 	const maxExtra = 10 + 11
 	if extra > maxExtra {
-		t.Errorf("%d extra attempts for 12 requests, at most %d are allowed", extra, maxExtra)
+		t.Errorf("got %d retries for 12 requests, want at most %d", extra, maxExtra)
 	}
 }
--- a/core/coordination/relay/residency.go
+++ b/core/coordination/relay/residency.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// residency are the regions whose upstreams may run a passage: those of its route, of its
-// caller's organisation, or of both where both name some.
+// residency holds the regions whose upstreams may run a request: those of its route, those of its
+// organisation, or those in both lists if neither is empty.
 type residency struct {
-	regionByDataCentre  map[string]string // of data centres
-	routeRegions        []string          // empty: any
-	organisationRegions []string          // the organisation's; empty: any
+	regionByDataCentre  map[string]string
+	routeRegions        []string // empty if the route allows any region
+	organisationRegions []string // empty if the organisation allows any region
 }
 
-// allows reports whether an upstream in the data centre may run the passage. One whose
-// region is not known is at home nowhere.
+// allows reports whether an upstream in the data centre may run the request. A data centre whose
+// region is not known belongs to no region.
 func (r residency) allows(dataCentre string) bool {
 	region := r.regionByDataCentre[dataCentre]
 	permits := func(list []string) bool { return len(list) == 0 || slices.Contains(list, region) }
--- a/core/coordination/relay/residency_test.go
+++ b/core/coordination/relay/residency_test.go
@@ -8,21 +8,22 @@
 	"persimmoncross"
 )
 
-// Requests run in their home regions only: first attempts, retries, streams that go on,
-// copies of shared parts, and those under suspicion. Where route and organisation have
-// homes, both bind; without an upstream there callers are told at once.
+// Requests run only in the regions that are allowed for them. This holds for first attempts,
+// retries, resumed streams, copies of shared parts and isolated requests. If both the route and
+// the organisation list regions, both lists apply. If no upstream is in an allowed region,
+// callers are refused at once.
 func TestDataResidency(t *testing.T) {
 	for _, tt := range []struct {
 		name                              string
 		routeRegions, organisationRegions []string
-		allowed                           string // upstreams
+		allowed                           string // names of the allowed upstreams
 	}{
 		{"none", nil, nil, "u1 u2 u3 u4"},
-		{"the route's", []string{"north"}, nil, "u1 u2"},
-		{"the organisation's", nil, []string{"south"}, "u3"},
+		{"route regions", []string{"north"}, nil, "u1 u2"},
+		{"organisation regions", nil, []string{"south"}, "u3"},
 		{"both", []string{"north", "south"}, []string{"south", "west"}, "u3"},
-		{"both, and none in common", []string{"north"}, []string{"south"}, ""},
-		{"a region without upstreams", []string{"west"}, nil, ""},
+		{"both without a common region", []string{"north"}, []string{"south"}, ""},
+		{"region without upstreams", []string{"west"}, nil, ""},
 	} {
 		for _, route := range []string{"once", "safe", "stream"} {
 			var responses []*fakeResponse
@@ -55,16 +56,16 @@
 					p.PromptParts = []persimmoncross.PromptPart{{ID: fmt.Sprint("x", i%3), Tokens: 5000}, {ID: fmt.Sprint("own", i), Tokens: 10}}
 				})
 				if tt.allowed == "" && (refusal == nil || refusal.Run != persimmoncross.NotRun) {
-					t.Errorf("%s, %s: %v", tt.name, route, refusal)
+					t.Errorf("%s, route %s: refusal %v, want not run", tt.name, route, refusal)
 				}
 			}
 			for _, a := range e.forwarder.attempts {
 				if !allowed[a.Upstream.Incarnation] {
-					t.Fatalf("%s, %s: sent to %s", tt.name, route, a.Upstream.Incarnation)
+					t.Fatalf("%s, route %s: sent to %s, which is in no allowed region", tt.name, route, a.Upstream.Incarnation)
 				}
 			}
 			if tt.allowed != "" && len(e.forwarder.attempts) < 20 {
-				t.Errorf("%s, %s: only %d attempts", tt.name, route, len(e.forwarder.attempts))
+				t.Errorf("%s, route %s: got %d attempts, want at least 20", tt.name, route, len(e.forwarder.attempts))
 			}
 		}
 	}
--- a/core/coordination/relay/response.go
+++ b/core/coordination/relay/response.go
@@ -13,10 +13,10 @@
 	"persimmoncross"
 )
 
-// Sizes of answers.
+// Sizes of response buffers, in bytes.
 const (
-	// maxBufferedBody is the size up to which an answer is read whole before its head
-	// is sent, so that one that breaks off can be replaced or refused.
+	// maxBufferedBody is the size below which a body is read completely before the response
+	// head is sent, so that a response that is interrupted can be replaced or refused.
 	maxBufferedBody = 256 << 10
 	readBufferSize  = 4 << 10
 )
@@ -25,7 +25,7 @@
 	New: func() any { return new([readBufferSize]byte) },
 }
 
-// forwardResponse carries an answer that is no stream of events.
+// forwardResponse forwards a response that is no event stream.
 func (c *call) forwardResponse(ctx context.Context, target *Target, response persimmoncross.ProxyResponse) outcome {
 	head := response.Head()
 	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBody))
@@ -48,11 +48,11 @@
 			Run:        persimmoncross.Ran,
 			HTTPStatus: head.Status,
 		}
-		c.logEventWithDigest().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", c.attempts).Msg("upstream failed")
+		c.logEventWithDigest().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", c.attempts).Msg("upstream answered with a server error")
 		return outcomeRetry
 	}
 	if c.headSent {
-		// A failure in place of the rest of a stream can't be sent any more.
+		// Part of a stream was sent already, so a failure response can't be sent any more.
 		c.lastError = &persimmoncross.AttemptError{
 			Reason:     "status",
 			Run:        persimmoncross.Ran,
@@ -64,12 +64,13 @@
 	return outcomeDone
 }
 
-// canRetry reports whether the passage may run at another upstream.
+// canRetry reports whether the request may run at another upstream.
 func (c *call) canRetry() bool {
 	return c.route.Repeat != persimmoncross.RetryNever && c.executions < c.maxExecutions() && c.attempts < maxAttempts
 }
 
-// sendBuffered sends a whole answer. A caller that is gone needs none.
+// sendBuffered sends a complete response. Write errors are ignored, because they mean that the
+// caller disconnected.
 func (c *call) sendBuffered(head persimmoncross.ProxyResponseHead, body []byte) {
 	c.headSent = true
 	if c.passage.Method != http.MethodHead {
@@ -84,7 +85,7 @@
 	c.sink.Flush()
 }
 
-// forwardLargeResponse passes on an answer that is too forwardLargeResponse to be kept.
+// forwardLargeResponse forwards a response that is too large to be buffered.
 func (c *call) forwardLargeResponse(ctx context.Context, target *Target, head persimmoncross.ProxyResponseHead, body []byte, rest io.Reader) outcome {
 	c.headSent = true
 	if c.sink.WriteHead(head) != nil || c.sink.Write(body) != nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// handleInterruption takes an answer that ended before its end.
+// handleInterruption handles a response that was interrupted.
 func (c *call) handleInterruption(ctx context.Context, target *Target, err error) outcome {
 	e := asAttemptError(err, "cut", persimmoncross.Ran)
 	c.lastError = e
@@ -117,15 +118,15 @@
 	if ctx.Err() == nil {
 		c.recordResult(target, true)
 	}
-	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("answer broke off")
+	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("response interrupted")
 	if c.route.Repeat == persimmoncross.RetryNever || (c.headSent && c.route.Repeat != persimmoncross.RetryResume) {
 		return outcomeNoRetry
 	}
 	return outcomeRetry
 }
 
-// forwardStream carries events as they come, only whole ones. What breaks off goes on
-// at another upstream after the last event that the caller has.
+// forwardStream forwards events as they are received, complete ones only. A stream that is
+// interrupted resumes at another upstream after the last event that was sent to the caller.
 func (c *call) forwardStream(ctx context.Context, target *Target, response persimmoncross.ProxyResponse, detector *stallDetector) outcome {
 	head := response.Head()
 	if c.escalateModel(head.ModelConfidence) {
@@ -198,7 +199,7 @@
 	}
 )
 
-// latencyObjective is the time in which the answer should begin.
+// latencyObjective returns the time within which the response should begin.
 func (c *call) latencyObjective() time.Duration {
 	if c.route.Objective > 0 {
 		return c.route.Objective
@@ -206,7 +207,7 @@
 	return c.route.Timeout
 }
 
-// completeEventsLen returns how many of the bytes are whole events.
+// completeEventsLen returns the length of the complete events at the start of b, in bytes.
 func completeEventsLen(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -218,11 +219,12 @@
 	return end
 }
 
-// minPacedEvents is the number of events from which the time between them is that
-// of the version, not of the prompts that were read meanwhile.
+// minPacedEvents is the least number of events of a stream for which the time between events
+// is counted. In shorter streams the time between events depends on the prefill of other prompts
+// meanwhile, not on the version.
 const minPacedEvents = 5
 
-// recordCompletedStream tells of a whole stream.
+// recordCompletedStream counts and logs a stream that was forwarded completely.
 func (c *call) recordCompletedStream(target *Target, timing streamTiming) {
 	took := c.relay.Clock.Now().Sub(timing.headReceived)
 	if timing.events >= minPacedEvents {
@@ -232,17 +234,17 @@
 		Int("events", timing.events).Dur("took", took).Dur("pause", timing.longestPause).Int("pauseAt", timing.eventsBeforePause).Int("atOnce", timing.eventsAfterPause).Int("sends", c.attempts).Msg("answered")
 }
 
-// streamTiming is how the events of one attempt came.
+// streamTiming records when the events of one attempt were received.
 type streamTiming struct {
-	headReceived      time.Time // when the head came
-	lastReceived      time.Time // when events came last
+	headReceived      time.Time // when the response head was received
+	lastReceived      time.Time // when events were last received
 	events            int
-	longestPause      time.Duration // the longest between two reads of events
-	eventsBeforePause int           // events before it
-	eventsAfterPause  int           // events in the read that ended it
+	longestPause      time.Duration // longest pause between two reads of events
+	eventsBeforePause int           // events before the longest pause
+	eventsAfterPause  int           // events in the read that ended the longest pause
 }
 
-// recordEvents notes events that came together, and returns the pause before them.
+// recordEvents records events that were received together, and returns the pause before them.
 func (s *streamTiming) recordEvents(now time.Time, events int) time.Duration {
 	previous := s.lastReceived
 	if previous.IsZero() {
@@ -259,8 +261,8 @@
 	return pause
 }
 
-// acceptEvents notes the ids of whole events, and returns the bytes up to the first
-// one that does not follow the event before it, and how many events they are.
+// acceptEvents records the IDs of complete events. It returns the length and number of the events
+// before the first one whose ID does not follow that of the preceding event.
 func (c *call) acceptEvents(b []byte) (acceptedLen, events int) {
 	for acceptedLen < len(b) {
 		rest := b[acceptedLen:]
@@ -283,7 +285,7 @@
 	return acceptedLen, events
 }
 
-// eventID returns the id of an event, "" if it has none.
+// eventID returns the ID of an event, "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -293,8 +295,8 @@
 	return ""
 }
 
-// isNextID reports whether two events may follow each other: ids that are whole
-// numbers grow by one.
+// isNextID reports whether id may follow last. If last is an integer, id must be last plus one;
+// otherwise any id may follow.
 func isNextID(last, id string) bool {
 	lastNumber, err := strconv.ParseUint(last, 10, 64)
 	if err != nil {
--- a/core/coordination/relay/restart_test.go
+++ b/core/coordination/relay/restart_test.go
@@ -8,9 +8,9 @@
 	"persimmoncross"
 )
 
-// An upstream that starts again under its name holds and knows nothing of before,
-// and nothing that was known of its former life is used for the later one. Its
-// start may be learned late, its address may change with it or be all that tells.
+// An upstream that restarts under its name has lost its requests and its caches, so no state of
+// the former instance may be used for the new one. The start time may be received late, and the
+// address may change too or be the only sign of the restart.
 func TestRestartDiscardsTargetState(t *testing.T) {
 	now := time.Unix(100, 0)
 	start := func(ms int64) time.Time { return time.UnixMilli(ms) }
@@ -35,16 +35,16 @@
 		{"unchanged", original, original, false},
 		{"leaves", original, with(func(u *persimmoncross.Upstream) { u.Draining = true }), false},
 		{"another version", original, with(func(u *persimmoncross.Upstream) { u.Version = "v2" }), false},
-		{"started again", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(1_000_001) }), true},
-		{"a start before, as by a clock that was set back", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(500) }), true},
-		{"a start in the future", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = now.Add(time.Hour) }), true},
-		{"its start is learned late", withoutStart, original, true},
-		{"its start is not told any more", original, withoutStart, true},
-		{"at another address, no start is told", withoutStart, with(func(u *persimmoncross.Upstream) {
+		{"restarted later", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(1_000_001) }), true},
+		{"earlier start time, as after a clock was set back", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = start(500) }), true},
+		{"start time in the future", original, with(func(u *persimmoncross.Upstream) { u.StartedAt = now.Add(time.Hour) }), true},
+		{"start time received late", withoutStart, original, true},
+		{"start time no longer reported", original, withoutStart, true},
+		{"another address without a start time", withoutStart, with(func(u *persimmoncross.Upstream) {
 			u.StartedAt = time.Time{}
 			u.Address = netip.MustParseAddrPort("10.0.0.9:80")
 		}), true},
-		{"no start is ever told", withoutStart, withoutStart, false},
+		{"start time never reported", withoutStart, withoutStart, false},
 	} {
 		var removed []string
 		var replaced []persimmoncross.Upstream
@@ -54,7 +54,7 @@
 			OnReplaced: func(was, is persimmoncross.Upstream) { replaced = append(replaced, was, is) },
 		}
 		before := p.Update([]persimmoncross.Upstream{tt.previous})["s"][0]
-		// All that an entry can know of an upstream.
+		// All state that an entry can keep for an upstream.
 		before.inFlight.Add(2)
 		before.recordLoad(&persimmoncross.UpstreamLoad{
 			Running: 4,
@@ -78,7 +78,7 @@
 		after := p.Update([]persimmoncross.Upstream{tt.current})["s"][0]
 		p.ApplyFleetLoads([]FleetLoad{
 			{
-				InstanceID:        tt.previous.InstanceID(), // of a controller that has the list of before
+				InstanceID:        tt.previous.InstanceID(), // from a controller that still has the old list
 				PrefillTime:       30 * time.Second,
 				SuspectingEntries: 6,
 			},
@@ -86,23 +86,23 @@
 		retained := after.inFlight.Load() != 0 || after.requestEstimate(now) != 0 || after.pendingPrefill(now) != 0 || after.timeToHead(now) != 0 ||
 			after.isSuspected(now) || after.isSuspectedByOthers(now) || after.longestPause(now) != 0 || !after.Draining && after.IsDraining(now)
 		if retained == tt.restarted {
-			t.Errorf("%s: what was known is used: %v", tt.name, retained)
+			t.Errorf("%s: state retained = %v", tt.name, retained)
 		}
 		if len(removed) == 1 != tt.restarted || tt.restarted && removed[0] != tt.previous.InstanceID() {
-			t.Errorf("%s: lives that are over: %v", tt.name, removed)
+			t.Errorf("%s: OnRemoved was called with %v", tt.name, removed)
 		}
 		if len(replaced) == 2 != tt.restarted || tt.restarted && (replaced[0].InstanceID() != tt.previous.InstanceID() || replaced[1].InstanceID() != tt.current.InstanceID()) {
-			t.Errorf("%s: told of %v", tt.name, replaced)
+			t.Errorf("%s: OnReplaced was called with %v", tt.name, replaced)
 		}
 		before.inFlight.Add(-2)
 		if n := after.inFlight.Load(); n != 0 {
-			t.Errorf("%s: %d in flight after the end of what was sent before", tt.name, n)
+			t.Errorf("%s: %d requests in flight after the earlier ones ended, want 0", tt.name, n)
 		}
 	}
 }
 
-// An upstream that came back to its address under its name gets work again, though
-// another had answered there and its start is not told.
+// An upstream gets work again after it returns to its address under its name, although another
+// upstream had answered there and its start time is not reported.
 func TestAddressReuseExpires(t *testing.T) {
 	misdirected := failedResponse(421)
 	misdirected.head.Misdirected = true
@@ -118,11 +118,11 @@
 			continue
 		}
 		if !u.IsDraining(began) || u.IsDraining(now.Add(time.Minute)) {
-			t.Errorf("left alone now %v, in a minute %v", u.IsDraining(began), u.IsDraining(now.Add(time.Minute)))
+			t.Errorf("draining = %v at once and %v after a minute, want true and false", u.IsDraining(began), u.IsDraining(now.Add(time.Minute)))
 		}
 		u.clearSuspicion()
 		if u.IsDraining(began) {
-			t.Error("the one that answers is left alone")
+			t.Error("an upstream that has answered still gets no new work")
 		}
 	}
 }
--- a/core/coordination/relay/sessions.go
+++ b/core/coordination/relay/sessions.go
@@ -11,27 +11,28 @@
 	"persimmoncross/core/state/register"
 )
 
-// maxSessions bounds the sessions that an entry remembers; the oldest go first.
+// maxSessions limits the sessions that an entry keeps. At the limit, idle sessions are evicted
+// first, and all of them if that is not enough.
 const maxSessions = 20000
 
-// Sessions remembers on which version of a service each session ran last, so
-// that an upgrade does not move it. The exported fields are set before use.
+// Sessions records the version of a service on which each session last ran, so that an upgrade
+// does not move the session. The exported fields are set before use.
 type Sessions struct {
-	// IdleTimeout is the pause after which a session's next request may run anywhere.
+	// IdleTimeout is the idle time after which a session's next request may run on any version.
 	IdleTimeout time.Duration
 
-	mu       sync.Mutex // guards last
+	mu       sync.Mutex // guards lastRuns
 	lastRuns map[string]lastRun
 }
 
 type lastRun struct {
 	version string
-	at      time.Time // when the last run began or ended
-	active  int
+	at      time.Time // when a run last began or ended
+	active  int       // runs in progress
 }
 
-// BeginRun remembers that a run of the session begins on the version; what it
-// returns is called when the run has ended.
+// BeginRun records that a run of the session begins on the version. The caller calls the
+// returned function when the run has ended.
 func (s *Sessions) BeginRun(service, session, version string, now time.Time) func(now time.Time) {
 	if session == "" {
 		return func(time.Time) {}
@@ -55,7 +56,7 @@
 		defer s.mu.Unlock()
 		r, ok := s.lastRuns[key]
 		if !ok {
-			return // swept
+			return // evicted
 		}
 		r.at = now
 		r.active--
@@ -74,7 +75,8 @@
 	}
 }
 
-// recentVersion returns the recentVersion that the session ran on within Idle, "" if none.
+// recentVersion returns the version on which the session runs or ran within IdleTimeout, "" if
+// there is none.
 func (s *Sessions) recentVersion(service, session string, now time.Time) string {
 	if session == "" {
 		return ""
@@ -88,21 +90,21 @@
 	return r.version
 }
 
-// versionFilter tells which versions of a service a request may run on.
+// versionFilter selects the versions of a service that a request may run on.
 type versionFilter struct {
-	version    string // the upgrade's target; "" if any version may run it
-	targetOnly bool   // only on that version, else on any but that
-	strict     bool   // the other versions are forbidden, not just avoided
+	version    string // the upgrade's target version; "" matches any version
+	targetOnly bool   // match only that version; if false, match any other version
+	strict     bool   // targets that don't match are forbidden, not just avoided
 }
 
-// matches reports whether the target belongs to the group.
+// matches reports whether the filter selects the target's version.
 func (f versionFilter) matches(t *Target) bool {
 	return f.version == "" || (t.Version == f.version) == f.targetOnly
 }
 
-// chooseVersions decides for a request of a service under the upgrade. In the trial a
-// session stays on the version that it ran on; of the others a share, the same
-// at every entry, goes to the new version.
+// chooseVersions returns the version filter for a request to a service that is being upgraded.
+// During the trial a session stays on the version that it ran on. A share of the other sessions,
+// which is the same at every entry, runs on the new version.
 func (s *Sessions) chooseVersions(u register.Upgrade, session, request string, share float64, halted bool, now time.Time) versionFilter {
 	filter := versionFilter{
 		version: u.Target,
@@ -128,11 +130,11 @@
 	return filter
 }
 
-// SessionHash is the name by which entries tell of a session.
+// SessionHash returns the hash that identifies a session between entries.
 func SessionHash(session string) uint64 { return xxhash.Sum64String(session) }
 
-// SessionsToPin returns the sessions that a trial with the share would take and that
-// ran on another version than the target within Idle, or run there now.
+// SessionsToPin returns the hashes of the sessions that a trial with the share would move and
+// that run on another version than the target now, or ran there within IdleTimeout.
 func (s *Sessions) SessionsToPin(u register.Upgrade, share float64, now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +152,8 @@
 	return hashes
 }
 
-// hashFraction places a session, or a request without one, between 0 and 1, alike at
-// all entries.
+// hashFraction maps a session, or a request without a session, to a number from 0 up to 1, which
+// is the same at all entries.
 func hashFraction(service, session, request string) float64 {
 	key := session
 	if key == "" {
--- a/core/coordination/relay/slowstart.go
+++ b/core/coordination/relay/slowstart.go
@@ -8,8 +8,9 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// SetCold takes lives that have become cold, with the pause that this entry keeps where it
-// is an owner, else 0. Each is warm when its time is over.
+// SetCold adds or updates cold instances, by instance ID. Interval is the interval that this
+// entry keeps between requests if it is an owner of the instance, else 0. Each instance is warm
+// after its ColdUntil.
 func (p *Pool) SetCold(updates map[string]slowstart.ColdUpstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,8 +29,8 @@
 	}
 }
 
-// AssumeCold takes all upstreams of a data centre for cold, by service for so long, until
-// another word comes.
+// AssumeCold treats all upstreams of a data centre as cold for the duration of their service, or
+// until SetCold sets other values. Upstreams that SetCold has marked as cold are not changed.
 func (p *Pool) AssumeCold(dataCentre string, durationByService map[string]time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,8 +44,8 @@
 	}
 }
 
-// applyKnownCold takes what is known of a life that is on the list: the controllers' word, or
-// the list's own. The caller holds mu.
+// applyKnownCold sets the slow start of a target on the list, from the controllers' last update
+// if that covers the instance, else from the list itself. The caller holds mu.
 func (p *Pool) applyKnownCold(t *Target, u persimmoncross.Upstream) {
 	now := p.Clock.Now()
 	if c, known := p.coldInstances[u.InstanceID()]; known && c.ColdUntil.After(now) {
@@ -64,7 +65,7 @@
 	t.slowStart.SetCold(c)
 }
 
-// entryWeight returns for how many entries this one sends to the target.
+// entryWeight returns the number of entries for which this one sends requests to the target.
 func (t *Target) entryWeight(now time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/coordination/relay/slowstart_test.go
+++ b/core/coordination/relay/slowstart_test.go
@@ -8,7 +8,8 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// newTestEnvWithPool returns an env whose pool is at hand, with four upstreams in one data centre.
+// newTestEnvWithPool returns a test environment with four upstreams in one data centre, and its
+// pool.
 func newTestEnvWithPool(responses ...*fakeResponse) (*testEnv, *Pool) {
 	e := newTestEnv(responses...)
 	p := &Pool{
@@ -25,8 +26,8 @@
 	return e, p
 }
 
-// Cold upstreams get requests from their owners only, at their pace; the warm one gets
-// the rest. What was waited for is over with the time that was told, without a word.
+// Cold upstreams get requests from their owners only, at the owner's interval, and the warm
+// upstream gets the rest. The cold period ends at ColdUntil without a further update.
 func TestColdTargetsGetRequestsFromOwners(t *testing.T) {
 	var responses []*fakeResponse
 	for range 40 {
@@ -55,16 +56,16 @@
 		requestCounts[a.Upstream.Incarnation]++
 	}
 	if requestCounts["u1"] != 1 || requestCounts["u2"]+requestCounts["u3"] != 0 || requestCounts["u4"] != 19 {
-		t.Errorf("reached: %v", requestCounts)
+		t.Errorf("requests per upstream: %v, want 1 at u1, none at u2 and u3, 19 at u4", requestCounts)
 	}
-	p.SetCold(map[string]slowstart.ColdUpstream{}) // told of no more: their time is not over
+	p.SetCold(map[string]slowstart.ColdUpstream{}) // an update without them, before ColdUntil
 	if e.targets[1].IsAvailable(now) || !e.targets[1].IsAvailable(now.Add(time.Hour)) {
-		t.Error("what was told of is warm too soon, or never")
+		t.Error("a cold upstream is available before ColdUntil or not available at ColdUntil")
 	}
 }
 
-// Where all are cold and this entry owns none, callers are told at once that nothing
-// ran, and when to come back.
+// If all upstreams are cold and this entry owns none, requests are refused at once as not run,
+// with a Retry-After.
 func TestAllTargetsCold(t *testing.T) {
 	e, p := newTestEnvWithPool()
 	p.AssumeCold("a", map[string]time.Duration{testService: 3 * time.Second})
@@ -73,16 +74,16 @@
 	for _, route := range []string{"once", "safe", "stream"} {
 		refusal := e.serve(t, route, nil)
 		if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 || refusal.Code != persimmoncross.CodeNoUpstream {
-			t.Errorf("%s: %+v", route, refusal)
+			t.Errorf("route %s: refusal %+v, want no upstream, not run, with a Retry-After", route, refusal)
 		}
 	}
 	if n := len(e.forwarder.attempts); n > 0 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("got %d attempts, want none", n)
 	}
 }
 
-// A life that comes with a list is cold by what was told before the list, and by the
-// list's own word where nothing was told.
+// An instance that is new on the list is cold as set before by SetCold, or as the list itself
+// says if SetCold did not cover the instance.
 func TestNewTargetUsesKnownCold(t *testing.T) {
 	e, p := newTestEnvWithPool()
 	now := e.clock.Now()
@@ -98,7 +99,7 @@
 	})
 	for _, u := range p.Update(list)[testService] {
 		if want := u.Incarnation == "n1"; u.IsAvailable(now) != want {
-			t.Errorf("%s bears requests: %v", u.Incarnation, !want)
+			t.Errorf("%s: available = %v", u.Incarnation, !want)
 		}
 	}
 }
--- a/core/coordination/relay/stalldetector.go
+++ b/core/coordination/relay/stalldetector.go
@@ -9,21 +9,20 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// stallCheckInterval is the pause between two looks at an attempt whose upstream sends
-// nothing.
+// stallCheckInterval is the interval between two checks whether an attempt has stalled.
 const stallCheckInterval = 150 * time.Millisecond
 
-// stallDetector ends an attempt whose upstream has fallen silent.
+// stallDetector cancels an attempt whose upstream has stopped sending.
 type stallDetector struct {
-	start        time.Time    // of the attempt
-	stopped      atomic.Bool  // the answer came, or the watch ended the attempt
-	stalled      atomic.Bool  // the watch did
-	headReceived atomic.Bool  // the head has come
-	lastReceived atomic.Int64 // nanoseconds since began at which bytes of this answer came
+	start        time.Time    // start of the attempt
+	stopped      atomic.Bool  // the detector was stopped or has canceled the attempt
+	stalled      atomic.Bool  // the detector has canceled the attempt
+	headReceived atomic.Bool  // the response head was received
+	lastReceived atomic.Int64 // when bytes of the response were last received, in nanoseconds since start
 	done         chan struct{}
 }
 
-// stop ends the watch and reports whether it has ended the attempt.
+// stop stops the detector and reports whether the detector has canceled the attempt.
 func (d *stallDetector) stop() bool {
 	if d.stopped.CompareAndSwap(false, true) {
 		close(d.done)
@@ -31,17 +30,17 @@
 	return d.stalled.Load()
 }
 
-// recordHead notes that the recordHead came.
+// recordHead records that the response head was received.
 func (d *stallDetector) recordHead(now time.Time) {
 	d.recordBytes(now)
 	d.headReceived.Store(true)
 }
 
-// recordBytes notes that bytes of the answer came.
+// recordBytes records that bytes of the response were received.
 func (d *stallDetector) recordBytes(now time.Time) { d.lastReceived.Store(int64(now.Sub(d.start))) }
 
-// startStallDetector starts the watch of an attempt, where the passage may be sent to
-// another upstream.
+// startStallDetector returns the stall detector of an attempt. The detector runs only if the
+// request may be sent to another upstream.
 func (c *call) startStallDetector(ctx context.Context, cancel context.CancelFunc, target *Target) *stallDetector {
 	r := c.relay
 	detector := &stallDetector{
@@ -65,8 +64,8 @@
 				return
 			case <-r.Clock.After(stallCheckInterval):
 			}
-			// The retry is taken first: an answer is not broken off where no other
-			// attempt may be made.
+			// The retry is taken before the attempt is canceled, because an attempt is not
+			// canceled if no other attempt may be made.
 			if detector.isStalled(target, silence, r.Clock.Now()) && r.takeRetry(c.service) {
 				detector.abort(cancel)
 				return
@@ -76,7 +75,7 @@
 	return detector
 }
 
-// abort ends the attempt, unless its answer has come.
+// abort cancels the attempt, unless the detector was stopped.
 func (d *stallDetector) abort(cancel context.CancelFunc) {
 	if d.stopped.CompareAndSwap(false, true) {
 		d.stalled.Store(true)
@@ -84,8 +83,8 @@
 	}
 }
 
-// isStalled reports whether the attempt is to be ended. s holds what is known of the
-// passage.
+// isStalled reports whether the attempt has stalled. The given idle state already holds the
+// values that depend only on the request.
 func (d *stallDetector) isStalled(target *Target, silence outlier.IdleState, now time.Time) bool {
 	silence.HeaderReceived = d.headReceived.Load()
 	silence.ActiveStreams = int(target.activeStreams.Load())
@@ -97,8 +96,7 @@
 	return ok && now.Sub(lastReceived) >= limit && !target.receivedSince(now.Add(-limit))
 }
 
-// handleStall takes an attempt that was ended because its upstream fell handleStall. It may
-// have run.
+// handleStall handles an attempt that the stall detector has canceled. The request may have run.
 func (c *call) handleStall(target *Target, detector *stallDetector, took time.Duration) outcome {
 	if !detector.headReceived.Load() {
 		c.executions++
@@ -110,6 +108,6 @@
 		Reason: "silent",
 		Run:    persimmoncross.RunUnknown,
 	}
-	c.logEventWithDigest().Str("upstream", target.Incarnation).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream is silent")
+	c.logEventWithDigest().Str("upstream", target.Incarnation).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream stalled; attempt canceled")
 	return outcomeRetry
 }
--- a/core/coordination/relay/stalldetector_test.go
+++ b/core/coordination/relay/stalldetector_test.go
@@ -9,7 +9,7 @@
 	"persimmoncross"
 )
 
-// manualClock is a clock whose waits end when the test says so.
+// manualClock is a clock whose waits end when the test calls fireNext.
 type manualClock struct {
 	mu    sync.Mutex // guards all below
 	now   time.Time
@@ -35,7 +35,7 @@
 	return fired
 }
 
-// fireNext ends the next wait, the given time later.
+// fireNext advances the clock by d and ends the next wait.
 func (c *manualClock) fireNext(d time.Duration) {
 	fired := <-c.waits
 	c.mu.Lock()
@@ -45,8 +45,8 @@
 	fired <- now
 }
 
-// An upstream that has sent nothing to anybody since it was asked is left; one
-// that still sends is only busy.
+// An attempt is aborted if its upstream has sent nothing on any request since the attempt began.
+// An upstream that still sends is busy and has not stalled.
 func TestStalledAttemptIsAborted(t *testing.T) {
 	e := newTestEnv()
 	clock := newManualClock()
@@ -61,26 +61,26 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	detector := c.startStallDetector(ctx, cancel, target)
-	target.recordReceived(clock.Now().Add(1900 * time.Millisecond)) // an answer to another request
+	target.recordReceived(clock.Now().Add(1900 * time.Millisecond)) // a response to another request
 	clock.fireNext(2 * time.Second)
-	clock.fireNext(2 * time.Second) // nothing since
+	clock.fireNext(2 * time.Second) // nothing was received since
 	<-ctx.Done()
 	if !detector.stop() {
-		t.Error("the attempt was ended, and not for silence")
+		t.Error("the attempt was canceled, but not by the stall detector")
 	}
 	if v := c.handleStall(target, detector, 4*time.Second); v != outcomeRetry || c.executions != 1 {
-		t.Errorf("verdict %v, %d runs", v, c.executions)
+		t.Errorf("outcome %v with %d executions, want outcomeRetry with 1", v, c.executions)
 	}
 	if !target.isSuspected(clock.Now()) {
-		t.Error("a silent upstream is not avoided")
+		t.Error("a stalled upstream is not suspected")
 	}
 	target.clearSuspicion()
 	if target.isSuspected(clock.Now()) {
-		t.Error("an upstream that answers is still avoided")
+		t.Error("an upstream that has answered is still suspected")
 	}
 }
 
-// What may not run twice is never ended for silence, nor is the last attempt.
+// The stall detector does not run for a request that may not run twice, nor for the last attempt.
 func TestLastAttemptHasNoStallDetector(t *testing.T) {
 	e := newTestEnv()
 	clock := newManualClock()
@@ -107,14 +107,15 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		detector := c.startStallDetector(ctx, cancel, e.targets[0])
 		if len(clock.waits) > 0 || detector.stop() {
-			t.Errorf("%s after %d runs has a limit", tt.path, tt.runs)
+			t.Errorf("%s: the stall detector runs after %d executions", tt.path, tt.runs)
 		}
 		cancel()
 	}
 }
 
-// A queue turns prompts away from their home before any answer is late: by what
-// its prompts take to be read, and by the slots that are taken, not by their number.
+// A queue at the preferred upstream moves prompts to other upstreams before any response is late.
+// What counts is the prefill time of the queued prompts and the slots in use, not the number of
+// the prompts.
 func TestPlacementAvoidsLongQueues(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
@@ -131,18 +132,18 @@
 		}, now)
 	}
 	if got := placeByPrefix(all, "part", 0, now); got != home {
-		t.Error("nine prompts that are read at once turn others away")
+		t.Error("nine waiting prompts with no prefill time move a prompt to another upstream")
 	}
 	home.applyFleetLoad(FleetLoad{
 		PrefillTime: 2 * time.Second,
 	}, now)
 	if got := placeByPrefix(all, "part", 0, now); got == home {
-		t.Error("a home with 2 s of reading before it takes more")
+		t.Error("a preferred upstream with 2 s of queued prefill time gets another request")
 	}
 	if got := placeByPrefix(all, "part", 0, now.Add(maxLoadAge+time.Second)); got != home {
-		t.Error("an old word on the queue counts")
+		t.Error("a fleet load older than maxLoadAge is used")
 	}
-	// More at the home than it has slots for, and room elsewhere.
+	// The preferred upstream has more requests than slots, and others have free slots.
 	home.applyFleetLoad(FleetLoad{}, now)
 	home.recordLoad(&persimmoncross.UpstreamLoad{
 		Running: 10,
@@ -150,15 +151,15 @@
 		Slots:   10,
 	}, now)
 	if got := placeByPrefix(all, "part", 0, now); got == home {
-		t.Error("a home with 9 prompts waiting for a slot takes more")
+		t.Error("a preferred upstream with 9 prompts waiting for a slot gets another request")
 	}
 }
 
-// stallingForwarder is a forwarder whose first answer sends an event and then nothing more.
+// stallingForwarder is a forwarder whose first response sends an event and then stalls.
 type stallingForwarder struct {
 	fakeForwarder
-	stalled  chan struct{} // closed when nothing more is sent
-	canceled chan struct{} // closed when the first attempt is ended for that
+	stalled  chan struct{} // closed when the first response stalls
+	canceled chan struct{} // closed when the first attempt is canceled for that
 }
 
 func (f *stallingForwarder) Forward(ctx context.Context, a *persimmoncross.ProxyAttempt) (persimmoncross.ProxyResponse, error) {
@@ -193,13 +194,13 @@
 	}
 }
 
-// A stream whose upstream falls silent goes on at another well within the route's
-// longest pause, and the silent one is avoided.
+// A stream whose upstream stalls resumes at another one well within the route's longest pause,
+// and the stalled upstream is suspected.
 func TestStalledStreamResumes(t *testing.T) {
 	e := newTestEnv()
 	clock := newManualClock()
 	e.relay.Clock = clock
-	const ever = 100 * 365 * 24 * time.Hour // contexts have the system's clock
+	const ever = 100 * 365 * 24 * time.Hour // contexts use the system clock
 	route := e.view.Catalog.Route("h", "/stream/x")
 	route.Pause = time.Second
 	route.Timeout = ever
@@ -225,7 +226,7 @@
 	began := clock.Now()
 	for silent := true; silent; {
 		select {
-		case <-f.canceled: // before the waits of the second attempt: time stands from here on
+		case <-f.canceled: // checked before the waits of the second attempt, so that the clock stops here
 			silent = false
 			continue
 		default:
@@ -249,25 +250,25 @@
 		t.Errorf("the caller got %q", got)
 	}
 	if pause < 600*time.Millisecond || pause > 900*time.Millisecond {
-		t.Errorf("it went on after %v", pause)
+		t.Errorf("the stream resumed after %v, want 600ms to 900ms", pause)
 	}
 	if len(f.attempts) != 2 || f.attempts[1].LastEventID != "1" {
-		t.Fatalf("%d attempts", len(f.attempts))
+		t.Fatalf("got %d attempts, want 2, with the second one resuming after event 1", len(f.attempts))
 	}
 	for _, u := range e.targets {
 		if u.Incarnation == f.attempts[0].Upstream.Incarnation && !u.isSuspected(clock.Now()) {
-			t.Error("the silent upstream is not avoided")
+			t.Error("the stalled upstream is not suspected")
 		}
 	}
 }
 
-// Without a retry left an answer is not broken off for silence.
+// A stalled attempt is not canceled if the retry budget is exhausted.
 func TestStalledAttemptContinuesWithoutRetryBudget(t *testing.T) {
 	e := newTestEnv()
 	clock := newManualClock()
 	e.relay.Clock = clock
 	for e.relay.takeRetry(testService) {
-		// Failures took them all.
+		// Use up the retry budget, as failures would.
 	}
 	c := &call{
 		relay:   e.relay,
@@ -282,6 +283,6 @@
 		clock.fireNext(2 * time.Second)
 	}
 	if detector.stop() || ctx.Err() != nil {
-		t.Error("the attempt was ended")
+		t.Error("the attempt was canceled without a retry left")
 	}
 }
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -21,7 +21,7 @@
 	return b.String()
 }
 
-// streamResponse is an answer of events that breaks off or ends.
+// streamResponse returns an event stream that ends regularly or is interrupted.
 func streamResponse(body string, interrupted bool) *fakeResponse {
 	a := okResponse(body)
 	a.interrupted = interrupted
@@ -32,7 +32,7 @@
 	tests := []struct {
 		name         string
 		responses    []*fakeResponse
-		lastEventIDs []string // last event of each attempt
+		lastEventIDs []string // LastEventID of each attempt
 		body         string
 		refused      bool
 	}{
@@ -43,13 +43,13 @@
 			body:         eventStream("1", "2"),
 		},
 		{
-			name:         "cut between events",
+			name:         "interrupted between events",
 			responses:    []*fakeResponse{streamResponse(eventStream("1", "2"), true), streamResponse(eventStream("3"), false)},
 			lastEventIDs: []string{"", "2"},
 			body:         eventStream("1", "2", "3"),
 		},
 		{
-			name:         "cut inside an event",
+			name:         "interrupted inside an event",
 			responses:    []*fakeResponse{streamResponse(eventStream("1")+"id: 2\nda", true), streamResponse(eventStream("2"), false)},
 			lastEventIDs: []string{"", "1"},
 			body:         eventStream("1", "2"),
@@ -61,19 +61,19 @@
 			body:         eventStream("1", "2"),
 		},
 		{
-			name:         "an event is missing",
+			name:         "missing event",
 			responses:    []*fakeResponse{streamResponse(eventStream("1", "3"), false), streamResponse(eventStream("2", "3"), false)},
 			lastEventIDs: []string{"", "1"},
 			body:         eventStream("1", "2", "3"),
 		},
 		{
-			name:         "a failure in place of the rest",
+			name:         "failure response instead of the rest",
 			responses:    []*fakeResponse{streamResponse(eventStream("1"), true), failedResponse(500), streamResponse(eventStream("2"), false)},
 			lastEventIDs: []string{"", "1", "1"},
 			body:         eventStream("1", "2"),
 		},
 		{
-			name:         "no attempt is left",
+			name:         "no attempt left",
 			responses:    []*fakeResponse{streamResponse(eventStream("1"), true), streamResponse(eventStream("2"), true), streamResponse(eventStream("3"), true)},
 			lastEventIDs: []string{"", "1", "2"},
 			body:         eventStream("1", "2", "3"),
@@ -92,21 +92,21 @@
 			}
 			for i, a := range e.forwarder.attempts {
 				if a.LastEventID != tt.lastEventIDs[i] {
-					t.Errorf("attempt %d goes on after %q, want %q", i, a.LastEventID, tt.lastEventIDs[i])
+					t.Errorf("attempt %d resumes after event %q, want %q", i, a.LastEventID, tt.lastEventIDs[i])
 				}
 			}
 		})
 	}
 }
 
-// A stream that may not run twice is cut where its upstream broke off.
+// A stream that may not run twice ends where the upstream's response was interrupted.
 func TestNonRepeatableStreamIsNotRetried(t *testing.T) {
 	e := newTestEnv(streamResponse(eventStream("1"), true), streamResponse(eventStream("2"), false))
 	if r := e.serve(t, "fixed", nil); r == nil {
-		t.Error("the broken stream looks whole")
+		t.Error("an interrupted stream was not refused")
 	}
 	if len(e.forwarder.attempts) != 1 {
-		t.Errorf("%d attempts", len(e.forwarder.attempts))
+		t.Errorf("got %d attempts, want 1", len(e.forwarder.attempts))
 	}
 }
 
@@ -127,7 +127,7 @@
 			models:     []string{"small", "large"},
 		},
 		{
-			name:       "no opinion",
+			name:       "no confidence reported",
 			confidence: -1,
 			models:     []string{"small"},
 		},
@@ -151,7 +151,7 @@
 			}
 			want := eventStream("1")
 			if len(tt.models) > 1 {
-				want = eventStream("1", "2") // nothing of the dropped answer
+				want = eventStream("1", "2") // without any event of the dropped response
 			}
 			if got := e.sink.body.String(); got != want {
 				t.Errorf("the caller got %q, want %q", got, want)
@@ -160,8 +160,7 @@
 	}
 }
 
-// Where the caller has a part of an answer, it is not dropped for a larger
-// model's.
+// A response of which a part was sent to the caller is not dropped for that of a larger model.
 func TestNoEscalationAfterStreamBegan(t *testing.T) {
 	small := streamResponse(eventStream("1"), true)
 	small.head.ModelConfidence = 80
@@ -175,12 +174,12 @@
 		t.Errorf("the caller got %q", got)
 	}
 	if m := e.forwarder.attempts[1].Model; m != "small" {
-		t.Errorf("the stream went on with %q", m)
+		t.Errorf("the stream resumed with model %q, want small", m)
 	}
 }
 
-// Events that come at once after a wait show loss on the link to their upstream's
-// data centre: the next streams avoid it, long ones above all.
+// Several events that arrive together after a pause indicate packet loss on the link to the
+// upstream's data centre. The next streams avoid that data centre, long streams most of all.
 func TestLossyLinkIsAvoided(t *testing.T) {
 	e := newTestEnv()
 	for i, u := range e.targets {
@@ -200,16 +199,16 @@
 		p := newPrompt(fmt.Sprint("part", i), 0)
 		got, _ := placeRequest(e.targets, p, now, func(u *Target) time.Duration { return c.linkCost(u, now) })
 		if got.DataCentre != "a" {
-			t.Fatalf("a long stream goes to %s", got.Incarnation)
+			t.Fatalf("a long stream is placed at %s, over the lossy link", got.Incarnation)
 		}
 	}
 	if n := metrics.GetOrRegisterCounter("relay.held-up.b", e.relay.Metrics).Count(); n != 1 {
-		t.Errorf("%d counted", n)
+		t.Errorf("counter held-up.b = %d, want 1", n)
 	}
 }
 
-// A stream that began in a trial goes on at the new version when the upgrade is
-// completed meanwhile: the old version's upstreams have ended.
+// A stream that began before the upgrade was completed resumes on the new version, because the
+// old version's upstreams have exited.
 func TestStreamResumesOnNewVersionAfterUpgrade(t *testing.T) {
 	u := register.Upgrade{
 		Service: testService,
@@ -230,24 +229,24 @@
 		t.Fatal(r)
 	}
 	if a := e.forwarder.attempts; len(a) != 2 || a[0].Upstream.Version != "v1" || a[1].Upstream.Version != "v2" {
-		t.Errorf("%d attempts, the last at %s", len(a), a[len(a)-1].Upstream.Version)
+		t.Errorf("got %d attempts, the last one on version %s, want 2, first on v1 and then on v2", len(a), a[len(a)-1].Upstream.Version)
 	}
 }
 
-// With enough retries a request begins with the smallest model; where its entry has
-// used them up for doubted answers, a short prompt begins with the largest, so that it
-// needs none, and a long one does not, since others would wait for its reading.
+// While enough retries are left, a request begins with the smallest model. If the entry has used
+// up the retries that escalations may take, a short prompt begins with the largest model, so that
+// it needs no retry. A long prompt does not, since its prefill would delay other requests.
 func TestFirstModelDependsOnRetryBudget(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
-		takenRetries int // taken of 85
+		takenRetries int // of 85 in the retry budget
 		tokens       int
 		wantModel    string
 	}{
 		{"all retries are left", 0, 300, "small"},
-		{"half of them", 40, 300, "small"},
-		{"those for failures", 62, 300, "large"},
-		{"those for failures, a long prompt", 62, 60_000, "small"},
+		{"half of the retries are left", 40, 300, "small"},
+		{"only retries for failures are left", 62, 300, "large"},
+		{"only retries for failures are left, long prompt", 62, 60_000, "small"},
 	} {
 		e := newTestEnv(&fakeResponse{
 			head: persimmoncross.ProxyResponseHead{
@@ -257,7 +256,7 @@
 			body: "id: 1\ndata: x\n\n",
 		})
 		e.relay.Config.RetryBudgetMinimum = 0
-		e.clock.(*steppingClock).advance(time.Since(e.clock.Now())) // to where serve sets it
+		e.clock.(*steppingClock).advance(time.Since(e.clock.Now())) // to the time that serve sets
 		for i := range 100 {
 			e.relay.countRequest(testService)
 			prompt := 500 + 100*(i%9)
@@ -277,13 +276,13 @@
 			t.Fatalf("%s: %v", tt.name, refusal)
 		}
 		if got := e.forwarder.attempts[0].Model; got != tt.wantModel {
-			t.Errorf("%s: begins with %s, want %s", tt.name, got, tt.wantModel)
+			t.Errorf("%s: first model %s, want %s", tt.name, got, tt.wantModel)
 		}
 	}
 }
 
-// A caller may leave the model open on a route that has none to choose from: the
-// answer that comes is taken.
+// A caller may let the router pick the model on a route that lists no models. Its response is
+// then accepted whatever its confidence.
 func TestAnyModelOnRouteWithoutModels(t *testing.T) {
 	e := newTestEnv(&fakeResponse{
 		head: persimmoncross.ProxyResponseHead{
@@ -299,6 +298,6 @@
 		t.Fatalf("refused: %v", r)
 	}
 	if len(e.forwarder.attempts) != 1 {
-		t.Errorf("%d attempts", len(e.forwarder.attempts))
+		t.Errorf("got %d attempts, want 1", len(e.forwarder.attempts))
 	}
 }
