--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement decides which upstream gets a request, from what is known of
-// the upstreams at that moment. It has no I/O, no locks and no clock.
+// Package placement decides which upstream gets a request, from the current load of the
+// upstreams. It has no I/O, no locks and no clock.
 //
-// All entries rank the homes of a prompt alike without a message, so that its
-// shared parts are read once and found again. A home is left where the prompt
-// would wait there for longer than reading its shared parts again would take.
+// All entries rank the upstreams of a prompt's prefix key in the same order without
+// exchanging messages, so that the shared prefix is prefilled once and then found in the
+// upstream's cache. A prompt goes to another upstream than the preferred one if it would
+// wait there for longer than prefilling the shared prefix again would take.
 package placement
 
 import (
@@ -15,51 +16,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits of a prompt's wait.
+// Limits of the time that a prompt waits before its prefill begins.
 const (
-	// maxExtraWait is how much longer than on average a prompt may wait before it is
-	// read. It is compared with the mean, not with the least: what is known is half a
-	// second old, and in that time all entries would go to the few that were idle.
+	// maxExtraWait is how much longer than the mean of the candidates a prompt may wait
+	// before its prefill begins. The wait is compared with the mean and not with the minimum
+	// because load data is up to half a second old, and in that time all entries would send
+	// to the few upstreams that were idle.
 	maxExtraWait = 100 * time.Millisecond
-	// maxWaitPerPrefixPrefill is how many times the reading of its shared parts a prompt may
-	// wait at its home: to read them again keeps others waiting too.
+	// maxWaitPerPrefixPrefill limits the wait at the preferred upstream to this multiple of
+	// the prefill time of the shared prefix. A repeated prefill would delay other requests too.
 	maxWaitPerPrefixPrefill = 4
-	// meanSlotHoldTime is the time for which a request takes a slot, about; where no slot is
-	// left, a request waits for a share of it.
+	// meanSlotHoldTime is the approximate time for which a request occupies a slot. A request
+	// that finds no free slot is expected to wait for a fraction of this time.
 	meanSlotHoldTime = 2 * time.Second
 )
 
-// Limits of lateness, beside the mean of the candidates.
+// Limits of the time to the first token, relative to the mean of the candidates. An
+// upstream over outlierFactor times the mean plus outlierMargin is a slow outlier.
 const (
-	outlierMargin = 150 * time.Millisecond // by which heads may come later
-	outlierFactor = 1.25                   // times the mean
+	outlierMargin = 150 * time.Millisecond
+	outlierFactor = 1.25
 )
 
-// Candidate is what is known of an upstream that could get the request.
+// Candidate describes an upstream that could get the request.
 type Candidate struct {
-	ID                string        // of the incarnation: alike at all entries
-	Slots             int           // that it serves at once
-	HashWeight        float64       // for how many entries this one sends there, of prompts with a home; 0 is 1
-	SlotUtilization   float64       // of its slots that are taken, by this entry's knowledge
-	InflightRequests  float64       // requests there, by all entries' knowledge
-	TimeToFirstToken  time.Duration // in which it begins answers lately
-	QueuedPrefillTime time.Duration // that the prompts take which have not begun there
-	LinkDelay         time.Duration // that the link to it is expected to cost the answer, as a wait
+	ID                string        // identifies the upstream's instance; the same at all entries
+	Slots             int           // number of requests that the upstream serves concurrently
+	HashWeight        float64       // number of entries on whose behalf this entry sends prompts with a prefix key there; 0 means 1
+	SlotUtilization   float64       // fraction of the slots in use, as estimated by this entry
+	InflightRequests  float64       // requests in flight at the upstream, as estimated for all entries
+	TimeToFirstToken  time.Duration // recent time until the upstream begins an answer
+	QueuedPrefillTime time.Duration // total prefill time of the prompts that the upstream has not begun
+	LinkDelay         time.Duration // expected delay of the answer by the link, counted as a wait
 }
 
-// Prompt is what placing needs to know of a request's prompt.
+// Prompt describes the prompt of a request.
 type Prompt struct {
-	PrefixKey         string        // key of the deepest part that others share; "": no prompt
-	PrefixPrefillTime time.Duration // that reading the shared parts again takes
+	PrefixKey         string        // key of the longest prefix shared with other prompts, "" without a prompt
+	PrefixPrefillTime time.Duration // time to prefill the shared prefix again
 }
 
-// NoCandidate stands for no candidate.
+// NoCandidate is the index returned for no candidate.
 const NoCandidate = -1
 
-// Place returns the index of the candidate that gets the request, and that of
-// the one to copy the prompt's shared parts from, None if none is to be asked.
-// The candidates are not empty; tie decides among equals, so that entries do not
-// all pick the same.
+// Place returns the index of the candidate that gets the request, and the index of the
+// candidate to copy the shared prefix from, or NoCandidate if there is nothing to copy.
+// There must be at least one candidate. tieBreaker selects among equally loaded candidates,
+// so that the entries do not all choose the same one.
 func Place(candidates []Candidate, p Prompt, tieBreaker uint64) (target, copyFrom int) {
 	eligible := withoutSlowOutliers(candidates)
 	if p.PrefixKey == "" {
@@ -79,29 +82,30 @@
 			return i, preferred
 		}
 	}
-	return preferred, NoCandidate // not reached: the least waits no longer than the mean
+	return preferred, NoCandidate // not reached, because the shortest wait is at most the mean
 }
 
-// ExpectedWait estimates how long a prompt waits at the candidate before it is read,
-// and what the link costs it.
+// ExpectedWait estimates how long a prompt waits at the candidate before its prefill
+// begins, including the delay of the link.
 func (c Candidate) ExpectedWait() time.Duration {
 	slots := float64(max(c.Slots, 1))
-	excess := max(c.InflightRequests+2-slots, 0) // with this request, one slot is kept free
+	excess := max(c.InflightRequests+2-slots, 0) // counts this request, and keeps one slot free
 	return c.LinkDelay + c.QueuedPrefillTime + time.Duration(excess/slots*float64(meanSlotHoldTime))
 }
 
-// withoutSlowOutliers returns the candidates that do not begin answers much later than the
-// mean: an upstream that went without a word shows in the answers that are awaited
-// long before it shows in any other way, as when one goes dark. Queues by their number
-// are not left out: what their prompts take to be read is in the outlook, and a home
-// that is left for nine short prompts has its shared parts read again elsewhere.
+// withoutSlowOutliers returns the candidates whose time to the first token is not much above
+// the mean. The overdue answers of an upstream that has failed silently raise that time long
+// before the failure shows in any other way. Candidates are not excluded for the number of
+// their queued requests, because ExpectedWait already includes the prefill time of the queue.
+// Leaving the preferred upstream because nine short prompts are queued there would prefill
+// the shared prefix again elsewhere.
 func withoutSlowOutliers(candidates []Candidate) []int {
 	meanTimeToFirstToken := time.Duration(0)
 	for _, c := range candidates {
 		meanTimeToFirstToken += c.TimeToFirstToken / time.Duration(len(candidates))
 	}
 	maxTimeToFirstToken := time.Duration(outlierFactor*float64(meanTimeToFirstToken)) + outlierMargin
-	var kept []int // never empty: the least is not over the mean
+	var kept []int // never empty, because the minimum is at most the mean
 	for i, c := range candidates {
 		if c.TimeToFirstToken <= maxTimeToFirstToken {
 			kept = append(kept, i)
@@ -110,7 +114,8 @@
 	return kept
 }
 
-// rankByPrefix returns the candidates in the order in which they are the home.
+// rankByPrefix returns the eligible candidates by descending rendezvous weight for the prefix
+// key. The first is the preferred upstream.
 func rankByPrefix(candidates []Candidate, eligible []int, prefixKey string) []int {
 	weights := make(map[int]float64, len(eligible))
 	for _, i := range eligible {
@@ -121,24 +126,26 @@
 	return ranked
 }
 
-// rendezvousWeight is the weight of rendezvous hashing: an upstream with twice the slots is
-// the home of twice as many prompts, and so is one to which half of the entries send.
+// rendezvousWeight returns the candidate's weight in rendezvous hashing. An upstream with
+// twice the slots is preferred for twice as many prefix keys. An upstream to which only half
+// of the entries send is also weighted twice.
 func rendezvousWeight(c Candidate, prefixKey string) float64 {
 	hash := xxhash.Sum64String(prefixKey + "\x00" + c.ID)
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -float64(max(c.Slots, 1)) * max(c.HashWeight, 1) / math.Log(unit)
 }
 
-// utilizationPerLinkSecond is the part of an upstream's slots that may be taken before a request
-// without a prompt rather goes over a link that costs it a second.
+// utilizationPerLinkSecond is the slot utilization that counts as much as one second of link
+// delay when a request without a prompt is placed.
 const utilizationPerLinkSecond = 5.0
 
-// load compares candidates for a request without a prompt.
+// load returns the value by which candidates for a request without a prompt are compared.
 func (c Candidate) load() float64 {
 	return c.SlotUtilization + utilizationPerLinkSecond*c.LinkDelay.Seconds()
 }
 
-// leastLoaded returns the leastLoaded loaded candidate.
+// leastLoaded returns the eligible candidate with the lowest load. Among equals it returns
+// the first one at or after the position selected by tieBreaker.
 func leastLoaded(candidates []Candidate, eligible []int, tieBreaker uint64) int {
 	start := int(tieBreaker % uint64(len(eligible)))
 	best := eligible[start]
--- a/core/coordination/placement/placement_test.go
+++ b/core/coordination/placement/placement_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-// A prompt leaves a home behind a lossy link where another is idle, stays where
-// all links are alike, and waits there rather than for much longer elsewhere.
+// A prompt leaves its preferred upstream behind a lossy link if another upstream is idle. It
+// stays if all links are equally lossy, or if it would wait much longer elsewhere.
 func TestPreferredUpstreamBehindLossyLink(t *testing.T) {
 	p := Prompt{
 		PrefixKey: "part",
@@ -27,13 +27,13 @@
 	preferred, _ := Place(candidates, p, 0)
 	candidates[preferred].LinkDelay = 800 * time.Millisecond
 	if got, _ := Place(candidates, p, 0); got == preferred {
-		t.Error("a prompt stays behind a lossy link")
+		t.Error("the prompt was placed behind a lossy link though other upstreams are idle")
 	}
 	for i := range candidates {
 		candidates[i].LinkDelay = 800 * time.Millisecond
 	}
 	if got, _ := Place(candidates, p, 0); got != preferred {
-		t.Error("a prompt leaves its home though all links lose packets")
+		t.Error("the prompt left its preferred upstream though all links are equally lossy")
 	}
 	for i := range candidates {
 		candidates[i].LinkDelay = 0
@@ -42,12 +42,12 @@
 	candidates[preferred].LinkDelay = 800 * time.Millisecond
 	candidates[preferred].QueuedPrefillTime = 0
 	if got, _ := Place(candidates, p, 0); got != preferred {
-		t.Error("a prompt waits 3 s for fear of a lossy link")
+		t.Error("the prompt was placed behind a 3 s queue to avoid a lossy link")
 	}
 }
 
-// What has no prompt goes to the least taken, and over a lossy link only where
-// the others are much fuller.
+// A request without a prompt goes to the upstream with the lowest slot utilization, and over
+// a lossy link only if the other upstreams have a much higher utilization.
 func TestRequestsWithoutPromptGoToLeastLoaded(t *testing.T) {
 	candidates := idleCandidates(3)
 	candidates[0].SlotUtilization, candidates[1].SlotUtilization, candidates[2].SlotUtilization = 0.4, 0.1, 0.3
@@ -56,17 +56,18 @@
 	}
 	candidates[1].LinkDelay = lossyLinkDelay
 	if got, _ := Place(candidates, Prompt{}, 7); got != 2 {
-		t.Errorf("with a lossy link to the least taken placed at %d", got)
+		t.Errorf("with a lossy link to the least utilized upstream: placed at %d, want 2", got)
 	}
 	candidates[0].SlotUtilization, candidates[2].SlotUtilization = 0.9, 0.9
 	if got, _ := Place(candidates, Prompt{}, 7); got != 1 {
-		t.Errorf("with full ones beside it placed at %d", got)
+		t.Errorf("with the other upstreams nearly full: placed at %d, want 1", got)
 	}
 }
 
 const lossyLinkDelay = 100 * time.Millisecond
 
-// Equal ones are told apart by the tie, so that entries spread.
+// The tie breaker selects among equally loaded upstreams, so that the requests of different
+// entries spread over them.
 func TestTieBreakerSpreadsRequests(t *testing.T) {
 	seen := map[int]bool{}
 	for tieBreaker := range uint64(30) {
@@ -74,11 +75,11 @@
 		seen[target] = true
 	}
 	if len(seen) != 5 {
-		t.Errorf("30 ties choose among %d of 5", len(seen))
+		t.Errorf("30 tie breakers selected %d of 5 upstreams", len(seen))
 	}
 }
 
-// One candidate is taken whatever is known of it.
+// A single candidate is selected whatever its load is.
 func TestSingleCandidate(t *testing.T) {
 	candidates := idleCandidates(1)
 	candidates[0].TimeToFirstToken, candidates[0].QueuedPrefillTime, candidates[0].InflightRequests = time.Minute, time.Minute, 99
@@ -89,13 +90,14 @@
 	}
 }
 
-// A quarter of the entries may send to an upstream that is cold. With their prompts
-// weighed for the others it gets about as many as it is the home of; without, a quarter.
+// Only a quarter of the entries may send to a cold upstream. With a hash weight that stands
+// for the other entries, the upstream gets about its usual share of the prompts. Without the
+// weight it gets a quarter of that share.
 func TestHashWeightOffsetsEntriesThatDoNotSend(t *testing.T) {
 	const prompts, upstreams, entries, senders = 4000, 12, 8, 2
 	for _, tt := range []struct {
 		hashWeight         float64
-		minShare, maxShare float64 // of the cold one's usual part
+		minShare, maxShare float64 // fraction of the cold upstream's usual share
 	}{
 		{1, 0.15, 0.35},
 		{entries / senders, 0.7, 1.1},
@@ -122,7 +124,7 @@
 			}
 		}
 		if got := float64(coldRequests) * upstreams / prompts; got < tt.minShare || got > tt.maxShare {
-			t.Errorf("weight %v: the cold one gets %.2f of its part", tt.hashWeight, got)
+			t.Errorf("hash weight %v: the cold upstream gets %.2f of its usual share", tt.hashWeight, got)
 		}
 	}
 }
