--- a/core/coordination/steward/steward.go
+++ b/core/coordination/steward/steward.go
@@ -1,6 +1,6 @@
-// Package steward decides which members of a group vote: members that found
-// the group by themselves are promoted one at a time, and a voter whose disk is
-// lost gives way to its successor. It has no I/O; the group's leader asks it.
+// Package steward decides which members of a group are voters. Learners that joined the group
+// on their own are promoted one at a time, and a voter whose disk was lost is replaced by its
+// successor. The package has no I/O; the group's leader calls it.
 package steward
 
 import (
@@ -9,37 +9,39 @@
 	"persimmoncross"
 )
 
-// Learner is a member without a vote that follows the log.
+// Learner is a non-voting member that replicates the log.
 type Learner struct {
 	Member   persimmoncross.Member
 	CaughtUp bool
 }
 
-// GroupStatus is what the leader sees.
+// GroupStatus is the state of the group as seen by its leader.
 type GroupStatus struct {
 	Self               persimmoncross.MemberID
 	Voters             []persimmoncross.Member
-	TimeSinceContact   map[persimmoncross.MemberID]time.Duration // of the other voters
+	TimeSinceContact   map[persimmoncross.MemberID]time.Duration // by voter, without Self
 	Learners           []Learner
-	TargetVoters       int           // voters
-	UnreachableTimeout time.Duration // silence after which a voter that has a successor is removed
+	TargetVoters       int           // number of voters that the group should have
+	UnreachableTimeout time.Duration // time without contact after which a voter that has a successor is removed
 }
 
-// VoterChange is one change of the set of voters; the zero value is none.
+// VoterChange is a change of the set of voters by one member. The zero value is no change.
 type VoterChange struct {
 	Add    persimmoncross.Member
 	Remove persimmoncross.MemberID
 	Reason string
 }
 
-// IsZero reports whether nothing is to be done.
+// IsZero reports whether c is no change.
 func (c VoterChange) IsZero() bool { return c.Add.ID == 0 && c.Remove == 0 }
 
-// NextChange returns the next change of voters.
+// NextChange returns the next change of the set of voters.
 //
-// A learner at the address of a voter proves that this voter's disk is gone:
-// only an empty folder gets a new identity. The lost vote is removed first, so
-// that it counts no more, and the successor added once it has caught up.
+// A learner on the VM of a voter, with another ID, proves that the voter's disk was lost,
+// because a member gets a new ID only if its directory is empty. The lost voter is removed
+// first, so that it no longer counts for the quorum, and its successor is added once it has
+// caught up. A voter that is unreachable for longer than UnreachableTimeout is removed only
+// while the group has more than TargetVoters voters.
 func NextChange(status GroupStatus) VoterChange {
 	for _, l := range status.Learners {
 		for _, v := range status.Voters {
--- a/core/coordination/steward/steward_test.go
+++ b/core/coordination/steward/steward_test.go
@@ -44,47 +44,47 @@
 			voters: members(1, 2, 3, 4, 5),
 		},
 		{
-			name:     "a new member votes",
+			name:     "a learner that has caught up becomes a voter",
 			voters:   members(1, 2, 3),
 			learners: []steward.Learner{learner(4, "vm4", true)},
 			add:      4,
 		},
 		{
-			name:     "not before it has caught up",
+			name:     "a learner that has not caught up stays a learner",
 			voters:   members(1, 2, 3),
 			learners: []steward.Learner{learner(4, "vm4", false)},
 		},
 		{
-			name:     "an empty disk at a voter's address",
+			name:     "a voter whose VM restarted with an empty disk is removed",
 			voters:   members(1, 2, 3, 4, 5),
 			learners: []steward.Learner{learner(9, "vm4", false)},
 			remove:   4,
 		},
 		{
-			name:             "a successor at another address is added first",
+			name:             "a successor on another VM is added first",
 			voters:           members(1, 2, 3, 4, 5),
 			learners:         []steward.Learner{learner(9, "vm9", true)},
 			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute},
 			add:              9,
 		},
 		{
-			name:             "then the lost one is removed",
+			name:             "the unreachable voter is removed after its successor was added",
 			voters:           members(1, 2, 3, 4, 5, 9),
 			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute, 3: 3 * time.Second},
 			remove:           5,
 		},
 		{
-			name:             "a short silence is borne",
+			name:             "a voter that is unreachable for less than the timeout stays",
 			voters:           members(1, 2, 3, 4, 5, 9),
 			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Second},
 		},
 		{
-			name:             "a silent voter without a successor keeps its vote",
+			name:             "an unreachable voter without a successor stays",
 			voters:           members(1, 2, 3, 4, 5),
 			timeSinceContact: map[persimmoncross.MemberID]time.Duration{5: time.Minute},
 		},
 		{
-			name:     "no seventh voter",
+			name:     "no learner is added above the target number of voters",
 			voters:   members(1, 2, 3, 4, 5, 9),
 			learners: []steward.Learner{learner(10, "vm10", true)},
 		},
@@ -100,7 +100,7 @@
 				UnreachableTimeout: 2 * time.Second,
 			})
 			if c.Add.ID != tt.add || c.Remove != tt.remove {
-				t.Errorf("add %d, remove %d (%s), want %d and %d", c.Add.ID, c.Remove, c.Reason, tt.add, tt.remove)
+				t.Errorf("add %d, remove %d (%s), want add %d, remove %d", c.Add.ID, c.Remove, c.Reason, tt.add, tt.remove)
 			}
 		})
 	}
