--- a/core/coordination/group/error.go
+++ b/core/coordination/group/error.go
@@ -7,18 +7,18 @@
 
 // The kinds of error.
 const (
-	NotLeader      ErrorKind = iota + 1 // propose at the VM named by Leader
-	QueueFull                           // refused: nothing was proposed
-	LeadershipLost                      // leadership was lost: the command may yet be committed
-	ChangeRejected                      // the change of voters is not allowed
-	Stopped                             // the group no longer runs
+	NotLeader      ErrorKind = iota + 1 // this member does not lead; the VM named by Leader may
+	QueueFull                           // the event queue is full, and nothing was proposed
+	LeadershipLost                      // the outcome is unknown; the command may still be committed
+	ChangeRejected                      // the change of voters is not allowed at the moment
+	Stopped                             // the replica has stopped
 )
 
-// Error is what the package's operations return.
+// Error is the error type of the package's operations.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
-	Leader    string // the leader's VM, if known
+	Leader    string // VM of the leader, "" if unknown
 	Err       error
 }
 
--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -1,8 +1,9 @@
-// Package group runs one member of one replicated log: it owns a
-// [consensus.Core], feeds it from a bounded ring, syncs, sends and applies.
+// Package group runs one member of one replicated log. It owns a [consensus.Core], passes it
+// events from a bounded queue, writes its entries to disk, sends its messages and applies the
+// committed entries.
 //
-// All of it happens on the goroutine of [Replica.Run]. Other goroutines post
-// events, and read the [View] that the owner replaces after each round.
+// All of this happens on the goroutine of [Replica.Run]. Other goroutines queue events, and
+// read the [View] that Run publishes after each round.
 package group
 
 import (
@@ -17,39 +18,40 @@
 	"persimmoncross/core/coordination/consensus"
 )
 
-// Sizes of the ring, of one round and of the log kept behind a snapshot.
+// Limits of the event queue, of one round, and of the log kept between snapshots.
 const (
 	maxQueuedEvents         = 4096
 	maxEventsPerRound       = 1024
-	maxEntriesSinceSnapshot = 8192    // applied entries
-	retainedEntries         = 2048    // entries
-	maxBytesSinceSnapshot   = 8 << 20 // of applied commands: bounds the log in memory and on disk
+	maxEntriesSinceSnapshot = 8192    // applied entries after which a snapshot is written
+	retainedEntries         = 2048    // entries before the snapshot that are kept for slow followers
+	maxBytesSinceSnapshot   = 8 << 20 // bytes of applied commands after which a snapshot is written; bounds the log in memory and on disk
 )
 
-// diskRetryInterval is the pause after a failed write.
+// diskRetryInterval is the delay after a failed write before the next try.
 const diskRetryInterval = 100 * time.Millisecond
 
-// View is what others may know of the group; it never changes.
+// View is an immutable copy of the replica's state for other goroutines.
 type View struct {
 	Role               consensus.Role
 	Term               uint64
-	LeaderVM           string // VM, "" if unknown
+	LeaderVM           string // VM of the leader, "" if unknown
 	CommitIndex        uint64
 	AppliedIndex       uint64
 	LastIndex          uint64
 	Config             persimmoncross.Config
 	LeaseExpiry        time.Time
-	LeaseRequiredIndex uint64
-	DiskError          string // why nothing is acknowledged, "" if all is well
+	LeaseRequiredIndex uint64 // index that must be applied for the lease to be valid
+	DiskError          string // error of a write that is being retried, during which nothing is acknowledged; "" if the last write succeeded
 }
 
-// HasLease reports whether new work may be taken: a leader that holds a quorum
-// was heard within the lease, and what it had committed is applied.
+// HasLease reports whether new work may be accepted at time now. It requires a lease, confirmed
+// by a leader with a quorum, that has not expired, and that the entries the leader had committed
+// by then are applied.
 func (v *View) HasLease(now time.Time) bool {
 	return v.AppliedIndex >= v.LeaseRequiredIndex && now.Before(v.LeaseExpiry)
 }
 
-// Replica runs a member. The exported fields are set before [Replica.Run].
+// Replica runs one member of a group. The exported fields must be set before [Replica.Open].
 type Replica struct {
 	Core         *consensus.Core
 	Storage      persimmoncross.Storage
@@ -65,11 +67,11 @@
 	pendingProposals   map[uint64]pendingProposal
 	appliedIndex       uint64
 	snapshotIndex      uint64
-	bytesSinceSnapshot int // of the commands applied since the last snapshot
+	bytesSinceSnapshot int // bytes of the commands applied since the last snapshot
 	diskError          string
 }
 
-// event is what is posted to the ring: one of its fields is set.
+// event is an element of the event queue. Exactly one of its fields is set.
 type event struct {
 	message  *persimmoncross.Message
 	proposal *proposal
@@ -91,9 +93,9 @@
 	reply chan response
 }
 
-// now returns the time with that for which the VM was suspended: a lease and an
-// election run out meanwhile. A leader that wakes would else pass for recent for what
-// its lease had left, though another one has accepted changes since.
+// now returns the clock's time plus the time for which the VM was suspended, so that leases
+// and election timeouts expire during a suspension. Otherwise a resumed leader would count as
+// current for the rest of its lease, although another leader may have accepted changes.
 func (r *Replica) now() time.Time {
 	now := r.Clock.Now()
 	if c, ok := r.Clock.(persimmoncross.SuspendClock); ok {
@@ -102,11 +104,11 @@
 	return now
 }
 
-// HasLease reports whether new work may be taken now: see [View.HasLease].
+// HasLease reports whether new work may be accepted now, as described at [View.HasLease].
 func (r *Replica) HasLease() bool { return r.View().HasLease(r.now()) }
 
-// Open loads the member's disk and restores the state machine. It comes before
-// Run, so that a broken disk stops the start.
+// Open loads the member's state from disk and restores the state machine. It is called before
+// Run, so that a failing disk prevents the start.
 func (r *Replica) Open() error {
 	hardState, snapshot, entries, err := r.Storage.Load()
 	if err != nil {
@@ -125,13 +127,13 @@
 	return nil
 }
 
-// View returns the group's state as of the latest round.
+// View returns the replica's state after the latest round.
 func (r *Replica) View() *View { return r.view.Load() }
 
-// Done is closed when the group has stopped.
+// Done returns a channel that is closed when Run has returned.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Run owns the member until the context ends.
+// Run handles the member's events until ctx is done.
 func (r *Replica) Run(ctx context.Context) {
 	defer close(r.done)
 	defer r.failPendingProposals(Stopped)
@@ -149,7 +151,8 @@
 	}
 }
 
-// handleQueuedEvents handles what else waits, so that one sync serves many.
+// handleQueuedEvents handles the events that are already queued, at most maxEventsPerRound,
+// so that one disk sync covers all of them.
 func (r *Replica) handleQueuedEvents() {
 	for range maxEventsPerRound {
 		select {
@@ -183,7 +186,8 @@
 	}
 }
 
-// processActions carries out actions until none are left.
+// processActions carries out the core's actions until none are left, and writes a snapshot if
+// one is due.
 func (r *Replica) processActions(ctx context.Context) {
 	for {
 		a := r.Core.TakeActions()
@@ -213,8 +217,8 @@
 	}
 }
 
-// persist writes until it succeeds. While the disk refuses, the member answers
-// nobody, so the others elect a leader that can write.
+// persist writes the hard state and the entries, and retries until the write succeeds. During
+// the retries the member sends no replies, so the others elect a leader that can write.
 func (r *Replica) persist(ctx context.Context, a consensus.Actions) bool {
 	if a.HardState == nil && len(a.Entries) == 0 {
 		return true
@@ -239,7 +243,7 @@
 		}
 		r.counter("disk.errors").Inc(1)
 		if r.diskError == "" {
-			r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("disk write failed: nothing is acknowledged until it succeeds")
+			r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("disk write failed; nothing is acknowledged until a retry succeeds")
 		}
 		r.diskError = err.Error()
 		r.publishView()
@@ -256,7 +260,7 @@
 		return false
 	}
 	if err := r.StateMachine.Restore(s.Data); err != nil {
-		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot cannot be restored")
+		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("restoring the received snapshot failed")
 		return false
 	}
 	r.appliedIndex = s.Index
@@ -304,7 +308,7 @@
 	}
 	if err := r.Storage.Compact(s, compactIndex); err != nil {
 		r.counter("disk.errors").Inc(1)
-		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("snapshot not written")
+		r.Logger.Error().Err(err).Str("group", r.Core.Group).Msg("writing a snapshot failed")
 		return
 	}
 	r.snapshotIndex = s.Index
@@ -313,7 +317,8 @@
 	r.counter("snapshots.written").Inc(1)
 }
 
-// failPendingProposals answers the proposals whose outcome this member can't learn.
+// failPendingProposals answers all pending proposals with an error of the given kind, because
+// this member will not observe their outcome.
 func (r *Replica) failPendingProposals(kind ErrorKind) {
 	for index, w := range r.pendingProposals {
 		delete(r.pendingProposals, index)
--- a/core/coordination/group/requests.go
+++ b/core/coordination/group/requests.go
@@ -8,8 +8,8 @@
 	"persimmoncross/core/coordination/consensus"
 )
 
-// Receive posts a peer's message. A full ring drops it: consensus messages are
-// sent again.
+// Receive queues a message of a peer. If the event queue is full the message is dropped,
+// because consensus messages are sent again.
 func (r *Replica) Receive(m persimmoncross.Message) {
 	if !r.enqueue(event{
 		message: &m,
@@ -18,8 +18,8 @@
 	}
 }
 
-// Propose appends a command if this member leads, and returns the result that
-// the state machine gave.
+// Propose appends a command if this member leads, and returns the result of applying it to
+// the state machine.
 func (r *Replica) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	p := &proposal{
 		data:  data,
@@ -34,22 +34,22 @@
 	return r.awaitResponse(ctx, p.reply)
 }
 
-// AddVoter makes a caught-up member a voter.
+// AddVoter makes a learner that has caught up a voter.
 func (r *Replica) AddVoter(ctx context.Context, m persimmoncross.Member) error {
 	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
 		return r.Core.AddVoter(now, m)
 	})
 }
 
-// RemoveVoter takes a member's vote, unless that would lose the quorum.
+// RemoveVoter removes a member from the voters, unless the group would lose its quorum.
 func (r *Replica) RemoveVoter(ctx context.Context, id persimmoncross.MemberID) error {
 	return r.changeVoters(ctx, func(now time.Time) (uint64, uint64, error) {
 		return r.Core.RemoveVoter(now, id)
 	})
 }
 
-// TransferLeadership hands leadership to another voter. It returns false if this member
-// does not lead or nobody can take over.
+// TransferLeadership starts a leadership transfer to another voter. It returns false if this
+// member does not lead or no voter can take over.
 func (r *Replica) TransferLeadership(ctx context.Context) bool {
 	reply := make(chan bool, 1)
 	execute := func(now time.Time) { reply <- r.Core.TransferLeadership(now) }
@@ -118,7 +118,7 @@
 	}
 }
 
-// MemberStatuses returns what this member knows of the others, if it leads the group.
+// MemberStatuses returns the status of the other members, or nil if this member does not lead.
 func (r *Replica) MemberStatuses(ctx context.Context) []consensus.MemberStatus {
 	reply := make(chan []consensus.MemberStatus, 1)
 	execute := func(now time.Time) { reply <- r.Core.MemberStatuses(now) }
