--- a/core/coordination/consensus/cluster_test.go
+++ b/core/coordination/consensus/cluster_test.go
@@ -14,8 +14,8 @@
 	"persimmoncross"
 )
 
-// TestMain fixes rapid's seed, unless one is given, so that every run has the
-// same verdict. scripts/explore runs with random seeds.
+// TestMain fixes rapid's seed unless a seed is given, so that every run has the same result.
+// scripts/explore runs with random seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	seedGiven := false
@@ -26,14 +26,14 @@
 	os.Exit(m.Run())
 }
 
-// Times of the tests' members.
+// Intervals and timeouts of the members in tests.
 const (
 	testHeartbeatInterval = 100 * time.Millisecond
 	testElectionTimeout   = 500 * time.Millisecond
 	testLeaseDuration     = 3 * time.Second
 )
 
-// fakeDisk is what a member has synced.
+// fakeDisk holds the state that a member has synced.
 type fakeDisk struct {
 	hardState persimmoncross.HardState
 	snapshot  persimmoncross.Snapshot
@@ -60,13 +60,13 @@
 	d.entries = slices.DeleteFunc(d.entries, func(e persimmoncross.Entry) bool { return e.Index <= compactIndex })
 }
 
-// member is one VM's member in the tests.
+// member is a member of the group under test, on a VM of its own.
 type member struct {
 	id      persimmoncross.MemberID
 	vm      string
-	core    *Core // nil while it is down
+	core    *Core // nil while the member is down
 	disk    fakeDisk
-	applied []string // the state machine: the commands in order
+	applied []string // state of the fake state machine: the applied commands in order
 }
 
 // cluster is a group of members whose messages the test delivers.
@@ -76,12 +76,12 @@
 	now           time.Time
 	members       []*member
 	inflight      []persimmoncross.Message
-	blockedLinks  map[[2]string]bool // links that lose everything
+	blockedLinks  map[[2]string]bool // links that drop all messages, by sending and receiving VM
 	leadersByTerm map[uint64]persimmoncross.MemberID
-	committed     []string    // what was committed, by the first that applied it
-	commitTimes   []time.Time // when
+	committed     []string    // committed commands, recorded when the first member applies them
+	commitTimes   []time.Time // when the commands in committed were recorded
 	lastCommand   int
-	// broadcastCommits is the members' Announce, for those started later.
+	// broadcastCommits is the BroadcastCommits of the members that are started.
 	broadcastCommits bool
 }
 
@@ -119,7 +119,7 @@
 	return c
 }
 
-// start starts a member from what it had synced.
+// start starts a member from the state on its disk.
 func (c *cluster) start(m *member) {
 	m.core = &Core{
 		Group:             "test",
@@ -135,7 +135,8 @@
 	m.core.Start(c.now, m.disk.hardState, m.disk.snapshot, m.disk.entries)
 }
 
-// The fake state machine's snapshot is its commands, each of one byte's length.
+// encodeApplied encodes a snapshot of the fake state machine. Each command is preceded by its
+// length in one byte.
 func encodeApplied(list []string) []byte {
 	var data []byte
 	for _, s := range list {
@@ -157,16 +158,15 @@
 
 func (c *cluster) crash(m *member) { m.core = nil }
 
-// restartWithEmptyDisk brings a member back empty, under a new identity.
+// restartWithEmptyDisk restarts a member with an empty disk and a new ID.
 func (c *cluster) restartWithEmptyDisk(m *member) {
 	m.id += 100
 	m.disk = fakeDisk{}
 	c.start(m)
 }
 
-// processActions carries out a member's actions, as its owner would. With stopAt it
-// crashes after that many of the steps: 1 after the eager messages, 2 after
-// the sync.
+// processActions carries out a member's actions as the owner of its Core would. The member
+// crashes after MessagesBeforeSync if crashAfter is 1, and after the sync if crashAfter is 2.
 func (c *cluster) processActions(m *member, crashAfter int) {
 	for m.core != nil {
 		a := m.core.TakeActions()
@@ -211,7 +211,8 @@
 	}
 }
 
-// apply checks that every member applies the same commands in the same order.
+// apply applies entries at a member, and checks that all members apply the same commands in the
+// same order.
 func (c *cluster) apply(m *member, entries []persimmoncross.Entry) {
 	for _, e := range entries {
 		if e.Kind == persimmoncross.EntryCommand {
@@ -221,7 +222,7 @@
 	}
 	for i, s := range m.applied {
 		if i < len(c.committed) && c.committed[i] != s {
-			c.fatalf("%s applied %q as number %d, another %q", m.vm, s, i, c.committed[i])
+			c.fatalf("%s applied %q as command %d, another member applied %q", m.vm, s, i, c.committed[i])
 		}
 	}
 	for i := len(c.committed); i < len(m.applied); i++ {
@@ -230,8 +231,8 @@
 	}
 }
 
-// checkInvariants checks that a term has one leader, and that nobody holds a lease who
-// lacks what was committed longer ago than the lease's time.
+// checkInvariants checks that a term has at most one leader, and that no member holds a lease
+// while it lacks a command that was committed longer than the lease duration ago.
 func (c *cluster) checkInvariants(m *member) {
 	c.checkLease(m)
 	if m.core == nil || m.core.Role() != Leader {
@@ -258,7 +259,7 @@
 	}
 }
 
-// deliver hands over the i-th message that is under way.
+// deliver delivers the i-th message in flight.
 func (c *cluster) deliver(i int) {
 	msg := c.inflight[i]
 	c.inflight = slices.Delete(c.inflight, i, i+1)
@@ -273,7 +274,7 @@
 	}
 }
 
-// run lets time pass, delivering everything in order.
+// run advances the time by d, and delivers all messages in order.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		for len(c.inflight) > 0 {
@@ -289,8 +290,8 @@
 	}
 }
 
-// runWithholding lets time pass without delivering the messages that hold says, and
-// returns those. The member that is stopped, if any, gets no time.
+// runWithholding advances the time by d, and returns the messages that withhold selects instead
+// of delivering them. The stopped member, if any, is not ticked.
 func (c *cluster) runWithholding(d time.Duration, stopped *member, withhold func(persimmoncross.Message) bool) []persimmoncross.Message {
 	var withheld []persimmoncross.Message
 	for end := c.now.Add(d); c.now.Before(end); {
@@ -336,7 +337,7 @@
 	return data
 }
 
-// compact takes a snapshot at a member.
+// compact takes a snapshot at a member and compacts its log.
 func (c *cluster) compact(m *member) {
 	if m.core == nil || m.core.appliedIndex <= m.core.snapshot.Index {
 		return
@@ -348,7 +349,7 @@
 	m.core.Compact(s, compactIndex)
 }
 
-// setPartitioned cuts a member off, both ways, or joins it again.
+// setPartitioned partitions a member from the others in both directions, or ends the partition.
 func (c *cluster) setPartitioned(m *member, partitioned bool) {
 	for _, o := range c.members {
 		c.blockedLinks[[2]string{m.vm, o.vm}] = partitioned
@@ -356,12 +357,12 @@
 	}
 }
 
-// hasApplied reports whether the member applied the command.
+// hasApplied reports whether the member has applied the command.
 func (m *member) hasApplied(command string) bool { return slices.Contains(m.applied, command) }
 
-// TestSafetyUnderRandomFailures drives a group through random drops, delays,
-// duplicates, crashes between two steps, lost disks and changes of voters.
-// Committed commands must stay, in one order, and a term has one leader.
+// TestSafetyUnderRandomFailures subjects a group to random message losses, delays and
+// duplicates, crashes between the steps of processing actions, a lost disk and changes of
+// voters. Committed commands must not be lost or reordered, and a term has at most one leader.
 func TestSafetyUnderRandomFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
@@ -406,7 +407,7 @@
 			case action < 94:
 				c.compact(randomMember())
 			case action < 95:
-				if lostDisks == 0 { // at most one disk: two could lose a quorum of three
+				if lostDisks == 0 { // at most one disk, because two could lose a quorum of three voters
 					lostDisks++
 					c.restartWithEmptyDisk(randomMember())
 				}
@@ -425,8 +426,8 @@
 	})
 }
 
-// changeRandomVoter tries to give the vote to a member without it, or to take the
-// vote of an identity that is gone.
+// changeRandomVoter tries to add a member that is not a voter, or to remove a voter whose ID no
+// member has any more.
 func (c *cluster) changeRandomVoter(t *rapid.T) {
 	l := c.leader()
 	if l == nil {
@@ -452,7 +453,8 @@
 	}
 }
 
-// checkRecovery starts all again and wants what was committed to be everywhere.
+// checkRecovery restarts all members that are down, and checks that every member then applies a
+// new command.
 func (c *cluster) checkRecovery(t *rapid.T, lostDisks int) {
 	for _, m := range c.members {
 		if m.core == nil {
@@ -469,7 +471,7 @@
 	c.run(5 * time.Second)
 	for _, m := range c.members {
 		if !m.hasApplied(last) {
-			t.Fatalf("%s lacks %s: it has %v; the leader knows of it %+v", m.vm, last, m.applied, l.core.followers[m.id])
+			t.Fatalf("%s has not applied %s: it has applied %v, and the leader's progress for it is %+v", m.vm, last, m.applied, l.core.followers[m.id])
 		}
 	}
 }
--- a/core/coordination/consensus/consensus_test.go
+++ b/core/coordination/consensus/consensus_test.go
@@ -18,13 +18,13 @@
 	return c
 }
 
-// commit proposes at the leader and lets it be committed.
+// commit proposes a command at the leader, and checks that it is committed.
 func (c *cluster) commit(t *testing.T) string {
 	t.Helper()
 	l := c.leader()
 	command := c.propose(l)
 	if command == "" {
-		t.Fatal("the leader refuses a proposal")
+		t.Fatal("the leader rejected a proposal")
 	}
 	c.processActions(l, 0)
 	c.run(testHeartbeatInterval)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A leader on the far side of a partition must accept nothing, and must step
-// down; when it comes back it takes what the others committed.
+// A leader that is partitioned from the quorum must commit nothing and must step down. When the
+// partition ends, it replicates the entries that the others committed and drops its own.
 func TestPartitionedLeaderCommitsNothing(t *testing.T) {
 	c := newElectedCluster(t, 3, 0)
 	old := c.leader()
@@ -62,7 +62,7 @@
 	c.processActions(old, 0)
 	c.run(5 * time.Second)
 	if old.hasApplied(uncommitted) {
-		t.Error("a leader without a quorum committed")
+		t.Error("a leader without a quorum committed a command")
 	}
 	if old.core.Role() == Leader {
 		t.Error("a leader without a quorum still leads after 5 s")
@@ -72,11 +72,11 @@
 	c.setPartitioned(old, false)
 	c.run(3 * time.Second)
 	if !old.hasApplied(committed) || old.hasApplied(uncommitted) {
-		t.Errorf("after the partition the old leader has %v", old.applied)
+		t.Errorf("after the partition the old leader has applied %v, want the other members' commands and not its own", old.applied)
 	}
 }
 
-// A member that was cut off must not unseat the leader when it comes back.
+// A member that was partitioned must not depose the leader when the partition ends.
 func TestReturningMemberDoesNotForceElection(t *testing.T) {
 	c := newElectedCluster(t, 3, 0)
 	l := c.leader()
@@ -95,7 +95,8 @@
 	}
 }
 
-// leaseExpiry returns the end of a member's lease, the zero time if it is down.
+// leaseExpiry returns the expiry and the required index of a member's lease, or zero values if
+// the member is down.
 func leaseExpiry(m *member) (time.Time, uint64) {
 	if m.core == nil {
 		return time.Time{}, 0
@@ -119,12 +120,12 @@
 	if c.leader() == follower {
 		follower = c.members[1]
 	}
-	t.Run("cut off", func(t *testing.T) {
+	t.Run("partitioned followers", func(t *testing.T) {
 		c.setPartitioned(follower, true)
 		c.setPartitioned(learner, true)
 		c.run(testLeaseDuration + testHeartbeatInterval)
 		if hasLease(c, follower) || hasLease(c, learner) {
-			t.Error("a lease outlives its time")
+			t.Error("a partitioned member still has a lease after the lease duration")
 		}
 		c.setPartitioned(follower, false)
 		c.setPartitioned(learner, false)
@@ -143,29 +144,29 @@
 		c.setPartitioned(l, false)
 		c.run(3 * time.Second)
 	})
-	// A process that is stopped finds old heartbeats in its buffers when it
-	// goes on; they must not give it a lease.
+	// A process that was stopped receives old heartbeats from its buffers when it resumes. They
+	// must not renew its lease.
 	t.Run("frozen", func(t *testing.T) {
 		withheld := c.runWithholding(2*time.Second, learner, func(w persimmoncross.Message) bool { return w.ToVM == learner.vm })
 		if len(withheld) == 0 {
-			t.Fatal("no messages to hold back")
+			t.Fatal("no messages to withhold")
 		}
 		c.now = c.now.Add(10 * time.Second)
 		for _, w := range withheld {
 			learner.core.Step(c.now, w)
 			c.processActions(learner, 0)
 			if hasLease(c, learner) {
-				t.Fatal("a held-back message gave a lease")
+				t.Fatal("a withheld message renewed the lease")
 			}
 		}
 	})
 }
 
-// A lease that was confirmed after a commit requires that commit to be applied.
+// A lease that is confirmed after a commit is valid only once that commit is applied.
 func TestLeaseRequiresEarlierCommits(t *testing.T) {
 	c := newElectedCluster(t, 3, 1)
 	learner := c.members[3]
-	// Entries no longer reach the learner, heartbeats without them do.
+	// The learner receives heartbeats, but no entries.
 	command := c.propose(c.leader())
 	c.processActions(c.leader(), 0)
 	c.runWithholding(testLeaseDuration+testHeartbeatInterval, nil, func(w persimmoncross.Message) bool {
@@ -176,7 +177,7 @@
 	}
 	expiry, requiredIndex := learner.core.LeaseExpiry()
 	if c.now.Before(expiry) && learner.core.appliedIndex >= requiredIndex {
-		t.Error("the learner keeps a valid lease without what was committed for 4 s")
+		t.Error("the learner has a valid lease without the command committed more than the lease duration ago")
 	}
 }
 
@@ -205,7 +206,7 @@
 	c.start(follower)
 	c.run(5 * time.Second)
 	if len(follower.applied) != len(l.applied) {
-		t.Errorf("caught up to %d commands of %d", len(follower.applied), len(l.applied))
+		t.Errorf("the follower applied %d commands of %d", len(follower.applied), len(l.applied))
 	}
 }
 
@@ -225,7 +226,7 @@
 		VM: replaced.vm,
 	}
 	if _, _, err := l.core.AddVoter(c.now, newVoter); err == nil {
-		t.Fatal("a member that was never heard of became a voter")
+		t.Fatal("a member that never contacted the leader became a voter")
 	}
 	c.restartWithEmptyDisk(replaced)
 	c.run(2 * time.Second)
@@ -233,7 +234,7 @@
 		t.Fatal("the new member did not catch up")
 	}
 	if replaced.core.Role() != Follower || l.core.Config().HasVoter(replaced.id) {
-		t.Fatal("the new member counts before it was added")
+		t.Fatal("the new member is a voter before it was added")
 	}
 	if _, _, err := l.core.AddVoter(c.now, newVoter); err != nil {
 		t.Fatal(err)
@@ -245,7 +246,7 @@
 	}
 	c.processActions(l, 0)
 	c.run(time.Second)
-	// A second VM is lost right after the repair.
+	// A second VM is lost right after the replacement.
 	for _, m := range c.members {
 		if m != replaced && m != c.leader() {
 			c.crash(m)
@@ -258,12 +259,12 @@
 		t.Error("a committed command is lost")
 	}
 	if _, _, err := c.leader().core.RemoveVoter(c.now, replaced.id); err == nil {
-		t.Error("a removal that loses the quorum is allowed")
+		t.Error("a removal that would lose the quorum was accepted")
 	}
 }
 
-// A change of leader must not leave anybody without a lease (found by the
-// rolling restart: entries refused work right after each hand-over).
+// The leases of the other members stay valid over a change of leader. Without this, entries
+// refused work right after each leadership transfer of a rolling restart.
 func TestLeaseSurvivesLeaderChange(t *testing.T) {
 	c := newElectedCluster(t, 3, 1)
 	c.run(time.Second)
@@ -273,7 +274,7 @@
 		c.run(testHeartbeatInterval / 2)
 		for _, m := range c.members {
 			if expiry, _ := leaseExpiry(m); m != old && !c.now.Before(expiry) {
-				t.Fatalf("%s has no lease %v after the leader's end", m.vm, c.now)
+				t.Fatalf("%s has no lease at %v, after the leader crashed", m.vm, c.now)
 			}
 		}
 	}
@@ -283,18 +284,18 @@
 	c := newElectedCluster(t, 3, 0)
 	old := c.leader()
 	if !old.core.TransferLeadership(c.now) {
-		t.Fatal("nobody takes over")
+		t.Fatal("no voter can take over leadership")
 	}
 	c.processActions(old, 0)
 	c.run(testHeartbeatInterval)
 	if l := c.leader(); l == nil || l == old {
-		t.Error("the leadership was not handed over within a heartbeat")
+		t.Error("leadership was not transferred within a heartbeat interval")
 	}
 }
 
-// A member that got the entry which makes it a voter, but whose leader was lost
-// before that was committed, must still be sent the log (found by the random
-// test: it only asked for votes, which nobody gave).
+// A learner that received the entry which makes it a voter, and whose leader failed before the
+// entry was committed, must still be sent the log. Without a join request it would only send
+// pre-votes, which no other member grants.
 func TestMemberOfUncommittedConfigCatchesUp(t *testing.T) {
 	c := newElectedCluster(t, 3, 1)
 	old, learner := c.leader(), c.members[3]
@@ -313,7 +314,7 @@
 		c.deliver(0)
 	}
 	if !learner.core.Config().HasVoter(learner.id) {
-		t.Fatal("the learner did not get the entry")
+		t.Fatal("the learner did not receive the entry that makes it a voter")
 	}
 	c.inflight = nil
 	c.crash(old)
@@ -323,12 +324,12 @@
 	command := c.commit(t)
 	c.run(2 * time.Second)
 	if !learner.hasApplied(command) {
-		t.Error("the learner is not sent the log")
+		t.Error("the learner was not sent the log")
 	}
 }
 
-// Two leaders' snapshots of one index may differ in their bytes: parts of one
-// must not complete the other's.
+// The snapshots of two leaders at the same index may differ in their bytes. Chunks of one must
+// not complete the other.
 func TestChunksOfDifferentLeadersAreNotMixed(t *testing.T) {
 	c := newCluster(t.Fatalf, 3, 1, 7)
 	learner := c.members[3]
@@ -349,18 +350,17 @@
 	learner.core.Step(c.now, chunk(1, 2, 0, "AAAA"))
 	learner.core.Step(c.now, chunk(2, 3, 4, "BBBB"))
 	if a := learner.core.TakeActions(); a.Snapshot != nil {
-		t.Fatalf("installed %q", a.Snapshot.Data)
+		t.Fatalf("installed a snapshot from chunks of two leaders: %q", a.Snapshot.Data)
 	}
 	learner.core.Step(c.now, chunk(2, 3, 0, "BBBB"))
 	learner.core.Step(c.now, chunk(2, 3, 4, "BBBB"))
 	if a := learner.core.TakeActions(); a.Snapshot == nil || string(a.Snapshot.Data) != "BBBBBBBB" {
-		t.Errorf("installed %+v", a.Snapshot)
+		t.Errorf("installed %+v, want the snapshot of the second leader", a.Snapshot)
 	}
 }
 
-// What a follower lacks goes out as far as a few messages, not all of the log at
-// once, and it gets the rest as it answers; also after all that was sent to it is
-// lost.
+// A leader sends a follower that does not answer only a limited part of the entries that it
+// lacks. The follower receives the rest as it answers, also if all earlier messages were lost.
 func TestInflightBytesAreBounded(t *testing.T) {
 	c := newElectedCluster(t, 3, 0)
 	c.commit(t)
@@ -388,18 +388,18 @@
 		c.runWithholding(testHeartbeatInterval, follower, withhold)
 	}
 	if c.leader() != l || l.core.CommitIndex() != l.core.LastIndex() {
-		t.Fatal("the others did not commit")
+		t.Fatal("the other members did not commit the entries")
 	}
 	if maxBytes := maxInflightBytes + maxBatchBytes; sentBytes > maxBytes {
-		t.Errorf("%d MB are under way to who does not answer, want %d", sentBytes>>20, maxBytes>>20)
+		t.Errorf("%d MB are in flight to a follower that does not answer, want at most %d", sentBytes>>20, maxBytes>>20)
 	}
 	c.run(2 * time.Second)
 	if follower.core.CommitIndex() != l.core.CommitIndex() {
-		t.Errorf("the follower has %d entries of %d", follower.core.CommitIndex(), l.core.CommitIndex())
+		t.Errorf("the follower's commit index is %d, want %d", follower.core.CommitIndex(), l.core.CommitIndex())
 	}
 }
 
-// The sizes of a log's entries stay right as it grows, is cut and compacted.
+// sizeBetween stays correct when entries are appended, truncated and compacted.
 func TestMemoryLogSizeBetween(t *testing.T) {
 	l := &memoryLog{}
 	l.reset(10, 1)
--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -7,10 +7,10 @@
 	"persimmoncross"
 )
 
-// Role is what a member is at the moment.
+// Role is the present role of a member.
 type Role uint8
 
-// The roles. A member outside the voters' set stays a follower.
+// The roles. A member that is not a voter stays a follower.
 const (
 	Follower Role = iota + 1
 	PreCandidate
@@ -23,61 +23,61 @@
 	return [...]string{"", "follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Limits of one message and of what may be under way to one follower.
+// Limits of one message, and of the entries in flight to one follower.
 const (
-	maxBatchEntries    = 512
-	maxBatchBytes      = 1 << 20 // bytes
-	maxInflightEntries = 8192    // entries
-	// maxInflightBytes bounds the same in bytes: entries may be documents. What a
-	// follower that is behind lacks does not go into its link's ring all at once, and
-	// again after each loss.
+	maxBatchEntries    = 512     // entries of one append message
+	maxBatchBytes      = 1 << 20 // bytes of entry data in one append message
+	maxInflightEntries = 8192    // entries in flight to one follower
+	// maxInflightBytes limits the bytes in flight to one follower, because entries may be whole
+	// documents. Without the limit all entries that a slow follower lacks would enter the send
+	// queue of its link at once, and again after each loss.
 	maxInflightBytes = 4 << 20
-	maxChunkBytes    = 256 << 10
-	maxCaughtUpLag   = 64 // entries a member may lack when it becomes a voter
+	maxChunkBytes    = 256 << 10 // bytes of one snapshot chunk
+	maxCaughtUpLag   = 64        // entries that a member may lack when it becomes a voter
 )
 
-// Core is one member of one replicated log. The exported fields are set before
-// [Core.Start]. One goroutine owns it.
+// Core is one member of one replicated log. The exported fields must be set before
+// [Core.Start]. A Core is not safe for concurrent use.
 type Core struct {
 	Group             string
 	ID                persimmoncross.MemberID
 	VM                string
-	HeartbeatInterval time.Duration // between a leader's messages
-	ElectionTimeout   time.Duration // least silence before an election; the most is twice it
-	LeaseDuration     time.Duration // how long a confirmed probe lets an entry take work
+	HeartbeatInterval time.Duration // interval between a leader's heartbeats
+	ElectionTimeout   time.Duration // minimum time without a leader's message before an election; the maximum is twice that
+	LeaseDuration     time.Duration // validity of a lease from the time of its confirmed probe
 	Random            *rand.Rand
-	BroadcastCommits  bool // followers learn of each commit at once, not with the next append or heartbeat
+	BroadcastCommits  bool // send each new commit index to the followers at once, not with the next append or heartbeat
 
 	role            Role
 	leader          persimmoncross.MemberID
 	hardState       persimmoncross.HardState
 	log             memoryLog
-	config          persimmoncross.Config // in force: the latest in the log, committed or not
-	configIndex     uint64                // its index
-	previousConfigs []indexedConfig       // earlier sets, for a truncation or a snapshot
+	config          persimmoncross.Config // active voter configuration: the latest in the log, committed or not
+	configIndex     uint64                // index of the entry of config
+	previousConfigs []indexedConfig       // earlier configurations, for a truncation or a snapshot
 	commitIndex     uint64
 	syncedIndex     uint64 // last entry known to be on disk
-	deliveredIndex  uint64 // last committed entry handed out to be applied
+	deliveredIndex  uint64 // last committed entry returned to the owner to be applied
 
-	appliedIndex     uint64 // last entry the owner reported as applied
+	appliedIndex     uint64 // last entry that the owner reported as applied
 	snapshot         persimmoncross.Snapshot
 	incomingSnapshot *incomingSnapshot
 	votes            map[persimmoncross.MemberID]bool
 	followers        map[persimmoncross.MemberID]*progress
-	followerOrder    []persimmoncross.MemberID // of followers: equal events give equal actions
+	followerOrder    []persimmoncross.MemberID // keys of followers in a fixed order, so that equal events give equal actions
 
 	now               time.Time
 	startTime         time.Time
-	wireTimeOffset    time.Duration // random origin of the times put on the wire
-	lastLeaderContact time.Time     // from the leader
-	electionDeadline  time.Time     // of the election timer
-	lastHeartbeat     time.Time     // of the last heartbeat sent, or hello
+	wireTimeOffset    time.Duration // random offset of the times in messages
+	lastLeaderContact time.Time     // last message from the leader
+	electionDeadline  time.Time     // end of the election timer
+	lastHeartbeat     time.Time     // when heartbeats, or join requests, were last sent
 	transfer          leadershipTransfer
 	lease             leaseState
 
 	hardStateChanged   bool
 	unsyncedEntries    []persimmoncross.Entry
-	commitAdvanced     bool // the commit index moved
+	commitAdvanced     bool // the new commit index must be broadcast
 	snapshotToInstall  *persimmoncross.Snapshot
 	messagesBeforeSync []persimmoncross.Message
 	messagesAfterSync  []persimmoncross.Message
@@ -88,9 +88,10 @@
 	config persimmoncross.Config
 }
 
-// Actions is what the owner of a Core must do, in this order: send Eager,
-// install Snapshot, sync Hard and Entries, send Messages, apply Committed.
-// Then it calls [Core.MarkSynced] and [Core.MarkApplied].
+// Actions is what the owner of a Core must do, in this order: send MessagesBeforeSync, install
+// Snapshot, write and sync HardState and Entries, send MessagesAfterSync, apply
+// CommittedEntries. The owner reports the results with [Core.MarkSynced] and
+// [Core.MarkApplied].
 type Actions struct {
 	MessagesBeforeSync []persimmoncross.Message
 	Snapshot           *persimmoncross.Snapshot
@@ -100,7 +101,7 @@
 	CommittedEntries   []persimmoncross.Entry
 }
 
-// Start gives the Core what its disk held.
+// Start initializes the Core from the state on its disk.
 func (c *Core) Start(now time.Time, hardState persimmoncross.HardState, snapshot persimmoncross.Snapshot, entries []persimmoncross.Entry) {
 	c.now = now
 	c.startTime = now
@@ -123,8 +124,9 @@
 	c.syncedIndex = c.log.lastIndex()
 	c.role = Follower
 	c.lastLeaderContact = now.Add(-c.ElectionTimeout)
-	// After a restart of all members at once nobody has a leader to wait for. A
-	// leader that exists is heard within a heartbeat, and pre-votes leave it alone.
+	// The first election timeout is short, because after a restart of all members there is no
+	// leader to wait for. An existing leader sends a message within a heartbeat interval, and
+	// a pre-vote does not disturb it.
 	c.electionDeadline = now.Add(c.HeartbeatInterval + time.Duration(c.Random.Int64N(int64(c.ElectionTimeout)/2+1)))
 }
 
@@ -134,10 +136,10 @@
 // Term returns the current term.
 func (c *Core) Term() uint64 { return c.hardState.Term }
 
-// CommitIndex returns the last committed index known.
+// CommitIndex returns the last index that is known to be committed.
 func (c *Core) CommitIndex() uint64 { return c.commitIndex }
 
-// Config returns the voters in force.
+// Config returns the active voter configuration.
 func (c *Core) Config() persimmoncross.Config { return c.config }
 
 // LastIndex returns the index of the last entry of the log.
@@ -154,7 +156,7 @@
 	return ""
 }
 
-// TakeActions returns what is to be done, and forgets it.
+// TakeActions returns the pending actions and clears them.
 func (c *Core) TakeActions() Actions {
 	if c.role == Leader {
 		c.replicate()
@@ -180,7 +182,7 @@
 	return a
 }
 
-// MarkSynced tells that the entries up to index are on disk.
+// MarkSynced records that the entries up to index are on disk.
 func (c *Core) MarkSynced(index uint64) {
 	c.syncedIndex = min(index, c.log.lastIndex())
 	if c.role == Leader {
@@ -188,17 +190,18 @@
 	}
 }
 
-// MarkApplied tells that the state machine holds the entries up to index.
+// MarkApplied records that the entries up to index were applied to the state machine.
 func (c *Core) MarkApplied(index uint64) { c.appliedIndex = max(c.appliedIndex, index) }
 
-// Compact drops the log up to keep; snapshot must cover at least that.
+// Compact sets the snapshot, and drops the entries up to and including compactIndex. Entries
+// that the snapshot does not cover are kept.
 func (c *Core) Compact(snapshot persimmoncross.Snapshot, compactIndex uint64) {
 	c.snapshot = snapshot
 	c.log.compact(min(compactIndex, snapshot.Index))
 }
 
-// SnapshotMetadata returns the index, term and voters at an applied index, for the
-// owner to add the state machine's bytes to.
+// SnapshotMetadata returns a snapshot with the index, term and voter configuration at an
+// applied index, to which the owner adds the data of the state machine.
 func (c *Core) SnapshotMetadata(index uint64) persimmoncross.Snapshot {
 	term, _ := c.log.term(index)
 	config := c.config
@@ -212,7 +215,7 @@
 	}
 }
 
-// Tick advances the time.
+// Tick advances the time, and does what is due.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
 	if c.role == Leader {
@@ -225,13 +228,13 @@
 	}
 	if !now.Before(c.electionDeadline) {
 		c.campaign(PreCandidate, false)
-		// The voters it knows of may come from an entry that was never committed:
-		// then nobody votes for it, and only a leader can tell it better.
+		// The active configuration may come from an entry that was never committed. In that
+		// case no voter votes for this member, and only a leader can send it the valid log.
 		c.sendHello()
 	}
 }
 
-// Step takes a message of a peer.
+// Step handles a message of another member.
 func (c *Core) Step(now time.Time, m persimmoncross.Message) {
 	c.now = now
 	if m.Kind == persimmoncross.MessageLearnerJoin {
@@ -270,17 +273,19 @@
 	}
 }
 
-// handleLaterTerm handles a message of a later term; false drops it.
+// handleLaterTerm handles the term of a message of a later term. It returns false if the
+// message must be dropped.
 func (c *Core) handleLaterTerm(m persimmoncross.Message) bool {
 	switch m.Kind {
 	case persimmoncross.MessagePreVote:
-		return true // its term is only a proposal
+		return true // the term of a pre-vote is only proposed
 	case persimmoncross.MessagePreVoteReply:
 		if !m.Reject {
-			return true // echoes the proposed term
+			return true // a granted pre-vote echoes the proposed term
 		}
 	case persimmoncross.MessageVote:
-		// Check-quorum: while a leader is heard, nobody else is helped to unseat it.
+		// While the leader is active, votes for other members are ignored, so that they do not
+		// depose it (check-quorum).
 		if !m.LeadershipTransfer && c.hasRecentLeaderContact() {
 			return false
 		}
@@ -289,8 +294,8 @@
 	return true
 }
 
-// replyToStaleTerm tells the sender of an earlier term about this one, so that a
-// member that was cut off rejoins. Pre-votes get a refusal.
+// replyToStaleTerm replies with the current term to a message of an earlier term, so that a
+// member that was partitioned can rejoin. Pre-votes are rejected. Other messages get no reply.
 func (c *Core) replyToStaleTerm(m persimmoncross.Message) {
 	switch m.Kind {
 	case persimmoncross.MessageAppend, persimmoncross.MessageSnapshotChunk:
@@ -307,7 +312,7 @@
 	}
 }
 
-// becomeFollower makes the member a follower in the term.
+// becomeFollower makes the member a follower in the given term. leader is 0 if unknown.
 func (c *Core) becomeFollower(term uint64, leader persimmoncross.MemberID) {
 	if term > c.hardState.Term {
 		c.hardState = persimmoncross.HardState{
@@ -327,10 +332,10 @@
 	c.electionDeadline = c.now.Add(c.ElectionTimeout + time.Duration(c.Random.Int64N(int64(c.ElectionTimeout))))
 }
 
-// toWireTime returns the process's time as it goes into messages.
+// toWireTime converts a time of this process to a time in messages.
 func (c *Core) toWireTime(t time.Time) time.Duration { return c.wireTimeOffset + t.Sub(c.startTime) }
 
-// fromWireTime undoes wire. The time is wrong if this process did not write it.
+// fromWireTime reverses toWireTime. The result is meaningless if another process wrote d.
 func (c *Core) fromWireTime(d time.Duration) time.Time { return c.startTime.Add(d - c.wireTimeOffset) }
 
 func (c *Core) withHeader(to persimmoncross.MemberID, targetVM string, m persimmoncross.Message) persimmoncross.Message {
@@ -345,17 +350,18 @@
 	return m
 }
 
-// replyAfterSync queues a message that may go only after what came before is synced.
+// replyAfterSync queues a reply to request that may be sent only after the pending hard state
+// and entries are synced.
 func (c *Core) replyAfterSync(request, m persimmoncross.Message) {
 	c.messagesAfterSync = append(c.messagesAfterSync, c.withHeader(request.From, request.FromVM, m))
 }
 
-// sendBeforeSync queues a leader's message, which needs no sync.
+// sendBeforeSync queues a leader's message to a follower, which may be sent before the sync.
 func (c *Core) sendBeforeSync(to persimmoncross.MemberID, m persimmoncross.Message) {
 	c.messagesBeforeSync = append(c.messagesBeforeSync, c.withHeader(to, c.followers[to].vm, m))
 }
 
-// activateConfig takes an entry's voters into force when it is appended.
+// activateConfig makes the voter configuration of an appended entry the active one.
 func (c *Core) activateConfig(e persimmoncross.Entry) {
 	if e.Kind != persimmoncross.EntryConfig {
 		return
@@ -368,7 +374,7 @@
 	c.configIndex = e.Index
 }
 
-// revertConfig goes back to the voters in force before index.
+// revertConfig restores the voter configuration that was active before the entry at index.
 func (c *Core) revertConfig(index uint64) {
 	for c.configIndex >= index && len(c.previousConfigs) > 0 {
 		last := c.previousConfigs[len(c.previousConfigs)-1]
@@ -378,7 +384,7 @@
 	}
 }
 
-// configAt returns the voters in force at index.
+// configAt returns the voter configuration that was active at index.
 func (c *Core) configAt(index uint64) persimmoncross.Config {
 	for i := len(c.previousConfigs) - 1; i >= 0; i-- {
 		if c.previousConfigs[i].index <= index {
--- a/core/coordination/consensus/election.go
+++ b/core/coordination/consensus/election.go
@@ -6,8 +6,9 @@
 	"persimmoncross"
 )
 
-// campaign asks for votes: first whether they would be given, so that a member
-// that was cut off does not disturb the others with a higher term.
+// campaign starts a pre-vote or an election, depending on role. The pre-vote comes first, so
+// that a member that was partitioned does not disturb the others with a higher term.
+// transferred marks an election that a leadership transfer has started.
 func (c *Core) campaign(role Role, transferred bool) {
 	c.role = role
 	c.leader = 0
@@ -38,7 +39,8 @@
 	c.countVotes()
 }
 
-// hasRecentLeaderContact reports whether a leader was heard within the least silence.
+// hasRecentLeaderContact reports whether this member leads, or received a message of the
+// leader within ElectionTimeout.
 func (c *Core) hasRecentLeaderContact() bool {
 	if c.role == Leader {
 		return true
@@ -46,7 +48,8 @@
 	return c.leader != 0 && c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout
 }
 
-// isCandidateUpToDate reports whether the candidate's log holds all that this one does.
+// isCandidateUpToDate reports whether the candidate's log is at least as up to date as this
+// member's log (Raft, 5.4.1).
 func (c *Core) isCandidateUpToDate(m persimmoncross.Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
@@ -114,8 +117,9 @@
 
 func (c *Core) quorumSize() int { return len(c.config.Voters)/2 + 1 }
 
-// becomeLeader makes the member the leader. The empty entry commits what earlier terms
-// left, which a leader may not count as committed by itself (Raft, 5.4.2).
+// becomeLeader makes the member the leader. It appends an empty entry, whose commit also
+// commits the entries of earlier terms. A leader may not commit those by counting their
+// replicas (Raft, 5.4.2).
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.ID
@@ -130,7 +134,8 @@
 	c.broadcastHeartbeat()
 }
 
-// addFollower starts to follow what a member holds.
+// addFollower starts tracking the progress of a member, and returns it. It returns nil for
+// this member itself.
 func (c *Core) addFollower(id persimmoncross.MemberID, vm string) *progress {
 	if id == c.ID {
 		return nil
@@ -149,7 +154,7 @@
 	return p
 }
 
-// removeFollower stops following a member.
+// removeFollower stops tracking the progress of a member.
 func (c *Core) removeFollower(id persimmoncross.MemberID) {
 	delete(c.followers, id)
 	c.followerOrder = slices.DeleteFunc(slices.Clone(c.followerOrder), func(o persimmoncross.MemberID) bool { return o == id })
--- a/core/coordination/consensus/error.go
+++ b/core/coordination/consensus/error.go
@@ -8,12 +8,12 @@
 // The kinds of error.
 const (
 	NotLeader     ErrorKind = iota + 1 // another member leads, or none does
-	ChangePending                      // a limit or an earlier change stands in the way
-	InvalidChange                      // the change could lose the quorum
-	NotCaughtUp                        // the member lacks too much of the log to vote
+	ChangePending                      // an earlier change, or the first entry of the leader's term, is not committed yet
+	InvalidChange                      // the change does not fit the voters, or would lose the quorum
+	NotCaughtUp                        // the member lacks too much of the log to become a voter
 )
 
-// Error is what the package's operations return.
+// Error is the error type of the package's operations.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
@@ -23,7 +23,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("consensus: %s: %s", e.Operation, e.Detail) }
 
-// IsNotLeader reports whether the operation belongs to another member.
+// IsNotLeader reports whether err means that this member does not lead.
 func IsNotLeader(err error) bool {
 	e, ok := err.(*Error)
 	return ok && e.Kind == NotLeader
--- a/core/coordination/consensus/lease.go
+++ b/core/coordination/consensus/lease.go
@@ -6,33 +6,33 @@
 	"persimmoncross"
 )
 
-// The settings lease. A follower puts its own time into each reply. The leader
-// sends that time back once a quorum has answered messages sent after the
-// reply came: it led at that moment, and its commit index then covers all that
-// was ever accepted before. The follower counts its lease from its own time of
-// asking, so neither a message that waited in a buffer while the process was
-// stopped nor a clock that differs can stretch it. The lease also names the
-// commit index, and is worth nothing until that is applied.
+// The settings lease. A follower puts its own time, the probe, into each reply. The leader
+// echoes the probe once a quorum has answered messages that were sent after the reply arrived.
+// This confirms that it still led when the reply arrived, so that its commit index covers all
+// entries accepted before. The follower's lease starts at the time in the probe, by the
+// follower's own clock. A message that was buffered while the process was stopped, or a
+// difference between clocks, can therefore not extend the lease. The confirmation also carries
+// the commit index, and the lease is not valid until the follower has applied that index.
 //
-// A lease outlives a change of leader: whatever the next leader accepts, it
-// accepts later than the confirmation, and so at most the lease's time before
-// the lease ends.
+// A lease stays valid over a change of leader. The next leader accepts its entries after the
+// confirmation, so the lease ends at most LeaseDuration after any entry that its holder lacks.
 
-// leaseState is a follower's side.
+// leaseState is the lease of this member.
 type leaseState struct {
-	lastProbe     time.Time // the latest probe written into a reply
-	start         time.Time // the latest probe that came back confirmed
-	requiredIndex uint64    // what must be applied for the lease to count
+	lastProbe     time.Time // time of the latest probe sent in a reply
+	start         time.Time // time of the latest probe that was confirmed
+	requiredIndex uint64    // index that must be applied for the lease to be valid
 }
 
-// newProbe returns the probe for a reply.
+// newProbe returns the probe to send in a reply.
 func (l *leaseState) newProbe(c *Core) time.Duration {
 	l.lastProbe = c.now
 	return c.toWireTime(c.now)
 }
 
-// renew takes a confirmed probe. One that this process never wrote since the
-// leader was found is older than its time origin or newer than the last asked.
+// renew starts the lease at the confirmed probe in m, if the probe is newer than the present
+// start. Probes from before the start of this process, and probes newer than the last one sent,
+// were not sent by this process and are ignored.
 func (l *leaseState) renew(c *Core, m persimmoncross.Message) {
 	if m.LeaseRequestedAt == 0 {
 		return
@@ -45,8 +45,8 @@
 	l.requiredIndex = m.LeaseCommitIndex
 }
 
-// LeaseExpiry returns the time until which the VM may take new work, and the
-// index that must have been applied before. A zero time is no lease.
+// LeaseExpiry returns the time until which the VM may accept new work, and the index that must
+// be applied before it may. The zero time means that there is no lease.
 func (c *Core) LeaseExpiry() (expiry time.Time, requiredIndex uint64) {
 	if c.lease.start.IsZero() {
 		return time.Time{}, 0
@@ -54,13 +54,13 @@
 	return c.lease.start.Add(c.LeaseDuration), c.lease.requiredIndex
 }
 
-// leaseProbe is a leader's record of a follower's request for a lease. Two places
-// let one be confirmed while the next already waits.
+// leaseProbe is the leader's record of a follower's probes. One probe can be pending while the
+// confirmed one before it is still being echoed.
 type leaseProbe struct {
-	pending     time.Duration
-	receivedAt  time.Time // when it came
-	confirmed   time.Duration
-	commitIndex uint64
+	pending     time.Duration // 0 if none
+	receivedAt  time.Time     // when the pending probe arrived
+	confirmed   time.Duration // 0 if none
+	commitIndex uint64        // when confirmed was confirmed
 }
 
 func (p *leaseProbe) record(value time.Duration, now time.Time) {
@@ -71,15 +71,16 @@
 	p.receivedAt = now
 }
 
-// confirmProbes renews the leader's own lease and confirms the probes that came before the latest message that a
-// quorum has answered was sent.
+// confirmProbes renews the leader's own lease, and confirms the pending probes that arrived
+// before the latest message that a quorum has answered was sent. It does nothing until an
+// entry of the leader's own term is committed.
 func (c *Core) confirmProbes() {
 	if term, _ := c.log.term(c.commitIndex); term != c.hardState.Term {
 		return
 	}
 	ackedSendTime := c.quorumAckedSendTime()
 	if ackedSendTime.After(c.lease.start) {
-		c.lease.start = ackedSendTime // its own
+		c.lease.start = ackedSendTime
 		c.lease.requiredIndex = c.commitIndex
 	}
 	for _, p := range c.followers {
--- a/core/coordination/consensus/log.go
+++ b/core/coordination/consensus/log.go
@@ -6,18 +6,17 @@
 	"persimmoncross"
 )
 
-// memoryLog is the tail of the log that is held in memory: the entries after
-// base, which is the last one that a snapshot covers and that was dropped.
+// memoryLog is the tail of the log that is kept in memory. It holds the entries after
+// compactedIndex, the last entry that was dropped because a snapshot covers it.
 type memoryLog struct {
 	compactedIndex  uint64
 	compactedTerm   uint64
 	entries         []persimmoncross.Entry
-	cumulativeSizes []uint64 // bytes of data up to each entry, from a beginning that does not matter
-	compactedSize   uint64
+	cumulativeSizes []uint64 // bytes of data up to and including each entry; only differences are meaningful
+	compactedSize   uint64   // cumulative size at compactedIndex
 }
 
-// sizeBetween returns the bytes of data of the entries in (low, high], as far as they
-// are held.
+// sizeBetween returns the bytes of data of the entries in (low, high] that are in memory.
 func (l *memoryLog) sizeBetween(low, high uint64) uint64 {
 	if high <= low {
 		return 0
@@ -40,7 +39,8 @@
 	return term
 }
 
-// term returns the term of the entry, and false if the log does not hold it.
+// term returns the term of the entry at index, or false if the log no longer or not yet holds
+// the entry.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.compactedIndex:
@@ -51,8 +51,8 @@
 	return l.entries[index-l.compactedIndex-1].Term, true
 }
 
-// entriesAfter returns at most most entries after index, and at most size bytes of
-// data but always one entry.
+// entriesAfter returns the entries after index, limited to maxEntries entries and maxBytes
+// bytes of data. The first entry is returned even if it is larger than maxBytes.
 func (l *memoryLog) entriesAfter(index uint64, maxEntries int, maxBytes int) []persimmoncross.Entry {
 	if index < l.compactedIndex || index >= l.lastIndex() {
 		return nil
@@ -87,8 +87,8 @@
 	}
 }
 
-// truncate drops the entries at and after index. The kept part is copied on
-// the next append, because readers may still hold the old one.
+// truncate drops the entries at and after index. The next append copies the remaining entries,
+// because readers may still hold the old slice.
 func (l *memoryLog) truncate(index uint64) {
 	keep := index - l.compactedIndex - 1
 	l.entries = l.entries[:keep:keep]
@@ -109,7 +109,7 @@
 	l.compactedTerm = term
 }
 
-// reset empties the log behind a snapshot.
+// reset drops all entries, and continues the log after a snapshot of the given index and term.
 func (l *memoryLog) reset(index, term uint64) {
 	l.compactedIndex = index
 	l.compactedTerm = term
--- a/core/coordination/consensus/member_status.go
+++ b/core/coordination/consensus/member_status.go
@@ -6,15 +6,15 @@
 	"persimmoncross"
 )
 
-// MemberStatus is what a leader knows of another member.
+// MemberStatus is a leader's view of another member.
 type MemberStatus struct {
 	Member           persimmoncross.Member
 	Voter            bool
-	TimeSinceContact time.Duration // since it was heard
-	CaughtUp         bool          // it could be made a voter now
+	TimeSinceContact time.Duration // since the last message from the member
+	CaughtUp         bool          // the member could become a voter now
 }
 
-// MemberStatuses returns what this member, if it leads, knows of the others.
+// MemberStatuses returns the status of the other members, or nil if this member does not lead.
 func (c *Core) MemberStatuses(now time.Time) []MemberStatus {
 	if c.role != Leader {
 		return nil
--- a/core/coordination/consensus/membership.go
+++ b/core/coordination/consensus/membership.go
@@ -7,15 +7,15 @@
 	"persimmoncross"
 )
 
-// leadershipTransfer is a hand-over of leadership under way.
+// leadershipTransfer is a leadership transfer in progress.
 type leadershipTransfer struct {
-	target         persimmoncross.MemberID
+	target         persimmoncross.MemberID // 0 if no transfer is in progress
 	deadline       time.Time
 	timeoutNowSent bool
 }
 
-// AddVoter proposes a set of voters with one more. The member must hold nearly
-// all of the log, so that it can count at once.
+// AddVoter proposes a voter configuration with one more voter. The member must hold nearly all
+// of the log, so that it counts for the quorum at once.
 func (c *Core) AddVoter(now time.Time, m persimmoncross.Member) (index, term uint64, err error) {
 	if err := c.checkVoterChange(now, "add voter"); err != nil {
 		return 0, 0, err
@@ -33,8 +33,8 @@
 	return c.appendEntry(persimmoncross.EntryConfig, nil, config), c.hardState.Term, nil
 }
 
-// RemoveVoter proposes a set of voters without the member, unless those left
-// that answer would be no quorum.
+// RemoveVoter proposes a voter configuration without the member. It returns an error if the
+// remaining voters that answer would not be a quorum.
 func (c *Core) RemoveVoter(now time.Time, id persimmoncross.MemberID) (index, term uint64, err error) {
 	if err := c.checkVoterChange(now, "remove voter"); err != nil {
 		return 0, 0, err
@@ -59,8 +59,8 @@
 	return c.appendEntry(persimmoncross.EntryConfig, nil, config), c.hardState.Term, nil
 }
 
-// checkVoterChange checks what every change of voters needs: that this member leads,
-// has committed an entry of its own term, and that no change is under way.
+// checkVoterChange checks the conditions for any change of voters. This member must lead and
+// have committed an entry of its own term, and no other change may be in progress.
 func (c *Core) checkVoterChange(now time.Time, operation string) error {
 	c.now = now
 	if c.role != Leader {
@@ -72,18 +72,18 @@
 	return nil
 }
 
-// stepDownIfRemoved ends the leadership of a leader that no longer votes, once
-// that is committed.
+// stepDownIfRemoved makes a leader that is no longer a voter step down once its removal is
+// committed.
 func (c *Core) stepDownIfRemoved() {
 	if c.config.HasVoter(c.ID) || c.configIndex > c.commitIndex {
 		return
 	}
-	c.broadcastHeartbeat() // the others learn of the commit first
+	c.broadcastHeartbeat() // sends the others the commit index first
 	c.becomeFollower(c.hardState.Term, 0)
 }
 
-// TransferLeadership hands leadership to the voter that holds most of the log and
-// answers. It returns false if there is none.
+// TransferLeadership starts a leadership transfer to the responsive voter that holds most of
+// the log. It returns false if this member does not lead or no other voter is responsive.
 func (c *Core) TransferLeadership(now time.Time) bool {
 	c.now = now
 	if c.role != Leader {
@@ -110,7 +110,8 @@
 	return true
 }
 
-// sendTimeoutNowIfReady asks the receiver to stand once it holds the whole log.
+// sendTimeoutNowIfReady sends MessageTimeoutNow to the target of a leadership transfer once the
+// target holds the whole log. The target then starts an election at once.
 func (c *Core) sendTimeoutNowIfReady(id persimmoncross.MemberID, p *progress) {
 	if c.transfer.target != id || c.transfer.timeoutNowSent || p.matchIndex < c.log.lastIndex() {
 		return
--- a/core/coordination/consensus/message_count_test.go
+++ b/core/coordination/consensus/message_count_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMessagesPerAppend counts the messages of a group of three for a batch of
-// commands that are proposed together. The counts don't depend on the machine.
+// TestMessagesPerAppend counts the messages in a group of three voters for a batch of commands
+// that are proposed together. The counts do not depend on the speed of the machine.
 func TestMessagesPerAppend(t *testing.T) {
 	for _, c := range []struct {
 		batch            int
@@ -12,7 +12,7 @@
 	}{
 		{
 			batch: 1,
-			want:  4, // two appends, two replies
+			want:  4, // two appends and their replies
 		},
 		{
 			batch: 64,
@@ -25,7 +25,7 @@
 		{
 			batch:            1,
 			broadcastCommits: true,
-			want:             8, // and the commit index to both, with replies
+			want:             8, // as above, plus two messages with the commit index and their replies
 		},
 	} {
 		g := newElectedCluster(t, 3, 0)
@@ -46,7 +46,7 @@
 			g.deliver(0)
 		}
 		if messages != c.want {
-			t.Errorf("batch of %d, announce %t: %d messages, want %d", c.batch, c.broadcastCommits, messages, c.want)
+			t.Errorf("batch of %d, broadcast commits %t: %d messages, want %d", c.batch, c.broadcastCommits, messages, c.want)
 		}
 	}
 }
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -7,16 +7,16 @@
 	"persimmoncross"
 )
 
-// progress is what a leader knows of one follower or learner.
+// progress is a leader's record of the replication to one follower or learner.
 type progress struct {
 	vm                string
-	matchIndex        uint64    // last entry known to be on its disk
-	reportedLastIndex uint64    // last entry of its log as it told itself when it looked for a leader
-	nextIndex         uint64    // first entry to send
-	lastAckedSendTime time.Time // the leader's time of sending, of the latest message it answered
-	lastContact       time.Time
-	snapshotOffset    uint64 // of the snapshot being sent
-	snapshotIndex     uint64 // that snapshot's index, or 0
+	matchIndex        uint64    // last entry known to be on the follower's disk
+	reportedLastIndex uint64    // last entry of the follower's log, from its join request
+	nextIndex         uint64    // next entry to send
+	lastAckedSendTime time.Time // when the leader sent the latest message that the follower answered
+	lastContact       time.Time // when the last message of the follower arrived
+	snapshotOffset    uint64    // offset of the next chunk of the snapshot being sent
+	snapshotIndex     uint64    // index of the snapshot being sent, 0 if none
 	chunkSentAt       time.Time
 	probe             leaseProbe
 }
@@ -30,10 +30,10 @@
 	data   []byte
 }
 
-// learnerTimeout is how long a leader keeps sending to a silent learner.
+// learnerTimeout is the time without contact after which a leader stops sending to a learner.
 const learnerTimeout = 30 * time.Second
 
-// Propose appends a command, if the member leads.
+// Propose appends a command if the member leads, and returns the index and term of its entry.
 func (c *Core) Propose(now time.Time, data []byte) (index, term uint64, err error) {
 	c.now = now
 	if c.role != Leader {
@@ -60,8 +60,9 @@
 	return e.Index
 }
 
-// replicate sends each follower what it lacks, as far as may be under way. A
-// follower that lacks nothing learns of a new commit index at once.
+// replicate sends each follower the entries that it lacks, within the limits of the entries in
+// flight. If commits are broadcast, a follower that lacks nothing is sent a new commit index
+// at once.
 func (c *Core) replicate() {
 	for _, id := range c.followerOrder {
 		p := c.followers[id]
@@ -76,8 +77,9 @@
 	}
 }
 
-// canSendMore reports whether more may be under way to the follower. Before its first
-// word it is not known what is.
+// canSendMore reports whether more entries may be in flight to the follower. The limit in bytes
+// does not apply until the follower has reported an index, because the entries in flight are
+// unknown before.
 func (c *Core) canSendMore(p *progress) bool {
 	if p.nextIndex-p.matchIndex > maxInflightEntries {
 		return false
@@ -86,8 +88,8 @@
 	return knownIndex == 0 || c.log.sizeBetween(knownIndex, p.nextIndex-1) <= maxInflightBytes
 }
 
-// sendEntries sends the next batch, or starts a snapshot if the log no longer
-// holds it. It returns false if nothing more can be sent now.
+// sendEntries sends the next batch of entries, or starts a snapshot transfer if the log no
+// longer holds them. It returns false if nothing more can be sent now.
 func (c *Core) sendEntries(id persimmoncross.MemberID, p *progress) bool {
 	prevIndex := p.nextIndex - 1
 	prevTerm, ok := c.log.term(prevIndex)
@@ -114,7 +116,9 @@
 	})
 }
 
-// broadcastHeartbeat sends every follower an empty append, or the chunk that got lost.
+// broadcastHeartbeat sends every follower an empty append. It also resends the current snapshot
+// chunk if that was not answered within two heartbeat intervals, and removes learners without
+// contact for learnerTimeout.
 func (c *Core) broadcastHeartbeat() {
 	c.lastHeartbeat = c.now
 	for _, id := range c.followerOrder {
@@ -153,7 +157,8 @@
 	}
 }
 
-// quorumAckedSendTime returns the latest time of sending that a quorum has answered.
+// quorumAckedSendTime returns the latest time such that a quorum has answered a message sent
+// at that time or later.
 func (c *Core) quorumAckedSendTime() time.Time {
 	var sendTimes []time.Time
 	for _, v := range c.config.Voters {
@@ -171,7 +176,8 @@
 	return sendTimes[c.quorumSize()-1]
 }
 
-// advanceCommitIndex moves the commit index to what a quorum has on disk.
+// advanceCommitIndex advances the commit index to the last entry of the current term that a
+// quorum has on disk.
 func (c *Core) advanceCommitIndex() {
 	var matchIndexes []uint64
 	for _, v := range c.config.Voters {
@@ -216,7 +222,7 @@
 	}
 	term, ok := c.log.term(m.Index)
 	if m.Index < c.log.compactedIndex {
-		// What a snapshot covers is committed, so it matches.
+		// The entries that a snapshot covers are committed, so they match the leader's.
 		reply.Index = c.log.compactedIndex
 		c.replyAfterSync(m, reply)
 		return
@@ -234,8 +240,8 @@
 	c.replyAfterSync(m, reply)
 }
 
-// rejectHint names the entry after which the leader should send again. It skips the
-// whole term that contradicts the leader's log, but nothing committed.
+// rejectHint returns the index of the entry after which the leader should continue. It skips
+// all entries of the conflicting term, but no committed entries.
 func (c *Core) rejectHint(m persimmoncross.Message) uint64 {
 	index := min(m.Index, c.log.lastIndex())
 	conflictTerm, found := c.log.term(m.Index)
@@ -252,7 +258,8 @@
 	return index
 }
 
-// appendFromLeader appends the entries that the log lacks and drops what contradicts them.
+// appendFromLeader appends the entries that the log lacks, and first drops the entries that
+// conflict with them.
 func (c *Core) appendFromLeader(entries []persimmoncross.Entry) {
 	for i, e := range entries {
 		if e.Index <= c.log.compactedIndex {
@@ -308,7 +315,8 @@
 	c.sendTimeoutNowIfReady(m.From, p)
 }
 
-// recordReply notes an answer; nil means that the sender is not being followed.
+// recordReply records the contact and the lease probe of a reply, and returns the progress of
+// its sender. It returns nil if this member does not lead or does not track the sender.
 func (c *Core) recordReply(m persimmoncross.Message) *progress {
 	if c.role != Leader {
 		return nil
@@ -326,7 +334,8 @@
 	return p
 }
 
-// sendHelloIfDue asks the voters for the log, while no leader is heard.
+// sendHelloIfDue sends a join request once per heartbeat interval while no message of a leader
+// arrives.
 func (c *Core) sendHelloIfDue() {
 	if c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout || c.now.Sub(c.lastHeartbeat) < c.HeartbeatInterval {
 		return
@@ -343,7 +352,7 @@
 	}))
 }
 
-// onHello starts to send the log to a learner.
+// onHello starts to send the log to the member that sent the join request.
 func (c *Core) onHello(m persimmoncross.Message) {
 	if c.role != Leader || m.From == c.ID {
 		return
@@ -362,7 +371,7 @@
 
 func (c *Core) sendSnapshotChunk(id persimmoncross.MemberID, p *progress) {
 	if p.snapshotIndex != c.snapshot.Index {
-		// A newer snapshot has replaced the one under way.
+		// A newer snapshot has replaced the one being sent.
 		p.snapshotIndex = c.snapshot.Index
 		p.snapshotOffset = 0
 	}
--- a/core/coordination/consensus/safety_test.go
+++ b/core/coordination/consensus/safety_test.go
@@ -14,8 +14,8 @@
 	thirdID  = persimmoncross.MemberID(3)
 )
 
-// newThreeVoterCore returns one of three that holds one entry of term 2 behind its
-// snapshot, which nobody knows to be committed.
+// newThreeVoterCore returns one of three voters. After its snapshot it holds one entry of term
+// 2, which is not known to be committed.
 func newThreeVoterCore(now time.Time) *Core {
 	c := &Core{
 		Group:             "g",
@@ -56,7 +56,7 @@
 	return c
 }
 
-// electLeader makes the member the leader of term 3.
+// electLeader makes c the leader of term 3.
 func electLeader(t *testing.T, c *Core, now time.Time) {
 	t.Helper()
 	c.Tick(now)
@@ -71,13 +71,12 @@
 		})
 	}
 	if c.Role() != Leader || c.Term() != 3 {
-		t.Fatalf("%v in term %d", c.Role(), c.Term())
+		t.Fatalf("%v in term %d, want the leader of term 3", c.Role(), c.Term())
 	}
 }
 
-// A leader counts copies only of entries of its own term (Raft, 5.4.2): a copy
-// of an older entry on a majority may still be replaced by a later leader that
-// has none.
+// A leader commits only entries of its own term by counting their replicas (Raft, 5.4.2). An
+// older entry on a majority may still be overwritten by a later leader that lacks it.
 func TestEntriesOfOlderTermAreNotCommittedByCount(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := newThreeVoterCore(now)
@@ -95,17 +94,17 @@
 	}
 	c.Step(now, reply)
 	if c.CommitIndex() != 1 {
-		t.Fatalf("committed %d: an entry of term 2, by its copies alone, in term 3", c.CommitIndex())
+		t.Fatalf("commit index %d, want 1: an entry of term 2 was committed in term 3 by its replicas alone", c.CommitIndex())
 	}
 	reply.Index = 3
 	c.Step(now, reply)
 	if c.CommitIndex() != 3 {
-		t.Errorf("committed %d, want 3: the leader's own entry carries the older one", c.CommitIndex())
+		t.Errorf("commit index %d, want 3: the leader's own entry commits the older one too", c.CommitIndex())
 	}
 }
 
-// A vote goes only to a candidate whose log holds at least what this one does.
-// The candidate may not have asked for a pre-vote.
+// A member votes only for a candidate whose log is at least as up to date as its own. The check
+// must not rely on an earlier pre-vote.
 func TestVoteRequiresUpToDateLog(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -152,20 +151,20 @@
 			})
 			a := c.TakeActions()
 			if len(a.MessagesAfterSync) != 1 || a.MessagesAfterSync[0].Kind != persimmoncross.MessageVoteReply {
-				t.Fatalf("messages %+v", a.MessagesAfterSync)
+				t.Fatalf("messages %+v, want one vote reply", a.MessagesAfterSync)
 			}
 			if granted := !a.MessagesAfterSync[0].Reject; granted != tt.granted {
 				t.Errorf("granted %v, want %v", granted, tt.granted)
 			}
 			if tt.granted && (a.HardState == nil || a.HardState.Vote != secondID) {
-				t.Error("the vote is not kept before it is told")
+				t.Error("the vote is not written to disk before the reply")
 			}
 		})
 	}
 }
 
-// After a start nobody waits for a leader for long, and a member that hears one
-// does not stand.
+// After a start a member waits only a short time for a leader, but long enough to receive a
+// heartbeat of an existing leader.
 func TestFirstElectionTimeoutIsShort(t *testing.T) {
 	for seed := range uint64(50) {
 		now := time.Unix(100, 0)
@@ -176,11 +175,11 @@
 		}, c.snapshot, nil)
 		c.Tick(now.Add(c.HeartbeatInterval - time.Millisecond))
 		if c.Role() != Follower {
-			t.Fatal("a member stands before a leader could be heard")
+			t.Fatal("a member started an election before a heartbeat could arrive")
 		}
 		c.Tick(now.Add(c.HeartbeatInterval + c.ElectionTimeout/2 + time.Millisecond))
 		if c.Role() != PreCandidate {
-			t.Fatalf("a member waits for longer than %v", c.HeartbeatInterval+c.ElectionTimeout/2)
+			t.Fatalf("a member started no pre-vote within %v", c.HeartbeatInterval+c.ElectionTimeout/2)
 		}
 	}
 }
