--- a/core/coordination/cascade/cascade.go
+++ b/core/coordination/cascade/cascade.go
@@ -1,6 +1,7 @@
-// Package cascade decides at which step of a cascade a request starts, from
-// what each step cost and how often its answers were good enough, for the same
-// organisation and kind of request.
+// Package cascade decides with which model a request starts, and when it escalates to a larger
+// one. An [Estimator] selects the first step of a cascade from the price of each step and from
+// how often its answers were accepted, by organisation and size class. An [EscalationPolicy]
+// decides from the confidence that a model reports in its answer.
 package cascade
 
 import (
@@ -9,35 +10,36 @@
 	"time"
 )
 
-// Rules of the estimates.
+// Priors, weights and intervals of the Estimator.
 const (
-	priorAccepted        = 1.0 // a new step is taken to be good enough every second time
+	priorAccepted        = 1.0 // with priorRated, a step without ratings has an acceptance rate of one half
 	priorRated           = 2.0
-	ratingDecay          = 0.995 // of what was seen, at each new rating
-	durationWeight       = 0.1
-	explorationInterval  = 25  // one request in so many starts at a step that is skipped
-	durationSafetyFactor = 1.5 // a step may take so many times its mean
-	maxRaterFailures     = 3   // failures in a row after which nothing waits for the rater
-	raterRetryInterval   = 64  // requests after which it is tried again
+	ratingDecay          = 0.995 // factor of the earlier ratings at each new rating
+	durationWeight       = 0.1   // weight of one duration in the moving average
+	explorationInterval  = 25    // one in this many requests starts at a step that would be skipped
+	durationSafetyFactor = 1.5   // multiple of its mean duration that a step is allowed to take
+	maxRaterFailures     = 3     // consecutive failures after which the rater counts as down
+	raterRetryInterval   = 64    // requests after which a rater that is down is tried again
 )
 
 // Step is one step of a cascade.
 type Step struct {
 	Model string
-	Price float64 // of its tokens
+	Price float64 // price of the step's tokens
 }
 
-// SizeClass groups requests of about the same length.
+// SizeClass returns the size class of a request body of bodySize bytes. Bodies of similar size
+// are in the same class.
 func SizeClass(bodySize int) int { return bits.Len(uint(bodySize)) }
 
-// Estimator learns from past requests.
+// Estimator estimates acceptance rates and durations of cascade steps from past requests.
 type Estimator struct {
-	mu                    sync.Mutex // guards all below
+	mu                    sync.Mutex // guards the fields below
 	ratings               map[ratingKey]*ratingStats
-	meanDurations         map[string]float64 // seconds, by model
+	meanDurations         map[string]float64 // moving averages in seconds, by model
 	decisions             int
-	raterFailures         int // of the rater, in a row
-	decisionsWithoutRater int // requests since the rater was found down
+	raterFailures         int // consecutive failures of the rater
+	decisionsWithoutRater int // requests since the rater was found to be down
 }
 
 type ratingKey struct {
@@ -51,8 +53,8 @@
 	rated    float64
 }
 
-// FirstStep returns the step to begin with: the one of least expected cost, among
-// those after which there would still be time for the steps that follow.
+// FirstStep returns the index of the step to start with. This is the step with the lowest
+// expected cost among those that leave enough time for the steps after them.
 func (e *Estimator) FirstStep(organisation string, sizeClass int, steps []Step, remaining time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,7 +64,7 @@
 	}
 	e.decisions++
 	explore := e.decisions%explorationInterval == 0
-	// From the strongest down: what it costs to start at each step.
+	// From the last and strongest step down, compute the expected cost of starting there.
 	best, bestCost := last, steps[last].Price
 	for i := last - 1; i >= 0; i-- {
 		if !e.fitsDeadline(steps[i:], remaining) {
@@ -76,8 +78,9 @@
 	return best
 }
 
-// shouldSkipRater reports whether the rater is down: then no answer below the
-// strongest step's could be accepted. Now and then it is tried again.
+// shouldSkipRater reports whether the rater is down, in which case only an answer of the last
+// step could be accepted. It returns false once per raterRetryInterval requests, so that the
+// rater is tried again.
 func (e *Estimator) shouldSkipRater() bool {
 	if e.raterFailures < maxRaterFailures {
 		return false
@@ -86,7 +89,8 @@
 	return e.decisionsWithoutRater%raterRetryInterval != 0
 }
 
-// fitsDeadline reports whether all the steps would end in time, one after another.
+// fitsDeadline reports whether all steps, one after another, would end within the remaining
+// time.
 func (e *Estimator) fitsDeadline(steps []Step, remaining time.Duration) bool {
 	sum := 0.0
 	for _, s := range steps {
@@ -107,7 +111,7 @@
 	return (c.accepted + priorAccepted) / (c.rated + priorRated)
 }
 
-// RecordRating notes whether a step's answer was good enough.
+// RecordRating records whether the rater accepted a step's answer.
 func (e *Estimator) RecordRating(organisation string, sizeClass int, model string, accepted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,14 +137,14 @@
 	}
 }
 
-// RecordRaterFailure notes that the rater gave no rating.
+// RecordRaterFailure records that the rater returned no rating.
 func (e *Estimator) RecordRaterFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.raterFailures++
 }
 
-// RecordDuration notes how long a step took.
+// RecordDuration records how long a step took.
 func (e *Estimator) RecordDuration(model string, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/core/coordination/cascade/cascade_test.go
+++ b/core/coordination/cascade/cascade_test.go
@@ -24,13 +24,13 @@
 		want      int
 	}{
 		{
-			name:      "nothing known",
+			name:      "no data",
 			setup:     func(*Estimator) {},
 			remaining: time.Minute,
 			want:      0,
 		},
 		{
-			name: "cheap answers are never good enough",
+			name: "answers of the small model are never accepted",
 			setup: func(e *Estimator) {
 				for range 100 {
 					e.RecordRating("a", 5, "small", false)
@@ -40,7 +40,7 @@
 			want:      1,
 		},
 		{
-			name: "only another organisation's are not",
+			name: "only another organisation's answers are never accepted",
 			setup: func(e *Estimator) {
 				for range 100 {
 					e.RecordRating("b", 5, "small", false)
@@ -50,7 +50,7 @@
 			want:      0,
 		},
 		{
-			name: "no time for two steps",
+			name: "too little time for two steps",
 			setup: func(e *Estimator) {
 				e.RecordDuration("small", 2*time.Second)
 				e.RecordDuration("large", 6*time.Second)
@@ -59,7 +59,7 @@
 			want:      1,
 		},
 		{
-			name: "time for two steps",
+			name: "enough time for two steps",
 			setup: func(e *Estimator) {
 				e.RecordDuration("small", 2*time.Second)
 				e.RecordDuration("large", 6*time.Second)
@@ -82,7 +82,7 @@
 			e := &Estimator{}
 			c.setup(e)
 			if got := e.FirstStep("a", 5, steps, c.remaining); got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+				t.Errorf("first step %d, want %d", got, c.want)
 			}
 		})
 	}
@@ -100,10 +100,10 @@
 		}
 	}
 	if retries != 10 {
-		t.Errorf("tried %d times in %d requests", retries, 10*raterRetryInterval)
+		t.Errorf("the rater was tried %d times in %d requests, want 10", retries, 10*raterRetryInterval)
 	}
 	e.RecordRating("a", 5, "small", true)
 	if e.FirstStep("a", 5, steps, time.Minute) != 0 {
-		t.Error("the rater is up again and not used")
+		t.Error("the rater is not used after it has recovered")
 	}
 }
--- a/core/coordination/cascade/confidence_stats.go
+++ b/core/coordination/cascade/confidence_stats.go
@@ -1,24 +1,25 @@
 package cascade
 
-// Of what is learned of a model's opinions.
+// Prior and weights of the low-confidence rate.
 const (
-	// priorLowConfidenceRate is taken of a model that has not answered yet.
+	// priorLowConfidenceRate is the rate assumed for a model without answers.
 	priorLowConfidenceRate = 0.5
-	// minAnswerWeight is that of one answer; of fewer answers than its inverse all weigh
-	// the same, the prior like priorAnswers of them. An entry sees one to three answers
-	// a second: the share is that of its last minute.
+	// minAnswerWeight is the least weight of one answer in the moving average. The first
+	// answers, up to the inverse of this weight, all have the same weight. An entry receives
+	// one to three answers per second, so the rate covers about its last minute.
 	minAnswerWeight = 0.01
-	priorAnswers    = 4
+	// priorAnswers is the number of answers as which the prior counts.
+	priorAnswers = 4
 )
 
-// ConfidenceStats keeps how often a model's opinion of its answers fell short of what
-// operators ask of it. It has no lock; the zero value knows nothing.
+// ConfidenceStats tracks how often a model's confidence in its answers was below the threshold
+// that operators set. It is not safe for concurrent use. The zero value has no answers.
 type ConfidenceStats struct {
-	answers           float64
-	lowConfidenceRate float64 // share of them
+	answers           float64 // number of answers, including priorAnswers
+	lowConfidenceRate float64 // moving average of the fraction of low-confidence answers
 }
 
-// Record adds an answer.
+// Record adds an answer to the statistics.
 func (s *ConfidenceStats) Record(lowConfidence bool) {
 	if s.answers == 0 {
 		s.answers, s.lowConfidenceRate = priorAnswers, priorLowConfidenceRate
@@ -31,7 +32,7 @@
 	s.lowConfidenceRate += max(minAnswerWeight, 1/s.answers) * (sample - s.lowConfidenceRate)
 }
 
-// LowConfidenceRate returns the share of answers that fell short.
+// LowConfidenceRate returns the fraction of answers with low confidence.
 func (s *ConfidenceStats) LowConfidenceRate() float64 {
 	if s.answers == 0 {
 		return priorLowConfidenceRate
--- a/core/coordination/cascade/escalation.go
+++ b/core/coordination/cascade/escalation.go
@@ -2,102 +2,108 @@
 
 import "time"
 
-// EscalationPolicy decides with which model of a route to begin and whether an answer
-// is good enough, from the model's own opinion in the head of its answer.
+// EscalationPolicy decides with which model of a route to start, and whether to escalate to
+// the largest model, from the confidence that a model reports in the head of its answer.
 type EscalationPolicy struct {
-	StartModel int   // index among the route's models, smallest first; past the end: the largest
-	Thresholds []int // by model: least confidence, 0 to 100, that an answer needs; none for the largest
+	StartModel int   // index of the first model, smallest first; an index past the end means the largest
+	Thresholds []int // minimum confidence of an answer, 0 to 100, by model; none for the largest
 }
 
-// Of the relief of the thresholds under load. Its measure is the part of the time
-// left that the request waits, and makes others wait: the queue before the larger
-// model begins, and the reading of this prompt as far as the upstreams are
-// crowded, since whoever is there stands meanwhile. Up to minReliefLoad the thresholds
-// hold in full; from there they fall to minThresholdFactor of themselves where it is all
-// of the time. With nobody there a long prompt is no load: counted whatever the crowd,
-// its reading would have the longest prompts answered in time and badly; not counted
-// at all, crowded upstreams would stand for seconds.
+// Limits by which load lowers the confidence thresholds. The load is the time for which the
+// request waits and delays others, as a fraction of the time left of the objective. It is the
+// time in the queue of the largest model plus the prefill time of the prompt. The prefill
+// counts in proportion to the slot utilization, because other requests at the upstream stall
+// during a prefill. Up to a load of minReliefLoad the thresholds apply in full. From there they
+// fall linearly, to minThresholdFactor of their value at a load of 1.
+//
+// The prefill of a long prompt on idle upstreams is no load. If it always counted in full, the
+// longest prompts would be answered in time but badly. If it never counted, crowded upstreams
+// would stall for seconds.
 const (
 	minReliefLoad      = 0.2
 	minThresholdFactor = 0.4
-	// fullSlotUtilization is the part of the slots taken from which a reading counts in full.
+	// fullSlotUtilization is the slot utilization from which a prefill counts in full.
 	fullSlotUtilization = 0.5
 )
 
-// maxLatePrefillFraction of the objective is the longest reading of a prompt whose answer would
-// be late: whoever is at the upstream stands for that time. It answers sites whose
-// largest model reads the longest prompts for twice the objective. What is late is what
-// begins past the time left.
+// maxLatePrefillFraction limits the prefill time of an escalation whose answer would begin after
+// the objective, as a fraction of the objective, because other requests at the upstream stall
+// during the prefill. The limit is for sites whose largest model takes twice the objective to
+// prefill the longest prompts.
 const maxLatePrefillFraction = 0.5
 
-// maxDeadlineFraction is the part of the time to the deadline in which the largest model's
-// answer must begin; what is left is for its events. An answer that is there and
-// doubtful is better than none.
+// maxDeadlineFraction is the fraction of the time to the deadline within which the largest
+// model's answer must begin. The rest of the time is for the events of the answer. A
+// low-confidence answer is better than none.
 const maxDeadlineFraction = 0.6
 
-// Of the retries that a window allows, a larger model is asked for a doubtful answer
-// with no fewer left than reservedRetryFraction: they are for failures. Of 74 entries one has about
-// 36 in its window, and up to 10 streams on upstreams that end together, as at the
-// completion of an upgrade.
+// Limits of escalation by the fraction of the retry budget that is left.
+//
+// Below reservedRetryFraction no answer is escalated, so that the rest of the budget is kept for
+// failures. With 74 entries, each has about 36 retries in its window, and up to 10 streams on
+// upstreams that end together, as at the completion of an upgrade.
 //
-// From scarceRetryFraction down to that the thresholds fall to nothing, so that the last
-// retries go to the answers that are doubted most.
+// From scarceRetryFraction down to reservedRetryFraction the thresholds fall to zero, so that
+// the last retries go to the answers with the lowest confidence.
 //
-// With ampleRetryFraction left a retry has no price: about that is left in calm where a
-// request brings 0.86 of a retry and two of five answers are doubted.
+// From ampleRetryFraction up a retry has no cost. About this fraction is left in normal
+// operation if each request adds 0.86 of a retry to the budget and two of five answers have low
+// confidence.
 const (
 	reservedRetryFraction = 0.25
 	scarceRetryFraction   = 0.4
 	ampleRetryFraction    = 0.5
 )
 
-// maxRetryCost is the part of the objective that a retry is worth, in reading time of
-// upstreams, where only those for failures are left.
+// maxRetryCost is the cost of a retry when only the reserved retries are left, as prefill time
+// in fractions of the objective.
 const maxRetryCost = 0.08
 
-// maxLowConfidenceRate bounds what is taken for doubted, so that long prompts go on asking the
-// smaller model, and it is seen when it answers better.
+// maxLowConfidenceRate caps the low-confidence rate, so that long prompts still start with the
+// smaller model, and an improvement of its confidence is observed.
 const maxLowConfidenceRate = 0.8
 
-// StartConditions is what is known before a request's first attempt.
+// StartConditions holds the inputs of [EscalationPolicy.FirstModel], before the first attempt of
+// a request.
 type StartConditions struct {
-	LowConfidenceRate float64       // part of the smaller model's answers that the larger one was to make
-	TimeToFirstToken  time.Duration // that the largest model takes to begin an answer now
-	PrefillTime       time.Duration // of that, to read this prompt; 0: not known
-	SlotUtilization   float64       // part of the upstreams' slots that are taken
-	Objective         time.Duration // in which the route's answers should begin
-	RetryBudgetLeft   float64       // part of those that a window allows that are left
+	LowConfidenceRate float64       // fraction of the smaller model's answers with low confidence
+	TimeToFirstToken  time.Duration // time in which the largest model would begin an answer now
+	PrefillTime       time.Duration // part of TimeToFirstToken that is the prefill of this prompt; 0 if unknown
+	SlotUtilization   float64       // fraction of the upstreams' slots in use
+	Objective         time.Duration // objective of the route for the time until an answer begins
+	RetryBudgetLeft   float64       // fraction of the window's retry budget that is left
 }
 
-// loadHeadroom is 1 where nobody waits for the largest model, 0 from where thresholds are
-// relieved for the load: a fleet short of upstreams has no reading to spare.
+// loadHeadroom returns 1 if no request waits for the largest model, and 0 from the load at which
+// the thresholds begin to fall, because an overloaded fleet has no prefill time to spare.
 func (c StartConditions) loadHeadroom() float64 {
 	return 1 - min(relativeLoad(c.TimeToFirstToken, c.PrefillTime, c.SlotUtilization, c.Objective)/minReliefLoad, 1)
 }
 
-// EscalationConditions is what is known when an answer's head has come.
+// EscalationConditions holds the inputs of [EscalationPolicy.Escalate], when the head of an
+// answer has arrived.
 type EscalationConditions struct {
-	Model            int           // index of the one that answers
-	Confidence       int           // 0 to 100, negative if not told
-	TimeToFirstToken time.Duration // that the largest model takes to begin an answer now
-	PrefillTime      time.Duration // of that, to read this prompt
-	SlotUtilization  float64       // part of the upstreams' slots that are taken
-	ObjectiveLeft    time.Duration // in which it should begin
-	Objective        time.Duration // that the route has for that
-	TimeToDeadline   time.Duration // to the deadline
-	RetryBudgetLeft  float64       // part of those that a window allows that are left
+	Model            int           // index of the model that answers
+	Confidence       int           // confidence of the answer, 0 to 100; negative if not reported
+	TimeToFirstToken time.Duration // time in which the largest model would begin an answer now
+	PrefillTime      time.Duration // part of TimeToFirstToken that is the prefill of this prompt
+	SlotUtilization  float64       // fraction of the upstreams' slots in use
+	ObjectiveLeft    time.Duration // time left of the objective; negative if it has passed
+	Objective        time.Duration // objective of the route for the time until an answer begins
+	TimeToDeadline   time.Duration // time left until the deadline of the request
+	RetryBudgetLeft  float64       // fraction of the window's retry budget that is left
 }
 
-// IsLowConfidence reports whether the model's answer falls short of what operators ask of
-// it, whatever the load.
+// IsLowConfidence reports whether the confidence is below the model's threshold, whatever the
+// load.
 func (p EscalationPolicy) IsLowConfidence(models []string, model, confidence int) bool {
 	return model < len(models)-1 && model < len(p.Thresholds) && confidence >= 0 && confidence < p.Thresholds[model]
 }
 
-// FirstModel returns the model to begin with: the smallest that operators allow, or the
-// largest where retries run short and it has room. Beginning small saves the largest
-// model's reading for the answers that are taken, and costs a retry for each that is
-// not; the reading that is saved is held against the retries.
+// FirstModel returns the index of the model to start with. This is StartModel, or the largest
+// model if the retry budget runs short and the largest model has headroom. Starting with a
+// smaller model saves the prefill of the largest model for each accepted answer, and costs a
+// retry for each low-confidence answer. FirstModel compares the two.
 func (p EscalationPolicy) FirstModel(models []string, conditions StartConditions) int {
 	last := len(models) - 1
 	first := max(min(p.StartModel, last), 0)
@@ -112,9 +118,9 @@
 	return first
 }
 
-// Escalate returns the model to ask in place of the one that answers, or false if
-// its answer is taken. It is the largest that is asked: a request that one model
-// finds hard is seldom easy for the next, and each step costs a prefill.
+// Escalate returns the index of the model to ask instead of the one that answered, or false if
+// the answer is accepted. It always escalates to the largest model, because a request that is
+// hard for one model is seldom easy for the next, and each step costs a prefill.
 func (p EscalationPolicy) Escalate(models []string, conditions EscalationConditions) (int, bool) {
 	last := len(models) - 1
 	if conditions.Model >= last || conditions.Confidence < 0 || conditions.Model >= len(p.Thresholds) || float64(conditions.TimeToFirstToken) > maxDeadlineFraction*float64(conditions.TimeToDeadline) {
@@ -129,20 +135,23 @@
 	return last, true
 }
 
-// retryThresholdFactor is the factor of the thresholds where retries run short.
+// retryThresholdFactor returns the factor, 0 to 1, by which a short retry budget lowers the
+// thresholds.
 func retryThresholdFactor(budgetLeft float64) float64 {
 	return min(max((budgetLeft-reservedRetryFraction)/(scarceRetryFraction-reservedRetryFraction), 0), 1)
 }
 
-// retryCost is the part of the objective that a retry is worth.
+// retryCost returns the cost of a retry as a fraction of the objective.
 func retryCost(budgetLeft float64) float64 {
 	return maxRetryCost * min(max((ampleRetryFraction-budgetLeft)/(ampleRetryFraction-reservedRetryFraction), 0), 1)
 }
 
-// meetsObjective reports whether the larger model is expected to begin in time.
+// meetsObjective reports whether the largest model is expected to begin its answer within the
+// time left of the objective.
 func (c EscalationConditions) meetsObjective() bool { return c.TimeToFirstToken <= c.ObjectiveLeft }
 
-// loadThresholdFactor is the factor of the thresholds.
+// loadThresholdFactor returns the factor, minThresholdFactor to 1, by which load lowers the
+// thresholds.
 func (c EscalationConditions) loadThresholdFactor() float64 {
 	if c.TimeToFirstToken <= 0 {
 		return 1
@@ -154,8 +163,8 @@
 	return 1 - (1-minThresholdFactor)*min(max((load-minReliefLoad)/(1-minReliefLoad), 0), 1)
 }
 
-// relativeLoad is the part of the time left that a request waits for the largest model, and
-// makes others wait.
+// relativeLoad returns the time for which a request waits for the largest model and delays
+// others, as a fraction of the time left of the objective.
 func relativeLoad(timeToFirstToken, prefillTime time.Duration, slotUtilization float64, objectiveLeft time.Duration) float64 {
 	queue := max(float64(timeToFirstToken-prefillTime)/float64(objectiveLeft), 0)
 	return queue + float64(prefillTime)/float64(objectiveLeft)*min(slotUtilization/fullSlotUtilization, 1)
--- a/core/coordination/cascade/escalation_test.go
+++ b/core/coordination/cascade/escalation_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A queue lowers what is asked of an answer, a long prompt as far as it makes
-// others wait; what would come late is not waited for.
+// A queue lowers the thresholds, and a long prompt lowers them as far as its prefill delays
+// other requests. An answer that would begin after the objective lowers them to the minimum.
 func TestLoadThresholdFactor(t *testing.T) {
 	tests := []struct {
 		name             string
@@ -17,20 +17,20 @@
 		objectiveLeft    time.Duration
 		want             float64
 	}{
-		{"nothing is known", 0, 0, 0, time.Second, 1},
+		{"no data", 0, 0, 0, time.Second, 1},
 		{"no queue", 100 * time.Millisecond, 0, 0, time.Second, 1},
-		{"a long prompt and nobody there", 800 * time.Millisecond, 800 * time.Millisecond, 0, time.Second, 1},
-		{"a long prompt and some there", 800 * time.Millisecond, 800 * time.Millisecond, 0.25, time.Second, 0.85},
-		{"a long prompt before a crowd", 600 * time.Millisecond, 600 * time.Millisecond, 0.5, time.Second, 0.7},
-		{"no more than in full", 600 * time.Millisecond, 600 * time.Millisecond, 1.5, time.Second, 0.7},
-		{"a queue up to the easy part", 200 * time.Millisecond, 0, 1, time.Second, 1},
-		{"a queue of half of the rest", 600 * time.Millisecond, 0, 0, time.Second, 0.7},
+		{"a long prompt on idle upstreams", 800 * time.Millisecond, 800 * time.Millisecond, 0, time.Second, 1},
+		{"a long prompt on upstreams in partial use", 800 * time.Millisecond, 800 * time.Millisecond, 0.25, time.Second, 0.85},
+		{"a long prompt on crowded upstreams", 600 * time.Millisecond, 600 * time.Millisecond, 0.5, time.Second, 0.7},
+		{"a prefill counts at most in full", 600 * time.Millisecond, 600 * time.Millisecond, 1.5, time.Second, 0.7},
+		{"a queue up to the minimum load", 200 * time.Millisecond, 0, 1, time.Second, 1},
+		{"a queue halfway above the minimum load", 600 * time.Millisecond, 0, 0, time.Second, 0.7},
 		{"a queue and a long prompt", 800 * time.Millisecond, 200 * time.Millisecond, 0, time.Second, 0.7},
-		{"a queue of all the time", time.Second, 0, 0, time.Second, minThresholdFactor},
+		{"a queue of all the time left", time.Second, 0, 0, time.Second, minThresholdFactor},
 		{"a long prompt that is just in time", time.Second, time.Second, 0, time.Second, 1},
-		{"a prompt too long to be in time", 1100 * time.Millisecond, 1100 * time.Millisecond, 0, time.Second, minThresholdFactor},
+		{"a long prompt that is too late", 1100 * time.Millisecond, 1100 * time.Millisecond, 0, time.Second, minThresholdFactor},
 		{"far too late", time.Minute, 0, 0, time.Second, minThresholdFactor},
-		{"late already", time.Second, 0, 0, -time.Second, minThresholdFactor},
+		{"the objective has passed", time.Second, 0, 0, -time.Second, minThresholdFactor},
 	}
 	for _, tt := range tests {
 		conditions := EscalationConditions{
@@ -40,13 +40,13 @@
 			ObjectiveLeft:    tt.objectiveLeft,
 		}
 		if got := conditions.loadThresholdFactor(); math.Abs(got-tt.want) > 0.01 {
-			t.Errorf("%s: relief is %.2f, want %.2f", tt.name, got, tt.want)
+			t.Errorf("%s: threshold factor is %.2f, want %.2f", tt.name, got, tt.want)
 		}
 	}
 }
 
-// What would come late is asked of the largest model only where it is read soon:
-// everybody at the upstream stands meanwhile.
+// A request whose answer would begin after the objective escalates only if its prefill is short,
+// because other requests at the upstream stall during the prefill.
 func TestNoEscalationForLongPrefillPastObjective(t *testing.T) {
 	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
@@ -60,11 +60,11 @@
 		objectiveLeft    time.Duration
 		want             bool
 	}{
-		{"long and in time", 2500 * time.Millisecond, 2500 * time.Millisecond, 2800 * time.Millisecond, true},
-		{"long and late", 5 * time.Second, 5 * time.Second, 2800 * time.Millisecond, false},
-		{"short behind a queue", 3 * time.Second, 100 * time.Millisecond, 2800 * time.Millisecond, true},
-		{"short and late already", 300 * time.Millisecond, 100 * time.Millisecond, -9 * time.Second, true},
-		{"long and late already", 2 * time.Second, 2 * time.Second, -9 * time.Second, false},
+		{"a long prefill in time", 2500 * time.Millisecond, 2500 * time.Millisecond, 2800 * time.Millisecond, true},
+		{"a long prefill too late", 5 * time.Second, 5 * time.Second, 2800 * time.Millisecond, false},
+		{"a short prefill behind a queue", 3 * time.Second, 100 * time.Millisecond, 2800 * time.Millisecond, true},
+		{"a short prefill after the objective", 300 * time.Millisecond, 100 * time.Millisecond, -9 * time.Second, true},
+		{"a long prefill after the objective", 2 * time.Second, 2 * time.Second, -9 * time.Second, false},
 	}
 	for _, tt := range tests {
 		_, got := c.Escalate(models, EscalationConditions{
@@ -77,12 +77,12 @@
 			RetryBudgetLeft:  1,
 		})
 		if got != tt.want {
-			t.Errorf("%s: asked %v", tt.name, got)
+			t.Errorf("%s: escalated %v", tt.name, got)
 		}
 	}
 }
 
-// What the largest model can't answer before the deadline is not asked of it.
+// A request does not escalate if the largest model can't answer it before the deadline.
 func TestNoEscalationPastDeadline(t *testing.T) {
 	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
@@ -94,7 +94,7 @@
 		want             bool
 	}{
 		{time.Second, 5 * time.Second, true},
-		{3 * time.Second, 20 * time.Second, true}, // late, and answered
+		{3 * time.Second, 20 * time.Second, true}, // after the objective, but well before the deadline
 		{3 * time.Second, 4 * time.Second, false},
 		{0, -time.Second, false},
 	}
@@ -106,12 +106,12 @@
 			TimeToDeadline:   tt.timeToDeadline,
 			RetryBudgetLeft:  1,
 		}); got != tt.want {
-			t.Errorf("asked in %v, %v before the end: %v", tt.timeToFirstToken, tt.timeToDeadline, got)
+			t.Errorf("time to first token %v, %v before the deadline: escalated %v", tt.timeToFirstToken, tt.timeToDeadline, got)
 		}
 	}
 }
 
-// What a route or an answer does not tell leads to the answer that is there.
+// Without models, thresholds or a reported confidence there is no escalation.
 func TestEscalationPolicyEdgeCases(t *testing.T) {
 	models := []string{"small", "middle", "large"}
 	tests := []struct {
@@ -152,7 +152,7 @@
 			firstModel: 2,
 		},
 		{
-			name: "no opinion",
+			name: "no confidence reported",
 			policy: EscalationPolicy{
 				Thresholds: []int{55, 55},
 			},
@@ -164,7 +164,7 @@
 			},
 		},
 		{
-			name: "no objective, no token counts, nothing known",
+			name: "no objective and no estimates",
 			policy: EscalationPolicy{
 				Thresholds: []int{55, 55},
 			},
@@ -178,16 +178,16 @@
 	}
 	for _, tt := range tests {
 		if got := tt.policy.FirstModel(tt.models, StartConditions{}); got != tt.firstModel {
-			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.firstModel)
+			t.Errorf("%s: first model %d, want %d", tt.name, got, tt.firstModel)
 		}
 		if _, got := tt.policy.Escalate(tt.models, tt.conditions); got != tt.want {
-			t.Errorf("%s: asked %v", tt.name, got)
+			t.Errorf("%s: escalated %v", tt.name, got)
 		}
 	}
 }
 
-// The last retries go to the answers that are doubted most, and those for failures
-// stay.
+// The last retries above the reserve go to the answers with the lowest confidence. The reserved
+// retries are kept for failures.
 func TestEscalationReservesRetries(t *testing.T) {
 	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
@@ -216,13 +216,13 @@
 			TimeToDeadline:  time.Minute,
 			RetryBudgetLeft: tt.retryBudgetLeft,
 		}); got != tt.want {
-			t.Errorf("an opinion of %d with %.2f of the retries left: asked %v", tt.confidence, tt.retryBudgetLeft, got)
+			t.Errorf("confidence %d with %.2f of the retry budget left: escalated %v", tt.confidence, tt.retryBudgetLeft, got)
 		}
 	}
 }
 
-// The largest model is begun with where retries run short, its reading is short and
-// nobody waits for it.
+// A request starts with the largest model if the retry budget runs short, its prefill is short
+// and no other request waits for that model.
 func TestFirstModel(t *testing.T) {
 	c := EscalationPolicy{
 		Thresholds: []int{55, 55},
@@ -236,13 +236,13 @@
 		want       int
 	}{
 		{
-			name: "nothing is known",
+			name: "no data",
 			conditions: StartConditions{
 				LowConfidenceRate: 0.6,
 			},
 		},
 		{
-			name: "all retries are left",
+			name: "the whole retry budget is left",
 			conditions: StartConditions{
 				LowConfidenceRate: 0.6,
 				PrefillTime:       time.Millisecond,
@@ -286,7 +286,7 @@
 			},
 		},
 		{
-			name: "few retries and a model that is seldom doubted",
+			name: "few retries and a model that seldom has low confidence",
 			conditions: StartConditions{
 				LowConfidenceRate: 0.05,
 				PrefillTime:       50 * time.Millisecond,
@@ -298,7 +298,7 @@
 	for _, tt := range tests {
 		tt.conditions.Objective = objective
 		if got := c.FirstModel(models, tt.conditions); got != tt.want {
-			t.Errorf("%s: begins with %d, want %d", tt.name, got, tt.want)
+			t.Errorf("%s: first model %d, want %d", tt.name, got, tt.want)
 		}
 	}
 	singleModel := StartConditions{
@@ -307,25 +307,25 @@
 		Objective:         objective,
 	}
 	if got := c.FirstModel(models[:1], singleModel); got != 0 {
-		t.Errorf("one model: begins with %d", got)
+		t.Errorf("one model: first model %d, want 0", got)
 	}
 }
 
-// A model that was never heard is taken to be doubted half the time, and one answer
-// does not change that for good.
+// A model without answers is assumed to have low confidence half of the time. A single answer
+// changes the rate only a little, and many answers outweigh it.
 func TestConfidenceStats(t *testing.T) {
 	stats := &ConfidenceStats{}
 	if got := stats.LowConfidenceRate(); got != priorLowConfidenceRate {
-		t.Errorf("an unknown model is doubted in %.2f", got)
+		t.Errorf("low-confidence rate without answers is %.2f, want the prior", got)
 	}
 	stats.Record(true)
 	if got := stats.LowConfidenceRate(); got < 0.5 || got > 0.65 {
-		t.Errorf("after one doubt %.2f", got)
+		t.Errorf("low-confidence rate after one low-confidence answer is %.2f, want 0.5 to 0.65", got)
 	}
 	for range 1000 {
 		stats.Record(false)
 	}
 	if got := stats.LowConfidenceRate(); got > 0.01 {
-		t.Errorf("after a thousand good answers %.2f", got)
+		t.Errorf("low-confidence rate after a thousand confident answers is %.2f, want at most 0.01", got)
 	}
 }
