--- a/core/coordination/upgrade/stages.go
+++ b/core/coordination/upgrade/stages.go
@@ -1,6 +1,6 @@
-// Package upgrade decides on moving a service from one version of its software
-// to another, from what all entries saw of both. It has no I/O; the leader of
-// the controllers asks it.
+// Package upgrade decides how a service moves from one version of its software to another, from
+// the canary statistics of all entries for both versions. It has no I/O; the leader of the
+// controllers calls it.
 package upgrade
 
 import (
@@ -11,16 +11,16 @@
 	"persimmoncross/core/state/register"
 )
 
-// AnswerStats is what was seen of one version on one route.
+// AnswerStats counts the answers of one version on one route.
 type AnswerStats struct {
 	Answers             uint64
 	Failed              uint64
-	TimedAnswers        uint64  // answers whose time says something of the version
-	TotalSeconds        float64 // seconds of those together
-	TotalSquaredSeconds float64 // of those seconds, squared, together
+	TimedAnswers        uint64  // answers whose time depends on the version
+	TotalSeconds        float64 // sum of the times of the timed answers, in seconds
+	TotalSquaredSeconds float64 // sum of the squares of those times
 }
 
-// add adds another count.
+// add adds the counts of other.
 func (s *AnswerStats) add(other AnswerStats) {
 	s.Answers += other.Answers
 	s.Failed += other.Failed
@@ -29,98 +29,108 @@
 	s.TotalSquaredSeconds += other.TotalSquaredSeconds
 }
 
-// meanSeconds returns the meanSeconds time and the square of its error.
+// meanSeconds returns the mean time of the timed answers in seconds, and the square of its
+// standard error.
 func (s AnswerStats) meanSeconds() (mean, squaredError float64) {
 	n := float64(s.TimedAnswers)
 	mean = s.TotalSeconds / n
 	return mean, max(s.TotalSquaredSeconds/n-mean*mean, 0) / n
 }
 
-// Evidence is the evidence of all entries on one upgrade, by route.
+// Evidence holds the statistics of all entries for both versions of one upgrade, by route.
 type Evidence struct {
 	New map[string]AnswerStats
 	Old map[string]AnswerStats
 }
 
-// The marks of a version that fails: so many failures, a share of the runs so far
-// above the old version's, and so many times it.
+// Thresholds of the failure criterion. A version fails if it has at least minFailures failures,
+// and its failure rate is at least minFailureRateIncrease above the old version's and at least
+// minFailureRateRatio times as high.
 const (
 	minFailures            = 4
 	minFailureRateIncrease = 0.12
 	minFailureRateRatio    = 2.5
 )
 
-// Of the doubt at the end of a trial: a route with few requests may have too few
-// failures for a mark, as 2 in 6 answers of one that fails half of them.
+// Thresholds of the criterion for small samples at the end of a trial and of the shift. A route
+// with few requests may have too few failures for the failure criterion, for example 2 in 6
+// answers of a version that fails half of them.
 const (
-	minSmallSampleFailures      = 2
-	maxFalsePositiveProbability = 0.01 // that a good version shows as many
+	minSmallSampleFailures = 2
+	// maxFalsePositiveProbability limits the probability that a good version has as many
+	// failures.
+	maxFalsePositiveProbability = 0.01
 )
 
-// The marks of a version that is slow: in a trial its upstreams have a small part
-// of the load, so that a good version is quicker than the old one: 0.45 times its
-// time between events, as measured, and one that is eight times slower is 1.8 to
-// 2.2 times as slow.
+// Thresholds of the slowness criterion. During a trial the upstreams of the new version have a
+// small part of the load, so that a good version is faster than the old one. Measured times
+// between events were 0.45 times the old version's for a good version, and 1.8 to 2.2 times for
+// a version that is eight times slower.
 const (
 	minTimedAnswers   = 8
 	minCanarySlowdown = 1.25
-	// minShiftSlowdown is the factor after the shift, when the new version has the load
-	// that the old one had before, and for all routes of a service together, whose
+	// minShiftSlowdown is the factor after the shift, when the new version has the load that
+	// the old one had before. It is also the factor for all routes of a service together, whose
 	// mix may differ a little between the versions.
 	minShiftSlowdown = 2.5
-	// minCanaryStandardErrors is how many times its error the difference must be: the times of
-	// plain answers differ much among themselves, and it is asked five times a
-	// second. Where half of the answers are slow the error is large too, so that
-	// for the greater factor less is asked.
+	// minCanaryStandardErrors is the minimum difference of the means in standard errors. It is
+	// high because the times of normal answers vary much, and the criterion is checked five
+	// times per second. If half of the answers are slow the standard error is large too, so
+	// that minShiftStandardErrors, which goes with the larger factor, is lower.
 	minCanaryStandardErrors = 3.5
 	minShiftStandardErrors  = 2.0
 )
 
-// Of the exposure allowed. The trial takes canaryExposureFraction of it, and the rest is for
-// the requests between the shift and the end of the time allowed. Where the time
-// is short the trial takes less, but never under minCanaryShare of all requests:
-// without any nothing would be learnt.
+// Limits of the canary share. The trial uses canaryExposureFraction of the exposure limit, and
+// the rest is for the requests between the shift and the end of the upgrade's duration. If the
+// duration is short the trial uses less, but at least minCanaryShare of all requests, because
+// without any there would be no evidence.
 const (
 	canaryExposureFraction = 0.5
 	minCanaryShare         = 0.02
 )
 
-// Of the times at which the stages change.
+// Limits and durations that determine when the stages change.
 const (
-	// targetExposureFraction is the part of the exposure allowed that is used by a version that
-	// shows no mark to the end: one that is bad only under a load that a trial
-	// does not make must not get more either.
+	// targetExposureFraction is the fraction of the exposure limit that is used by a version
+	// that meets no criterion until the end. The rest is kept back because a version that fails
+	// only under more load than a trial produces must stay within the limit too.
 	targetExposureFraction = 0.8
-	maxExposureFraction    = 0.95 // where the time is short
-	// completionMargin is left between the completion and the end of the time
-	// allowed, for the operator to see it. shiftTime is the least time before it in which the old version's
-	// answers go on.
+	maxExposureFraction    = 0.95 // limits the planned exposure, with the shift, if the duration is short
+	// completionMargin is the time between the completion and the end of the upgrade's
+	// duration, in which the operator can observe the completion.
 	completionMargin = 650 * time.Millisecond
+	// minShiftDuration is the minimum time between the shift and the completion, in which the
+	// old version's answers continue.
 	minShiftDuration = 400 * time.Millisecond
-	// extraRequestsFraction of the requests allowed beside the share are for a longer shift, up to
-	// earlyMost: a service with few requests shows in a trial of a small part too few
-	// answers to tell, and in a second of all of them as many as the whole trial.
+	// extraRequestsFraction is the fraction of the extra requests of the exposure limit that is
+	// used to start the shift earlier, by up to maxShiftAdvance. The small share of a trial
+	// gives too few answers for a decision on a service with few requests, while one second
+	// with all requests gives as many as the whole trial.
 	extraRequestsFraction = 0.8
 	maxShiftAdvance       = 1500 * time.Millisecond
-	// prepareDuration is the time in which every entry's account of its sessions has
-	// come to the leader: two steps of half a second, and some.
+	// prepareDuration is the time in which the sessions reported by all entries have reached
+	// the leader. It allows two intervals of half a second and a margin.
 	prepareDuration = 1500 * time.Millisecond
 )
 
-// CanaryShare returns the part of a service's sessions that a trial takes.
+// CanaryShare returns the fraction of a service's sessions that a trial sends to the new
+// version, for an upgrade of the given duration and exposure share.
 func CanaryShare(duration time.Duration, share float64) float64 {
 	shiftShare := float64(completionMargin+minShiftDuration) / float64(max(duration, time.Second))
 	return max(min(canaryExposureFraction*share, maxExposureFraction*share-shiftShare), minCanaryShare)
 }
 
-// ExposureLimit is what a version that is not proved may get of its service's requests.
+// ExposureLimit limits the requests of a service that a new version may get before its upgrade
+// is completed.
 type ExposureLimit struct {
-	Share         float64
-	ExtraRequests float64 // requests beside that
+	Share         float64 // fraction of the service's requests during the upgrade
+	ExtraRequests float64 // number of requests allowed in addition to Share
 }
 
-// shiftStart returns when all requests go to the new version, of a service with so many
-// a second: so late that the whole exposure stays within what is allowed.
+// shiftStart returns the time since the start of the upgrade at which all requests go to the
+// new version. It is late enough for the total exposure of a service with the given request
+// rate to stay within the limit.
 func (l ExposureLimit) shiftStart(duration time.Duration, requestsPerSecond float64) time.Duration {
 	startFraction := (1 - targetExposureFraction*l.Share) / (1 - CanaryShare(duration, l.Share))
 	start := min(time.Duration(startFraction*float64(duration)), duration-completionMargin-minShiftDuration)
@@ -130,7 +140,9 @@
 	return start
 }
 
-// NextStage returns the stage that the upgrade should be in, and why.
+// NextStage returns the stage that the upgrade should be in, and the reason if the stage
+// changes. elapsed is the time since the start of the upgrade, and ready reports whether the new
+// version has the upstreams that it needs.
 func NextStage(u register.Upgrade, elapsed time.Duration, limit ExposureLimit, evidence Evidence, ready bool) (register.Stage, string) {
 	if u.Stage.Ended() {
 		return u.Stage, ""
@@ -174,7 +186,8 @@
 	return sum
 }
 
-// withdrawalReason returns why the version is withdrawalReason, "" if the evidence does not say so.
+// withdrawalReason returns why the new version must be withdrawn, or "" if it meets neither the
+// failure nor the slowness criterion.
 func withdrawalReason(evidence Evidence, inCanary bool) string {
 	newTotal, oldTotal := AnswerStats{}, AnswerStats{}
 	for route, c := range evidence.New {
@@ -204,16 +217,16 @@
 	return fmt.Sprintf("%d of %d answers failed, of the old version's %d of %d", newStats.Failed, newStats.Answers, oldStats.Failed, oldStats.Answers)
 }
 
-// smallSampleFailureReason returns why a version that shows no mark at the end of its trial is not
-// to get all requests, "" if it may: on a route with few answers some failed, and
-// hardly any of the old version's.
+// smallSampleFailureReason returns why a version must be withdrawn although it does not meet the
+// failure criterion, or "" if it need not be. This applies if some of a route's few answers
+// failed, and hardly any of the old version's.
 func smallSampleFailureReason(evidence Evidence) string {
 	for route, newStats := range evidence.New {
 		oldStats := evidence.Old[route]
 		if newStats.Failed < minSmallSampleFailures || newStats.Failed >= minFailures {
 			continue
 		}
-		// One more failure than was seen, so that a route without any has a share.
+		// One more failure than observed, so that the rate is above zero on a route without any.
 		oldRate := float64(oldStats.Failed+1) / float64(oldStats.Answers+2)
 		if binomialTail(newStats.Failed, newStats.Answers, oldRate) < maxFalsePositiveProbability {
 			return fmt.Sprintf("%d of only %d answers failed, of the old version's %d of %d on route %s", newStats.Failed, newStats.Answers, oldStats.Failed, oldStats.Answers, route)
@@ -222,10 +235,10 @@
 	return ""
 }
 
-// binomialTail returns the chance of so many failures or more in the runs, where each
-// fails with the share.
+// binomialTail returns the probability of at least failed failures in answers independent
+// answers, each of which fails with probability failureRate.
 func binomialTail(failed, answers uint64, failureRate float64) float64 {
-	fewer := 0.0 // chance of fewer
+	fewer := 0.0 // probability of fewer failures
 	term := math.Pow(1-failureRate, float64(answers))
 	for k := uint64(0); k < failed; k++ {
 		fewer += term
--- a/core/coordination/upgrade/stages_test.go
+++ b/core/coordination/upgrade/stages_test.go
@@ -10,7 +10,7 @@
 	"persimmoncross/core/state/register"
 )
 
-// timedAnswers returns a count of answers that took the seconds, give or take spread.
+// timedAnswers returns statistics of n answers that took mean seconds plus or minus spread.
 func timedAnswers(n int, mean, spread float64) upgrade.AnswerStats {
 	c := upgrade.AnswerStats{
 		Answers:      uint64(n),
@@ -24,7 +24,8 @@
 	return c
 }
 
-// evidenceWithSmallRoute is the evidence on one route with evidenceWithSmallRoute answers, and on another with many.
+// evidenceWithSmallRoute returns evidence with one route that has the given few answers, and
+// another route that has many.
 func evidenceWithSmallRoute(failed, answers, oldFailed, oldAnswers uint64) upgrade.Evidence {
 	return upgrade.Evidence{
 		New: map[string]upgrade.AnswerStats{
@@ -59,7 +60,7 @@
 		New: onRoute(timedAnswers(60, 0.025, 0.01)),
 		Old: onRoute(timedAnswers(600, 0.055, 0.04)),
 	}
-	// 0.15 of 20 s: all requests go to the new version after 19 s.
+	// With a share of 0.15 and a duration of 20 s all requests go to the new version after 19 s.
 	tests := []struct {
 		name     string
 		stage    register.Stage
@@ -69,76 +70,76 @@
 		want     register.Stage
 	}{
 		{
-			name:    "sessions are collected",
+			name:    "prepare lasts until the sessions are collected",
 			stage:   register.Prepare,
 			elapsed: time.Second,
 			want:    register.Prepare,
 		},
 		{
-			name:    "then the trial begins",
+			name:    "the trial begins after prepare",
 			stage:   register.Prepare,
 			elapsed: 1600 * time.Millisecond,
 			want:    register.Trial,
 		},
 		{
-			name:     "a trial goes on",
+			name:     "the trial continues",
 			stage:    register.Trial,
 			elapsed:  5 * time.Second,
 			evidence: good,
 			want:     register.Trial,
 		},
 		{
-			name:     "until the exposure that is left is enough",
+			name:     "the trial continues until the remaining exposure allows the shift",
 			stage:    register.Trial,
 			elapsed:  18 * time.Second,
 			evidence: good,
 			want:     register.Trial,
 		},
 		{
-			// As it was seen once: the version failed 0.45 of the route's answers.
-			name:     "but not where two of a route's few answers failed",
+			// The counts are from a version that failed 0.45 of the route's answers.
+			name:     "two failures among a route's few answers at the trial's end",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: evidenceWithSmallRoute(2, 6, 0, 179),
 			want:     register.Withdrawn,
 		},
 		{
-			name:     "which is no mark before the trial's end",
+			name:     "two failures among a route's few answers before the trial's end",
 			stage:    register.Trial,
 			elapsed:  18 * time.Second,
 			evidence: evidenceWithSmallRoute(2, 6, 0, 179),
 			want:     register.Trial,
 		},
 		{
-			name:     "nor where the old version's fail as well",
+			name:     "two failures on a route where the old version fails as well",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: evidenceWithSmallRoute(2, 6, 12, 179),
 			want:     register.Shift,
 		},
 		{
-			name:     "nor is one",
+			name:     "one failure among a route's few answers",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: evidenceWithSmallRoute(1, 3, 0, 179),
 			want:     register.Shift,
 		},
 		{
-			name:     "nor are two where nothing is known of the old version",
+			name:     "two failures on a route without answers of the old version",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: evidenceWithSmallRoute(2, 6, 0, 0),
 			want:     register.Shift,
 		},
 		{
-			name:     "then all requests go",
+			name:     "the shift after a good trial",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: good,
 			want:     register.Shift,
 		},
 		{
-			name:     "not before there are upstreams",
+			name:     "no shift before the new version has upstreams",
 			stage:    register.Trial,
 			elapsed:  19100 * time.Millisecond,
 			evidence: good,
@@ -146,27 +147,27 @@
 			want:     register.Trial,
 		},
 		{
-			name:    "without traffic too",
+			name:    "the shift without traffic",
 			stage:   register.Trial,
 			elapsed: 19100 * time.Millisecond,
 			want:    register.Shift,
 		},
 		{
-			name:     "too late to begin",
+			name:     "no upstreams until the time is over",
 			stage:    register.Trial,
 			elapsed:  21 * time.Second,
 			notReady: true,
 			want:     register.Withdrawn,
 		},
 		{
-			name:     "the old version's answers go on",
+			name:     "the shift lasts while the old version's answers continue",
 			stage:    register.Shift,
 			elapsed:  19200 * time.Millisecond,
 			evidence: good,
 			want:     register.Shift,
 		},
 		{
-			name:     "completed before the time is over",
+			name:     "completion before the time is over",
 			stage:    register.Shift,
 			elapsed:  19400 * time.Millisecond,
 			evidence: good,
@@ -233,7 +234,7 @@
 			want: register.Withdrawn,
 		},
 		{
-			name:    "slow for a half of the requests",
+			name:    "slow for half of the requests",
 			stage:   register.Trial,
 			elapsed: 12 * time.Second,
 			evidence: upgrade.Evidence{
@@ -243,7 +244,7 @@
 			want: register.Withdrawn,
 		},
 		{
-			name:    "times that differ much among themselves",
+			name:    "times that vary much",
 			stage:   register.Trial,
 			elapsed: 5 * time.Second,
 			evidence: upgrade.Evidence{
@@ -269,7 +270,7 @@
 			want: register.Withdrawn,
 		},
 		{
-			name:    "found slow after the shift",
+			name:    "much slower after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
 			evidence: upgrade.Evidence{
@@ -279,8 +280,8 @@
 			want: register.Withdrawn,
 		},
 		{
-			// The new version has all the load then.
-			name:    "slower after the shift",
+			// After the shift the new version has all the load.
+			name:    "somewhat slower after the shift",
 			stage:   register.Shift,
 			elapsed: 19 * time.Second,
 			evidence: upgrade.Evidence{
@@ -290,14 +291,14 @@
 			want: register.Shift,
 		},
 		{
-			name:     "withdrawn stays",
+			name:     "a withdrawn upgrade stays withdrawn",
 			stage:    register.Withdrawn,
 			elapsed:  18 * time.Second,
 			evidence: good,
 			want:     register.Withdrawn,
 		},
 		{
-			name:    "completed stays",
+			name:    "a completed upgrade stays completed",
 			stage:   register.Completed,
 			elapsed: 19 * time.Second,
 			evidence: upgrade.Evidence{
@@ -323,8 +324,8 @@
 	}
 }
 
-// A version that shows no mark gets no more than the share allowed, whatever the
-// share and the time.
+// A version that meets no criterion gets at most the allowed share of the requests, whatever the
+// share and the duration are.
 func TestExposureStaysWithinLimit(t *testing.T) {
 	for _, share := range []float64{0.05, 0.0975, 0.15, 0.3} {
 		for _, duration := range []time.Duration{12 * time.Second, 24 * time.Second, 2 * time.Minute} {
@@ -348,28 +349,28 @@
 			if u.Stage != register.Completed {
 				t.Errorf("share %g of %v: not completed in time: %s", share, duration, u.Stage)
 			}
-			// The least trial and the completion in time need some.
+			// The minimum canary share and the completion in time need some exposure.
 			if maxExposed := max(share, 0.02+1.06/duration.Seconds()); exposed > maxExposed {
-				t.Errorf("share %g of %v: exposed to %.3f", share, duration, exposed)
+				t.Errorf("share %g of %v: exposure is %.3f", share, duration, exposed)
 			}
 		}
 	}
 }
 
-// A service with few requests: in a trial of a small part of them too few answers tell
-// a version that fails half of its answers on one route from a good one. As it was seen:
-// 14 answers spoke for it, and after the completion 337 requests went to it. With the
-// requests that are allowed beside the share the shift is longer, and shows it.
+// For a service with few requests, the small share of a trial gives too few answers to
+// distinguish a version that fails half of the answers on one route from a good one. One such
+// version was completed after 14 good answers and then got 337 requests. The extra requests of
+// the exposure limit make the shift longer, so that the failures are found.
 func TestDecisionsWithFewRequests(t *testing.T) {
 	type route struct {
-		requestsPerSecond, failureRate float64 // a second; of the old version's answers
+		requestsPerSecond, failureRate float64 // failureRate is of the old version's answers
 	}
 	routes := []route{{12.1, 0.004}, {5.27, 0.14}}
 	const (
 		share, simulations = 0.15, 400
 		duration           = 12 * time.Second
 		step               = 200 * time.Millisecond
-		reportDelay        = 500 * time.Millisecond // from an answer to the leader
+		reportDelay        = 500 * time.Millisecond // time until an answer is reported to the leader
 	)
 	simulate := func(random *rand.Rand, extraRequests float64, badRates []float64) (completed bool, exposed int, allowed float64) {
 		u := register.Upgrade{
@@ -418,20 +419,20 @@
 				}
 			}
 		}
-		remainingRequests := float64(requests) / 12 * 0.65 // until the end of the time
+		remainingRequests := float64(requests) / 12 * 0.65 // expected until the end of the duration
 		return u.Stage == register.Completed, exposed, share*(float64(requests)+remainingRequests) + extraRequests
 	}
 	for _, tt := range []struct {
 		name             string
 		extraRequests    float64
 		badRates         []float64
-		maxWrongOutcomes int // plays that end otherwise than they should
+		maxWrongOutcomes int // simulations with the wrong outcome
 	}{
 		{"good", 30, []float64{0, 0}, simulations / 20},
-		{"half of all answers fail, and no slack", 0, []float64{0.5, 0.5}, simulations / 5},
+		{"half of all answers fail, and no extra requests", 0, []float64{0.5, 0.5}, simulations / 5},
 		{"half of all answers fail", 30, []float64{0.5, 0.5}, 1},
 		{"half of one route's answers fail", 30, []float64{0.5, 0}, 4},
-		{"half of the other's", 30, []float64{0, 0.5}, simulations / 4},
+		{"half of the other route's answers fail", 30, []float64{0, 0.5}, simulations / 4},
 	} {
 		random := rand.New(rand.NewPCG(7, 7))
 		wrongOutcomes, overexposed := 0, 0
@@ -444,12 +445,12 @@
 				overexposed++
 			}
 		}
-		t.Logf("%s: %d of %d end otherwise, %d over the exposure", tt.name, wrongOutcomes, simulations, overexposed)
+		t.Logf("%s: wrong outcome in %d of %d simulations, exposure limit exceeded in %d", tt.name, wrongOutcomes, simulations, overexposed)
 		if wrongOutcomes > tt.maxWrongOutcomes {
-			t.Errorf("%s: %d of %d plays end otherwise than they should, at most %d", tt.name, wrongOutcomes, simulations, tt.maxWrongOutcomes)
+			t.Errorf("%s: wrong outcome in %d of %d simulations, want at most %d", tt.name, wrongOutcomes, simulations, tt.maxWrongOutcomes)
 		}
 		if overexposed > 0 {
-			t.Errorf("%s: %d plays over the exposure allowed", tt.name, overexposed)
+			t.Errorf("%s: exposure limit exceeded in %d simulations", tt.name, overexposed)
 		}
 	}
 }
