--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -43,7 +43,7 @@
 	ID                persimmoncross.MemberID
 	VM                string
 	HeartbeatInterval time.Duration // interval between a leader's heartbeats
-	ElectionTimeout   time.Duration // minimum time without a leader's message before an election; the maximum is twice that
+	ElectionTimeout   time.Duration // minimum time without a leader before an election; the maximum is twice that
 	LeaseDuration     time.Duration // validity of a lease from the time of its confirmed probe
 	Random            *rand.Rand
 	BroadcastCommits  bool // send each new commit index to the followers at once, not with the next append or heartbeat
@@ -64,7 +64,7 @@
 	incomingSnapshot *incomingSnapshot
 	votes            map[persimmoncross.MemberID]bool
 	followers        map[persimmoncross.MemberID]*progress
-	followerOrder    []persimmoncross.MemberID // keys of followers in a fixed order, so that equal events give equal actions
+	followerOrder    []persimmoncross.MemberID // keys of followers in fixed order, for deterministic actions
 
 	now               time.Time
 	startTime         time.Time
--- a/core/coordination/consensus/error.go
+++ b/core/coordination/consensus/error.go
@@ -8,7 +8,7 @@
 // The kinds of error.
 const (
 	NotLeader     ErrorKind = iota + 1 // another member leads, or none does
-	ChangePending                      // an earlier change, or the first entry of the leader's term, is not committed yet
+	ChangePending                      // an earlier change, or the leader's first entry, is not committed yet
 	InvalidChange                      // the change does not fit the voters, or would lose the quorum
 	NotCaughtUp                        // the member lacks too much of the log to become a voter
 )
--- a/core/coordination/consensus/lease.go
+++ b/core/coordination/consensus/lease.go
@@ -60,7 +60,7 @@
 	pending     time.Duration // 0 if none
 	receivedAt  time.Time     // when the pending probe arrived
 	confirmed   time.Duration // 0 if none
-	commitIndex uint64        // when confirmed was confirmed
+	commitIndex uint64        // commit index at the confirmation of confirmed
 }
 
 func (p *leaseProbe) record(value time.Duration, now time.Time) {
