--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -22,9 +22,11 @@
 const (
 	maxQueuedEvents         = 4096
 	maxEventsPerRound       = 1024
-	maxEntriesSinceSnapshot = 8192    // applied entries after which a snapshot is written
-	retainedEntries         = 2048    // entries before the snapshot that are kept for slow followers
-	maxBytesSinceSnapshot   = 8 << 20 // bytes of applied commands after which a snapshot is written; bounds the log in memory and on disk
+	maxEntriesSinceSnapshot = 8192 // applied entries after which a snapshot is written
+	retainedEntries         = 2048 // entries before the snapshot that are kept for slow followers
+	// maxBytesSinceSnapshot is the number of bytes of applied commands after which a snapshot
+	// is written. It bounds the log in memory and on disk.
+	maxBytesSinceSnapshot = 8 << 20
 )
 
 // diskRetryInterval is the delay after a failed write before the next try.
@@ -41,7 +43,7 @@
 	Config             persimmoncross.Config
 	LeaseExpiry        time.Time
 	LeaseRequiredIndex uint64 // index that must be applied for the lease to be valid
-	DiskError          string // error of a write that is being retried, during which nothing is acknowledged; "" if the last write succeeded
+	DiskError          string // why nothing is acknowledged: the error of a write that is retried, or ""
 }
 
 // HasLease reports whether new work may be accepted at time now. It requires a lease, confirmed
