--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -42,7 +42,7 @@
 type Candidate struct {
 	ID                string        // identifies the upstream's instance; the same at all entries
 	Slots             int           // number of requests that the upstream serves concurrently
-	HashWeight        float64       // number of entries on whose behalf this entry sends prompts with a prefix key there; 0 means 1
+	HashWeight        float64       // number of entries for which this one sends prompts with a prefix key; 0 means 1
 	SlotUtilization   float64       // fraction of the slots in use, as estimated by this entry
 	InflightRequests  float64       // requests in flight at the upstream, as estimated for all entries
 	TimeToFirstToken  time.Duration // recent time until the upstream begins an answer
