--- a/core/coordination/cascade/escalation.go
+++ b/core/coordination/cascade/escalation.go
@@ -39,8 +39,8 @@
 
 // Limits of escalation by the fraction of the retry budget that is left.
 //
-// Below reservedRetryFraction no answer is escalated, so that the rest of the budget is kept for
-// failures. With 74 entries, each has about 36 retries in its window, and up to 10 streams on
+// At or below reservedRetryFraction no answer is escalated, so that the rest of the budget is
+// kept for failures. With 74 entries, each has about 36 retries in its window, and up to 10 streams on
 // upstreams that end together, as at the completion of an upgrade.
 //
 // From scarceRetryFraction down to reservedRetryFraction the thresholds fall to zero, so that
