--- a/core/coordination/retry/budget.go
+++ b/core/coordination/retry/budget.go
@@ -1,34 +1,34 @@
-// Package retry bounds retries as a share of the traffic, so that a failing
-// pool is not asked again by all at once.
+// Package retry limits retries to a share of the requests, so that they don't overload a
+// failing pool of upstreams, and computes Retry-After delays for refused callers.
 package retry
 
 import "time"
 
-// buckets is the number of parts in which a window moves on.
+// buckets is the number of buckets into which the window of a [Budget] is divided.
 const buckets = 20
 
-// Budget bounds the retries in any span of its length by what the requests in it
-// bring. What a calm span has left is there at once for the many requests that one lost
-// upstream cuts, where a bucket would hold a few. It has no lock and no clock; the caller guards it.
+// Budget is a retry budget: it limits the retries in a sliding window by the credit that the
+// requests in the window earn. Unused credit of the whole window is available at once for
+// the many requests that the loss of one upstream cuts off; a token bucket would hold only a
+// few. Budget has no clock and is not safe for concurrent use.
 type Budget struct {
-	Window        time.Duration // of the span
-	BaseAllowance float64       // retries allowed beside what the requests bring
-	MinAllowance  float64       // retries allowed at least, however few requests came
+	Window        time.Duration
+	BaseAllowance float64 // retries allowed in addition to the earned credit
+	MinAllowance  float64 // retries allowed at least, even without requests
 
-	bucketStart time.Time // of the newest slice
+	bucketStart time.Time // of the current bucket
 	earned      [buckets]float64
 	used        [buckets]int
-	current     int
+	current     int // index of the newest bucket
 }
 
-// RecordRequest counts a request, which brings a share of a retry.
+// RecordRequest records a request, which earns credit for that many retries.
 func (b *Budget) RecordRequest(credit float64, now time.Time) {
 	b.advance(now)
 	b.earned[b.current] += credit
 }
 
-// TryRetry counts a retry, and reports whether it may be made; one that may not is
-// not counted.
+// TryRetry reports whether a retry is allowed, and counts it if so.
 func (b *Budget) TryRetry(now time.Time) bool {
 	if b.Remaining(now) < 1 {
 		return false
@@ -37,14 +37,14 @@
 	return true
 }
 
-// Remaining returns how many retries are left now.
+// Remaining returns the number of retries left in the window that ends now.
 func (b *Budget) Remaining(now time.Time) float64 {
 	b.advance(now)
 	_, used := b.totals()
 	return b.Limit(now) - float64(used)
 }
 
-// Limit returns how many retries the span up to now may hold.
+// Limit returns the number of retries allowed in the window that ends now.
 func (b *Budget) Limit(now time.Time) float64 {
 	b.advance(now)
 	earned, _ := b.totals()
@@ -59,8 +59,8 @@
 	return earned, used
 }
 
-// advance forgets what is older than the span. The oldest slice goes as a whole, so
-// that the span is never longer than its length.
+// advance drops the buckets that are older than the window. The oldest bucket is dropped as
+// a whole, so that the buckets never cover more than the window.
 func (b *Budget) advance(now time.Time) {
 	bucketLength := max(b.Window/buckets, 1)
 	if b.bucketStart.IsZero() {
@@ -76,6 +76,6 @@
 		b.used[b.current] = 0
 	}
 	if now.Sub(b.bucketStart) >= bucketLength {
-		b.bucketStart = now // nothing came for longer than the span
+		b.bucketStart = now // idle for longer than the window
 	}
 }
--- a/core/coordination/retry/budget_test.go
+++ b/core/coordination/retry/budget_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// What a calm span has left is there at once when an upstream is lost, and no
-// span of the window's length holds more than its share.
+// The unused credit of a window without retries is available at once when an upstream is
+// lost, and no window contains more retries than its limit.
 func TestBudgetAllowsBurst(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := &Budget{
@@ -29,15 +29,15 @@
 		t.Errorf("%d retries after 200 requests, want 155", allowed)
 	}
 	if b.TryRetry(now.Add(time.Second)) {
-		t.Error("a second later there is one more")
+		t.Error("a retry is allowed a second after the budget was used up")
 	}
 	if now = now.Add(30 * time.Second); !b.TryRetry(now) || b.Remaining(now) != 4 {
-		t.Errorf("after a pause %.0f are left of the spare ones, want 4", b.Remaining(now))
+		t.Errorf("after an idle period and one retry %.0f retries remain, want 4", b.Remaining(now))
 	}
 }
 
-// However requests and retries come, the retries of any span stay within what
-// the requests of that span and of the slice before it allow.
+// For any sequence of requests and retries, the retries in a window stay within the limit
+// that follows from its requests and those of the preceding bucket.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -68,16 +68,16 @@
 			return n
 		}
 		for _, end := range retries {
-			// The slices together cover between 19 and 20 of their length.
+			// The buckets together cover between 19 and 20 times the length of one bucket.
 			retryCount, requestCount := countWithin(retries, end, b.Window-b.Window/buckets), countWithin(requests, end, b.Window)
 			if retryCount > max(share*requestCount+b.BaseAllowance, b.MinAllowance)+1e-9 {
-				t.Fatalf("%.0f retries beside %.0f requests up to %v", retryCount, requestCount, end)
+				t.Fatalf("%.0f retries with %.0f requests in the window that ends at %v", retryCount, requestCount, end)
 			}
 		}
 	})
 }
 
-// A clock that jumps back neither frees retries nor blocks them for good.
+// A clock that jumps back neither allows more retries nor blocks retries permanently.
 func TestBudgetWithClockJump(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := &Budget{
@@ -85,9 +85,9 @@
 		BaseAllowance: 2,
 	}
 	if !b.TryRetry(now) || !b.TryRetry(now.Add(-time.Hour)) || b.TryRetry(now.Add(-time.Minute)) {
-		t.Error("a jump back frees retries")
+		t.Error("wrong number of retries allowed after the clock jumped back, want 2")
 	}
 	if !b.TryRetry(now.Add(2 * time.Second)) {
-		t.Error("after the jump none is left for good")
+		t.Error("retries are still blocked when the window has passed after the clock jump")
 	}
 }
--- a/core/coordination/retry/retryafter.go
+++ b/core/coordination/retry/retryafter.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Of the time after which a refused caller should come back.
+// Limits and parameters of the Retry-After delay.
 const (
-	// minRetryAfter is well over a round trip; nothing that ends by itself, such as a
-	// start or a full queue, ends sooner.
+	// minRetryAfter is the minimum delay, before and after jitter. It is well over a round
+	// trip, and a temporary cause, such as a start or a full queue, takes at least as long.
 	minRetryAfter = 200 * time.Millisecond
-	// unknownOutageDelay is added where nothing tells how long a trouble takes: callers refused
-	// in the first moment of an outage would come back into it (bench return).
+	// unknownOutageDelay is added if the duration of an outage is not known. Otherwise callers
+	// refused at the start of an outage would return while it lasts (bench return).
 	unknownOutageDelay = 600 * time.Millisecond
-	// maxRetryAfter bounds what a long trouble makes of it: its end is no nearer known.
+	// maxRetryAfter limits the delay before jitter. The age of a long outage says no more
+	// about when it ends.
 	maxRetryAfter = 4 * time.Second
-	// jitterFraction of the time is what callers are spread over: those that were
-	// refused in one moment would come back in one moment, and most of them would be
-	// refused again.
+	// jitterFraction is the maximum jitter as a fraction of the delay. Without jitter, callers
+	// that were refused at the same time would return at the same time, and most of them
+	// would be refused again.
 	jitterFraction = 0.5
-	// deadlineFraction of the time that a caller has left is the most that it waits: one that
-	// is sent away for longer gives up, and a third try is seldom left to it.
+	// deadlineFraction limits the delay to this fraction of the time until the caller's
+	// deadline. Callers give up on a longer delay, and there is seldom time for a third try.
 	deadlineFraction = 1.0 / 3
 )
 
-// RetryAfter is what is known when a caller is refused for a trouble that ends.
+// RetryAfter holds the inputs of the Retry-After delay for a caller that is refused for a
+// temporary cause.
 type RetryAfter struct {
-	ExpectedWait   time.Duration // until there is room; 0: not known
-	OutageAge      time.Duration // how long the trouble has lasted
-	UntilDeadline  time.Duration // that the caller has; 0: not told
-	Priority       int           // of the request, 0 is the most urgent
-	PriorityLevels int           // that there are
+	ExpectedWait   time.Duration // until capacity is free; 0: not known
+	OutageAge      time.Duration // how long the outage has lasted
+	UntilDeadline  time.Duration // of the caller; 0: no deadline known
+	Priority       int           // of the request; 0 is the most urgent
+	PriorityLevels int           // number of priorities
 }
 
-// Delay returns when the caller should come back. chance is in [0, 1). A trouble
-// of which nothing else is known is expected to last as long again as it has
-// lasted (bench return). Where it is known when there is room, the more urgent come first; where
-// it is not, the first to come back are no better off, and the order is by chance.
+// Delay returns the time after which the caller should return. random is in [0, 1). An
+// outage of unknown duration is expected to last as long again as it has lasted (bench
+// return). If ExpectedWait is known, more urgent requests return earlier; otherwise the
+// order is random, because an early return is no advantage.
 func (r RetryAfter) Delay(random float64) time.Duration {
 	base, position := r.ExpectedWait, r.jitterPosition(random)
 	if base <= 0 {
@@ -47,8 +49,8 @@
 	return max(delay, minRetryAfter)
 }
 
-// jitterPosition returns where in the spread the caller comes, 0 to 1: the more urgent its
-// request, the sooner.
+// jitterPosition returns the position of the caller in the jitter interval, from 0 to 1. The
+// more urgent its request, the lower the position.
 func (r RetryAfter) jitterPosition(random float64) float64 {
 	levels := max(r.PriorityLevels, 1)
 	return (float64(min(max(r.Priority, 0), levels-1)) + random) / float64(levels)
