--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -1,10 +1,10 @@
-// Package slowstart decides which entries send how much to upstreams that are cold: a
-// cold upstream bears few requests a second from all entries together, and ends above
-// that. It has no I/O and no clock.
+// Package slowstart decides which entries send to cold upstreams, and at which interval. A
+// cold upstream can handle only a few requests per second from all entries together, and
+// crashes if it receives more. The package has no I/O and no clock.
 //
-// No entry can ask another before each request. So each cold upstream has some owners
-// among the entries, each of which sends at a pace of its own; the others send nothing.
-// However the owners' requests fall together, they stay within the bound.
+// Entries can't coordinate on each request. So some entries are the owners of each cold
+// upstream and send to it at a limited interval; the others send nothing. The limit holds
+// however the requests of the owners coincide.
 package slowstart
 
 import (
@@ -16,55 +16,58 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ColdLimit is what a cold upstream bears.
+// ColdLimit limits the requests of all entries together to a cold upstream.
 type ColdLimit struct {
-	Rate         float64       // requests a second, on average
-	MaxPerSecond float64       // arrivals in any second, from all entries
-	Duration     time.Duration // from a start
+	Rate         float64       // average requests per second
+	MaxPerSecond float64       // maximum arrivals in any second
+	Duration     time.Duration // how long the upstream is cold after its start
 }
 
-// arrivalWindow is the second in which arrivals are counted, and what delays on the way may
-// bring together.
+// arrivalWindow is the second in which arrivals are counted, plus the variation of the
+// transmission delay, which can move more arrivals into that second.
 const arrivalWindow = 1100 * time.Millisecond
 
-// Allocate returns how many of the entries are owners, and the pause that each of them
-// keeps between two requests. In a window each owner sends one request more than pauses
-// fit into it, so many owners leave little room for each; few can't use what it bears.
+// Allocate returns the number of owners among the entries, and the interval between two
+// requests of each owner. In a window each owner can send one request more than intervals
+// fit into it, so the arrivals at the average rate and one request per owner together have
+// to fit into MaxPerSecond. More owners would leave a lower rate to each of them; fewer
+// owners could not use the whole limit.
 func (l ColdLimit) Allocate(entries int) (owners int, interval time.Duration) {
 	rate := max(l.Rate, 0.1)
 	owners = min(entries, int(l.MaxPerSecond-rate*arrivalWindow.Seconds()))
 	if owners < 1 {
-		// Even one owner at the full rate may go over the bound.
+		// Even a single owner at the full rate can exceed MaxPerSecond.
 		owners = min(entries, 1)
 		rate = max(l.MaxPerSecond-1, 0.1) / arrivalWindow.Seconds()
 	}
 	return owners, time.Duration(float64(owners) / rate * float64(time.Second))
 }
 
-// ColdUpstream is one life of an upstream that is cold.
+// ColdUpstream is the slow-start state of a cold instance of an upstream.
 type ColdUpstream struct {
 	ColdUntil time.Time
-	Owners    []string // entries
-	Interval  time.Duration
-	// Weight is for how many entries each owner sends: prompts that have their home
-	// there come to it from the owners alone.
+	Owners    []string      // names of the entries that may send requests
+	Interval  time.Duration // between two requests of an owner
+	// Weight is the number of entries for which each owner sends, because requests whose
+	// preferred upstream this is reach it from the owners only.
 	Weight float64
 }
 
-// ColdObservation is a life that is cold as far as the list, or the end of an evacuation, tells.
+// ColdObservation is an observation, from the list of upstreams or the end of an evacuation,
+// that an instance is cold.
 type ColdObservation struct {
 	InstanceID string
 	ColdUntil  time.Time
 	Limit      ColdLimit
 }
 
-// untilTolerance is by how much two words on when an upstream is warm may differ without news.
+// untilTolerance is the difference in ColdUntil up to which an observation is no change.
 const untilTolerance = 300 * time.Millisecond
 
-// Update returns the lives that are cold now, by those that were and what is seen, and how
-// many of them are new. Owners are given once, to lives that became cold since this
-// leader alone tells of them: those of before may have other owners, whom the leader
-// before told of it.
+// Update returns the instances that are cold now, from the previous ones and the
+// observations, and the number of instances that were assigned owners. Owners are assigned
+// once, and only to instances that became cold after this leader became the only one to
+// assign owners. Earlier instances may have other owners, which the previous leader assigned.
 func Update(previous map[string]ColdUpstream, observed []ColdObservation, entries []string, soleSince, now time.Time) (next map[string]ColdUpstream, added int) {
 	next = map[string]ColdUpstream{}
 	for instanceID, c := range previous {
@@ -91,8 +94,8 @@
 	return next, len(newLimits)
 }
 
-// assignOwners gives owners to the lives that have none yet, so that the entries own about as
-// many each.
+// assignOwners assigns owners to the instances in newLimits, so that each entry owns about
+// the same number of instances.
 func assignOwners(upstreams map[string]ColdUpstream, newLimits map[string]ColdLimit, entries []string) {
 	ownedCount := map[string]int{}
 	for _, c := range upstreams {
@@ -118,23 +121,25 @@
 	}
 }
 
-// Pacer is what one entry knows of one life. The zero value is of a warm one.
+// Pacer limits the requests of one entry to one instance. The zero value is that of a warm
+// instance, and does not limit.
 type Pacer struct {
 	coldUntil time.Time
-	interval  time.Duration // 0: this entry is no owner
+	interval  time.Duration // 0 if this entry is not an owner
 	weight    float64
 	nextSend  time.Time
 }
 
-// SetCold takes that the life is cold until then. The pause that this entry keeps between
-// requests is 0 if it is no owner.
+// SetCold sets the slow-start state of the instance. c.Interval is 0 if this entry is not an
+// owner.
 func (p *Pacer) SetCold(c ColdUpstream) {
 	p.coldUntil = c.ColdUntil
 	p.interval = c.Interval
 	p.weight = c.Weight
 }
 
-// Weight returns for how many entries this one sends to the life, which it may.
+// Weight returns the number of entries for which this entry, as an owner, sends to the
+// instance; 1 if the instance is warm.
 func (p *Pacer) Weight(now time.Time) float64 {
 	if !now.Before(p.coldUntil) {
 		return 1
@@ -147,7 +152,7 @@
 	return !now.Before(p.coldUntil) || p.interval > 0 && !now.Before(p.nextSend)
 }
 
-// TryAcquire reports the same, and notes that a request is sent if so.
+// TryAcquire reports whether a request may be sent now, and records it as sent if so.
 func (p *Pacer) TryAcquire(now time.Time) bool {
 	if !p.CanSend(now) {
 		return false
@@ -156,7 +161,7 @@
 	return true
 }
 
-// NextSendTime returns when a request may be sent.
+// NextSendTime returns the earliest time at which a request may be sent.
 func (p *Pacer) NextSendTime() time.Time {
 	if p.interval > 0 && p.nextSend.Before(p.coldUntil) {
 		return p.nextSend
--- a/core/coordination/slowstart/slowstart_test.go
+++ b/core/coordination/slowstart/slowstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxArrivalsPerSecond returns the most arrivals in any second.
+// maxArrivalsPerSecond returns the highest number of arrivals in any second.
 func maxArrivalsPerSecond(arrivals []time.Duration) int {
 	slices.Sort(arrivals)
 	highest, first := 0, 0
@@ -21,9 +21,9 @@
 	return highest
 }
 
-// Fleets of many sizes press against a cold upstream as hard as they can, each request
-// up to 100 ms under way. The bound on arrivals in any second is kept, and the upstream
-// gets about what it bears.
+// Fleets of various sizes send to a cold upstream whenever they may, with delays of up to
+// 100 ms. The arrivals in any second stay within MaxPerSecond, and the upstream receives
+// most of what its limit allows.
 func TestArrivalsWithinLimit(t *testing.T) {
 	for _, entries := range []int{1, 2, 3, 5, 8, 9, 20, 68, 380} {
 		for _, limit := range []ColdLimit{
@@ -60,14 +60,15 @@
 				t.Errorf("%d entries, %+v: %d arrivals in a second", entries, limit, arrivalsPerSecond)
 			}
 			if got := float64(len(arrivals)) / duration.Seconds(); got < 0.6*min(limit.Rate, limit.MaxPerSecond/2) {
-				t.Errorf("%d entries, %+v: only %.1f a second", entries, limit, got)
+				t.Errorf("%d entries, %+v: only %.1f requests per second", entries, limit, got)
 			}
 		}
 	}
 }
 
-// A data centre's upstreams are cold at once: all entries own about as many, so that
-// each can send some of its requests there; and an entry that owns none sends nothing.
+// If all upstreams of a data centre are cold at once, each entry owns about the same number
+// of them, so that it can send some of its requests there. An entry that is not an owner
+// sends nothing.
 func TestOwnersAreBalanced(t *testing.T) {
 	for _, entries := range []int{8, 68, 380} {
 		var names []string
@@ -98,17 +99,18 @@
 	now := time.Unix(1000, 0)
 	for range 2 {
 		if !p.TryAcquire(now) {
-			t.Error("a warm one is held back")
+			t.Error("requests to a warm instance are limited")
 		}
 	}
 	p.SetCold(ColdUpstream{ColdUntil: now.Add(time.Second)})
 	if p.TryAcquire(now.Add(time.Second-1)) || !p.TryAcquire(now.Add(time.Second)) {
-		t.Error("an entry that owns nothing sends, or not when it is over")
+		t.Error("an entry that is not an owner may send to a cold instance, or may not when it is warm")
 	}
 }
 
-// Over a change of the leader owners stay with what is cold, and nobody gets what may
-// have owners that this leader knows nothing of. What is cold a second time has new ones.
+// Cold instances keep their owners when the leader changes, and instances that may have
+// owners which this leader has no record of get none. An instance that is cold for a second
+// time gets new owners.
 func TestOwnersAreAssignedOnce(t *testing.T) {
 	soleSince := time.Unix(1000, 0)
 	limit := ColdLimit{Rate: 8, MaxPerSecond: 17, Duration: 3 * time.Second}
@@ -130,22 +132,22 @@
 	}
 	next, added := Update(previous, []ColdObservation{observe("known", -time.Second), observe("before", -time.Millisecond), observe("new", 500*time.Millisecond)}, entries, soleSince, now)
 	if added != 1 || !slices.Equal(next["known"].Owners, []string{"x"}) || len(next["before"].Owners) != 0 || len(next["new"].Owners) != 3 {
-		t.Errorf("%d fresh: %+v", added, next)
+		t.Errorf("%d instances added, want 1: %+v", added, next)
 	}
 	again, added := Update(next, []ColdObservation{observe("new", 600*time.Millisecond)}, entries, soleSince, now.Add(100*time.Millisecond))
 	if added != 0 || !again["new"].ColdUntil.Equal(next["new"].ColdUntil) {
-		t.Errorf("another word on the same: %+v", again["new"])
+		t.Errorf("after an observation within the tolerance: %+v, want no change", again["new"])
 	}
 	longer, added := Update(next, []ColdObservation{observe("new", 2*time.Second)}, entries, soleSince, now.Add(time.Second))
 	if added != 0 || !longer["new"].ColdUntil.After(next["new"].ColdUntil) || len(longer["new"].Owners) != 3 {
-		t.Errorf("cold for longer: %+v", longer["new"])
+		t.Errorf("cold for longer: %+v, want a later time and the same owners", longer["new"])
 	}
 	later := soleSince.Add(time.Minute)
 	second, added := Update(next, []ColdObservation{observe("known", time.Minute)}, entries, soleSince, later)
 	if added != 1 || len(second) != 1 || len(second["known"].Owners) != 3 {
-		t.Errorf("cold a second time: %+v", second)
+		t.Errorf("cold for a second time: %+v, want new owners", second)
 	}
 	if none, _ := Update(nil, []ColdObservation{observe("new", 500*time.Millisecond)}, nil, soleSince, now); len(none["new"].Owners) != 0 || none["new"].ColdUntil.IsZero() {
-		t.Errorf("no entry is known: %+v", none)
+		t.Errorf("without entries: %+v, want a cold instance without owners", none)
 	}
 }
