--- a/core/coordination/outlier/breaker.go
+++ b/core/coordination/outlier/breaker.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// The breaker's rules.
+// Parameters of the circuit breaker.
 const (
-	failureThreshold = 5 // failures in a row
+	failureThreshold = 5 // consecutive failures that open the breaker
 	initialOpenTime  = time.Second
 	maxOpenTime      = 30 * time.Second
-	errorRateWeight  = 0.1 // of one attempt, in the share of failures
+	errorRateWeight  = 0.1 // weight of one attempt in the moving average
 )
 
-// Breaker keeps work from an upstream that fails every attempt. After a pause it
-// lets one attempt through; a failure doubles the pause. The zero value lets all
-// through.
+// Breaker is a circuit breaker for an upstream that fails every attempt. After the open time
+// it allows one attempt as a probe; each failure doubles the open time. The zero value is
+// closed.
 type Breaker struct {
 	consecutiveFailures int
 	openTime            time.Duration
 	openUntil           time.Time
 	probing             bool
-	errorRate           float64 // recent share of failures
+	errorRate           float64 // moving average, 0 to 1
 }
 
 // Allows reports whether an attempt may start.
@@ -26,10 +26,11 @@
 	return b.openTime == 0 || !b.probing && !now.Before(b.openUntil)
 }
 
-// StartAttempt notes that an attempt starts: with an open breaker it is the probe.
+// StartAttempt records the start of an attempt. If the breaker is open, the attempt is the
+// probe.
 func (b *Breaker) StartAttempt() { b.probing = b.probing || b.openTime > 0 }
 
-// RecordOutcome takes an attempt's outcome.
+// RecordOutcome records the outcome of an attempt.
 func (b *Breaker) RecordOutcome(failed bool, now time.Time) {
 	b.probing = false
 	if !failed {
@@ -47,11 +48,11 @@
 	b.openUntil = now.Add(b.openTime)
 }
 
-// AbandonProbe ends a probe that gave no verdict, such as one that its caller left.
+// AbandonProbe ends a probe without an outcome, such as one that the caller cancelled.
 func (b *Breaker) AbandonProbe() { b.probing = false }
 
 // ErrorRate returns the recent share of failed attempts.
 func (b *Breaker) ErrorRate() float64 { return b.errorRate }
 
-// IsOpen reports whether the breaker keeps work away.
+// IsOpen reports whether the breaker is open or waits for the outcome of a probe.
 func (b *Breaker) IsOpen() bool { return b.openTime > 0 }
--- a/core/coordination/outlier/breaker_test.go
+++ b/core/coordination/outlier/breaker_test.go
@@ -16,35 +16,35 @@
 		fail()
 	}
 	if !b.Allows(now) {
-		t.Fatal("open too early")
+		t.Fatal("breaker opened before the failure threshold")
 	}
 	fail()
 	openTime := initialOpenTime
 	for range 8 {
 		if b.Allows(now) {
-			t.Fatalf("allows work within its pause of %v", openTime)
+			t.Fatalf("breaker allows attempts within its open time of %v", openTime)
 		}
 		now = now.Add(openTime)
 		if !b.Allows(now) {
-			t.Fatalf("allows no probe after %v", openTime)
+			t.Fatalf("breaker allows no probe after %v", openTime)
 		}
 		b.StartAttempt()
 		if b.Allows(now) {
-			t.Fatal("allows a second probe")
+			t.Fatal("breaker allows a second probe")
 		}
 		b.RecordOutcome(true, now)
 		openTime = min(2*openTime, maxOpenTime)
 	}
-	// A probe that its caller left gives no verdict: another may be sent.
+	// After a probe that was abandoned without an outcome, another one is allowed.
 	now = now.Add(openTime)
 	b.StartAttempt()
 	b.AbandonProbe()
 	if !b.Allows(now) {
-		t.Error("allows no probe after one without a verdict")
+		t.Error("breaker allows no probe after an abandoned one")
 	}
 	b.StartAttempt()
 	b.RecordOutcome(false, now)
 	if !b.Allows(now) || b.IsOpen() {
-		t.Error("stays open after a good probe")
+		t.Error("breaker stays open after a successful probe")
 	}
 }
--- a/core/coordination/outlier/idle.go
+++ b/core/coordination/outlier/idle.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Of the time after which an upstream that sends nothing to anybody is taken for
-// silent. One that still sends is only busy: its queue is not left, to be joined
-// again elsewhere at the end.
+// Parameters of the idle timeout of an upstream that sends nothing to this entry at all. An
+// upstream that still sends events is only busy: leaving its queue would mean to join another
+// queue at its end.
 const (
-	headerWaitFactor        = 4.0 // times the head's expected time
-	headerObjectiveFraction = 0.4 // of the route's objective at least
-	// minHeaderTimeout is used where a route has a short objective or none: several round
-	// trips between regions and the work of a plain answer.
+	headerWaitFactor        = 4.0 // factor of the expected wait for the response head
+	headerObjectiveFraction = 0.4 // minimum, as a fraction of the route's objective
+	// minHeaderTimeout is the minimum timeout, for routes with a short objective or none. It
+	// covers several round trips between regions and the processing of a simple request.
 	minHeaderTimeout = 200 * time.Millisecond
-	// pauseLimitFraction of a route's longest pause: what is left of it is for the stream to
-	// go on elsewhere, which takes the reading of its prompt. It answers upstreams that
-	// crash without a reset, and ones that turn slow.
+	// pauseLimitFraction is the fraction of the route's pause limit after which a stream is
+	// ended, because upstreams may crash without a reset or become slow. The rest of the
+	// limit is for another upstream, which has to prefill the prompt to continue the stream.
 	pauseLimitFraction = 0.6
-	// recentPauseFactor is how many times the longest pause of a stream lately: beside a
-	// long prompt an upstream sends every 0.45 s, and in a burst every 0.6 s.
+	// recentPauseFactor is the factor of the longest recent pause. While an upstream prefills
+	// a long prompt it sends events every 0.45 s, and in a burst every 0.6 s.
 	recentPauseFactor = 2.0
-	// minActiveStreams is the number of streams here from which an upstream's silence says as
-	// much of a request that it has not begun as of them.
+	// minActiveStreams is the number of active streams of this entry from which their timeout
+	// also applies to a request that has no response head yet.
 	minActiveStreams = 2
-	// prefillFactor is how many times the reading that is awaited at an upstream: one
-	// that reads a long prompt sends nothing to anybody, for seconds, and must not be
-	// left by all its streams.
+	// prefillFactor is the factor of the pending prefill time. An upstream that prefills a
+	// long prompt sends nothing at all for seconds, and its streams must not be ended for
+	// that.
 	prefillFactor = 2
-	// pauseHalfLife is the time in which the longest pause lately counts by half.
+	// pauseHalfLife is the age at which a recorded pause counts by half.
 	pauseHalfLife = time.Second
 )
 
-// IdleState tells how long an upstream may send nothing.
+// IdleState holds the inputs of the idle timeout of an attempt.
 type IdleState struct {
-	ExpectedHeaderWait time.Duration // in which a head that is awaited should come; 0: not known
+	ExpectedHeaderWait time.Duration // expected wait for the response head; 0: not known
 	Objective          time.Duration // of the route
-	PauseLimit         time.Duration // the route's longest between events; 0: not told
-	HeaderReceived     bool          // the head has come
-	ActiveStreams      int           // of this entry that have begun at the upstream
-	RecentPause        time.Duration // their longest pause lately
-	PendingPrefill     time.Duration // that the prompts take which are awaited at the upstream
-	SuspectedByOthers  bool          // other entries doubt the upstream
+	PauseLimit         time.Duration // the route's longest pause between events; 0: no limit
+	HeaderReceived     bool          // the response head has been received
+	ActiveStreams      int           // streams of this entry that have started at the upstream
+	RecentPause        time.Duration // longest recent pause of those streams
+	PendingPrefill     time.Duration // prefill time of the prompts that wait at the upstream
+	SuspectedByOthers  bool          // other entries suspect the upstream
 }
 
-// Timeout returns the time of silence after which the attempt is ended; false if
-// nothing limits it.
+// Timeout returns the time after which an attempt at an upstream that sends nothing is ended,
+// and false if there is no limit.
 func (s IdleState) Timeout() (time.Duration, bool) {
 	streamTimeout := max(time.Duration(pauseLimitFraction*float64(s.PauseLimit)), time.Duration(recentPauseFactor*float64(s.RecentPause)))
 	if s.SuspectedByOthers {
@@ -59,13 +59,14 @@
 	return max(headerTimeout, minHeaderTimeout, prefillFactor*s.PendingPrefill), true
 }
 
-// PauseTracker keeps the longest pause between events of an upstream's streams lately.
+// PauseTracker tracks the longest recent pause between events of an upstream's streams. A
+// pause decays hyperbolically with its age (see pauseHalfLife).
 type PauseTracker struct {
 	longest    time.Duration
 	recordedAt time.Time
 }
 
-// Record notes a pause that ended now.
+// Record records a pause that ended now.
 func (p *PauseTracker) Record(pause time.Duration, now time.Time) {
 	if pause >= p.Longest(now) {
 		p.longest = pause
@@ -73,7 +74,7 @@
 	}
 }
 
-// Longest returns the longest pause lately.
+// Longest returns the longest recent pause, reduced by its age.
 func (p *PauseTracker) Longest(now time.Time) time.Duration {
 	age := max(now.Sub(p.recordedAt), 0)
 	if age > 20*pauseHalfLife {
--- a/core/coordination/outlier/idle_test.go
+++ b/core/coordination/outlier/idle_test.go
@@ -14,7 +14,7 @@
 		ok      bool
 	}{
 		{
-			name: "a head of which nothing is known",
+			name: "response head without an expected wait",
 			state: IdleState{
 				Objective: objective,
 			},
@@ -22,7 +22,7 @@
 			ok:      true,
 		},
 		{
-			name: "a head that takes long by itself",
+			name: "response head with a long expected wait",
 			state: IdleState{
 				ExpectedHeaderWait: time.Second,
 				Objective:          objective,
@@ -31,7 +31,7 @@
 			ok:      true,
 		},
 		{
-			name: "a head at an upstream whose streams should be heard",
+			name: "response head at an upstream with several active streams",
 			state: IdleState{
 				ExpectedHeaderWait: time.Second,
 				Objective:          objective,
@@ -42,7 +42,7 @@
 			ok:      true,
 		},
 		{
-			name: "one stream alone says nothing of a head",
+			name: "response head at an upstream with a single active stream",
 			state: IdleState{
 				Objective:     objective,
 				PauseLimit:    pauseLimit,
@@ -52,7 +52,7 @@
 			ok:      true,
 		},
 		{
-			name: "a stream",
+			name: "started stream",
 			state: IdleState{
 				PauseLimit:     pauseLimit,
 				HeaderReceived: true,
@@ -61,7 +61,7 @@
 			ok:      true,
 		},
 		{
-			name: "a stream beside a long prompt",
+			name: "stream during the prefill of a long prompt",
 			state: IdleState{
 				PauseLimit:     pauseLimit,
 				HeaderReceived: true,
@@ -71,7 +71,7 @@
 			ok:      true,
 		},
 		{
-			name: "a head behind a long prompt",
+			name: "response head with pending prefill",
 			state: IdleState{
 				Objective:      objective,
 				PendingPrefill: 2 * time.Second,
@@ -80,7 +80,7 @@
 			ok:      true,
 		},
 		{
-			name: "a stream whose upstream reads a long prompt",
+			name: "stream with pending prefill",
 			state: IdleState{
 				PauseLimit:     pauseLimit,
 				HeaderReceived: true,
@@ -90,7 +90,7 @@
 			ok:      true,
 		},
 		{
-			name: "a stream whose upstream others doubt",
+			name: "stream at an upstream that other entries suspect",
 			state: IdleState{
 				PauseLimit:        pauseLimit,
 				HeaderReceived:    true,
@@ -100,12 +100,12 @@
 			ok:      true,
 		},
 		{
-			name:    "a head of a route without an objective",
+			name:    "response head on a route without an objective",
 			timeout: 200 * time.Millisecond,
 			ok:      true,
 		},
 		{
-			name: "a stream of a route without a longest pause",
+			name: "stream on a route without a pause limit",
 			state: IdleState{
 				Objective:      objective,
 				HeaderReceived: true,
@@ -120,24 +120,24 @@
 	}
 }
 
-// A long pause is remembered for seconds, and a longer one replaces it.
+// A long pause counts for seconds, with decreasing weight, and a longer one replaces it.
 func TestPauseTracker(t *testing.T) {
 	now := time.Unix(100, 0)
 	p := &PauseTracker{}
 	if got := p.Longest(now); got != 0 {
-		t.Errorf("of no stream the longest pause is %v", got)
+		t.Errorf("longest pause %v without a recorded pause", got)
 	}
 	p.Record(400*time.Millisecond, now)
 	p.Record(80*time.Millisecond, now.Add(time.Second))
 	if got := p.Longest(now.Add(time.Second)); got != 200*time.Millisecond {
-		t.Errorf("after a second it is %v, want half", got)
+		t.Errorf("after a second the longest pause is %v, want half", got)
 	}
 	p.Record(250*time.Millisecond, now.Add(time.Second))
 	if got := p.Longest(now.Add(time.Second)); got != 250*time.Millisecond {
-		t.Errorf("a longer one gives %v", got)
+		t.Errorf("after a longer pause the longest pause is %v, want 250ms", got)
 	}
 	if got := p.Longest(now.Add(time.Minute)); got != 0 {
-		t.Errorf("after a minute it is %v", got)
+		t.Errorf("after a minute the longest pause is %v, want 0", got)
 	}
 }
 
@@ -148,13 +148,13 @@
 		want *= time.Second
 		s.Suspect(now)
 		if !s.IsActive(now.Add(want-time.Millisecond)) || s.IsActive(now.Add(want)) {
-			t.Fatalf("the suspicion does not last %v", want)
+			t.Fatalf("suspicion does not last %v", want)
 		}
 		now = now.Add(want)
 	}
 	s.Clear()
 	s.Suspect(now)
 	if s.IsActive(now.Add(InitialSuspicion)) {
-		t.Error("after an answer the suspicion does not begin anew")
+		t.Error("suspicion after Clear does not start at the initial duration")
 	}
 }
--- a/core/coordination/outlier/lossylinks.go
+++ b/core/coordination/outlier/lossylinks.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Of the suspicion against a link to a data centre.
+// Times of the detection of lossy links to data centres.
 const (
-	// minStall is the wait before several events that come at once from which they are
-	// taken to have been held up on the way: an upstream makes them one by one, so that
-	// once is enough.
+	// minStall is the minimum wait before several events that arrive together, for the link
+	// to be considered lossy. An upstream generates events one by one, so events that arrive
+	// together were delayed on the link, and one observation is enough.
 	minStall = 100 * time.Millisecond
-	// initialLossyDuration to lossMost is how long a link is avoided after events were held up
-	// there; what is still sent over it tells whether it is lossy longer.
+	// initialLossyDuration and maxLossyDuration bound how long a link is considered lossy
+	// after delayed events. The traffic that is still sent over the link shows whether it
+	// stays lossy for longer.
 	initialLossyDuration = 4 * time.Second
 	maxLossyDuration     = 8 * time.Second
-	// recurrenceWindow is the time after a suspicion in which the next one lasts twice as
-	// long.
+	// recurrenceWindow is the time after the end of a lossy period in which the next period
+	// lasts twice as long.
 	recurrenceWindow = 3 * time.Second
 )
 
-// lossDelayPerToken is what a lossy link is taken to cost for each token of a stream that
-// may come over it, as a wait: with 4 packets lost of 100 one stream of 400 tokens in six
-// is late, and short ones hardly ever.
+// lossDelayPerToken is the expected delay on a lossy link for each token of a stream. With 4
+// of 100 packets lost, one stream of 400 tokens in six is late, and short streams hardly ever
+// are.
 const lossDelayPerToken = 2 * time.Millisecond
 
-// minLossDelay is that of an answer that is no stream: a lost packet of a few.
+// minLossDelay is the minimum expected delay, and that of a response that is no stream: one
+// of its few packets may be lost.
 const minLossDelay = 100 * time.Millisecond
 
-// LossyLinks judges the links from here to data centres by how events come. The zero
-// value suspects none.
+// LossyLinks detects lossy links to data centres by the times at which events arrive. In the
+// zero value no link is lossy.
 type LossyLinks struct {
 	byDataCentre map[string]*lossyLink
 }
@@ -36,8 +38,8 @@
 	duration   time.Duration
 }
 
-// RecordEvents notes events of a stream that came together after so long a wait, and
-// reports whether they were held up.
+// RecordEvents records events of a stream that arrived together after a stall, and reports
+// whether they were delayed on the link, which is then considered lossy.
 func (l *LossyLinks) RecordEvents(dataCentre string, stall time.Duration, events int, now time.Time) bool {
 	if stall < minStall || events < 2 {
 		return false
@@ -52,7 +54,7 @@
 	}
 	switch {
 	case now.Before(link.lossyUntil):
-		// The suspicion goes on from here at the same length.
+		// The lossy period starts again with the same duration.
 	case now.Sub(link.lossyUntil) < recurrenceWindow:
 		link.duration = min(2*link.duration, maxLossyDuration)
 	default:
@@ -62,8 +64,8 @@
 	return true
 }
 
-// ExpectedDelay returns what the link to a data centre is expected to cost an answer of
-// up to so many tokens, as a wait; 0 tokens: no stream.
+// ExpectedDelay returns the expected delay that packet loss on the link to a data centre
+// causes for a response of up to so many tokens; 0 tokens: the response is no stream.
 func (l *LossyLinks) ExpectedDelay(dataCentre string, tokens int, now time.Time) time.Duration {
 	link := l.byDataCentre[dataCentre]
 	if link == nil || !now.Before(link.lossyUntil) {
--- a/core/coordination/outlier/misdirection.go
+++ b/core/coordination/outlier/misdirection.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Of an address at which another upstream answers.
+// Pauses after another instance answered at the address of an upstream.
 const (
-	// initialMisdirectionPause is the pause before it is tried again whether the one that is
-	// listed there answers; it doubles up to strangerMost. A request that finds the
-	// stranger again was not run and goes elsewhere at once: one in the pause is all
-	// that it costs. For good it must not be: an upstream may start again under its
-	// name where it was.
+	// initialMisdirectionPause is how long the address is avoided before a request tries it
+	// again; the pause doubles up to maxMisdirectionPause. A request that reaches the other
+	// instance again is not run and is sent elsewhere at once, so one such request per pause
+	// is the whole cost. The address must not be avoided permanently, because the upstream
+	// may restart there under its name.
 	initialMisdirectionPause = time.Second
 	maxMisdirectionPause     = 16 * time.Second
 )
 
-// Misdirection remembers that another upstream answered at an address. The zero value
-// is none.
+// Misdirection records whether another instance answered at an upstream's address. In the
+// zero value none did.
 type Misdirection struct {
 	avoidUntil time.Time
 	pause      time.Duration
 }
 
-// Record notes that another answered.
+// Record records that another instance answered.
 func (m *Misdirection) Record(now time.Time) {
 	if now.Before(m.avoidUntil) {
 		return
@@ -29,8 +29,8 @@
 	m.avoidUntil = now.Add(m.pause)
 }
 
-// Clear notes that the right one answered.
+// Clear records that the right instance answered.
 func (m *Misdirection) Clear() { *m = Misdirection{} }
 
-// IsActive reports whether the address is left alone.
+// IsActive reports whether the address is to be avoided.
 func (m *Misdirection) IsActive(now time.Time) bool { return now.Before(m.avoidUntil) }
--- a/core/coordination/outlier/suspicion.go
+++ b/core/coordination/outlier/suspicion.go
@@ -1,42 +1,46 @@
-// Package outlier judges upstreams, and the links to them, by what an entry sees
-// anyway: attempts that fail, upstreams that fall silent, events that are held up
-// on the way. It has no I/O, no locks and no clock.
+// Package outlier detects outliers among upstreams, and lossy links to them, by passive
+// observation at an entry: attempts that fail, upstreams that stall, events that are delayed
+// on the link. It has no I/O, no locks and no clock.
 package outlier
 
 import "time"
 
-// Of the suspicion against an upstream that could not be reached, or that fell
-// silent: a crashed one stays on the list for seconds.
+// Durations of the suspicion of an upstream that could not be reached or has stalled. A
+// crashed upstream stays on the list of upstreams for seconds.
 const (
-	InitialSuspicion = time.Second
+	InitialSuspicion = time.Second // doubled for each further suspicion
 	maxSuspicion     = 8 * time.Second
 )
 
-// Of the doubt of others against an upstream.
+// Limits of the fleet's suspicion of an upstream.
 const (
-	// SuspicionQuorum is how many entries must doubt an upstream, this one among them or
-	// not, before all prefer others: one may be cut off from it by itself.
+	// SuspicionQuorum is the number of entries, with or without this one, that must suspect
+	// an upstream before all entries prefer others. A single entry may have lost only its own
+	// connection to the upstream.
 	SuspicionQuorum = 2
-	// MaxLoadReportAge is how old the newest word of an upstream that works may be; one that
-	// has answered any entry since then is not avoided for others' doubts.
+	// MaxLoadReportAge is the maximum age of the latest load report of an upstream that
+	// works. An upstream that has answered any entry since then is not avoided because of
+	// the suspicion of other entries.
 	MaxLoadReportAge = time.Second
-	// probeShare of the requests that a doubted upstream would get, divided by the
-	// number of entries, go to it: the first that is answered ends the doubt.
+	// probeShare, divided by the number of entries, is the share of the requests for a
+	// suspected upstream that are still sent to it as probes. The first that is answered ends
+	// the suspicion.
 	probeShare = 4.0
-	// SuspicionRetention is how long an entry tells of its doubt after its last failed
-	// attempt; an upstream that is gone has left the list by then.
+	// SuspicionRetention is how long an entry reports its suspicion after its last failed
+	// attempt. An upstream that is gone has been removed from the list by then.
 	SuspicionRetention = 10 * time.Second
 )
 
-// Suspicion is what one entry holds against an upstream. The zero value is
-// none.
+// Suspicion is one entry's suspicion of an upstream. In the zero value the upstream is not
+// suspected.
 type Suspicion struct {
-	suspectedUntil time.Time     // until then others are preferred
-	duration       time.Duration // that the latest suspicion took
-	lastFailure    time.Time     // when an attempt failed last
+	suspectedUntil time.Time
+	duration       time.Duration // of the latest suspicion
+	lastFailure    time.Time     // when the latest attempt failed
 }
 
-// Suspect prefers other upstreams for a while, each time longer.
+// Suspect starts a suspicion, unless one is active. Each lasts twice as long as the previous
+// one, up to a limit.
 func (s *Suspicion) Suspect(now time.Time) {
 	s.lastFailure = now
 	if now.Before(s.suspectedUntil) {
@@ -46,34 +50,34 @@
 	s.suspectedUntil = now.Add(s.duration)
 }
 
-// RecordFailure notes that an attempt failed.
+// RecordFailure records that an attempt failed.
 func (s *Suspicion) RecordFailure(now time.Time) { s.lastFailure = now }
 
-// Clear ends the suspicion: the upstream has answered.
+// Clear ends the suspicion, because the upstream has answered.
 func (s *Suspicion) Clear() {
 	s.suspectedUntil = time.Time{}
 	s.duration = 0
 }
 
-// IsActive reports whether other upstreams are to be preferred.
+// IsActive reports whether the upstream is suspected, so that others are preferred.
 func (s *Suspicion) IsActive(now time.Time) bool { return now.Before(s.suspectedUntil) }
 
-// ShouldReport reports whether the others are to be told of the doubt; broken is
-// whether the upstream's breaker is open.
+// ShouldReport reports whether this entry is to report its suspicion to the other entries.
+// breakerOpen says whether the upstream's circuit breaker is open.
 func (s *Suspicion) ShouldReport(breakerOpen bool, now time.Time) bool {
 	return (breakerOpen || s.duration > 0) && now.Sub(s.lastFailure) <= SuspicionRetention
 }
 
-// FleetSuspicion is what all entries together hold against an upstream.
+// FleetSuspicion is the suspicion of an upstream by all entries together.
 type FleetSuspicion struct {
 	SuspectingEntries int
-	LoadReportAge     time.Duration // since the upstream told its load to any of them
-	Entries           int
+	LoadReportAge     time.Duration // of the latest load report that any entry received
+	Entries           int           // number of entries in the fleet
 }
 
-// ShouldAvoid reports whether other upstreams are to be preferred for what other
-// entries know: several doubt it and it has answered none. chance is between 0
-// and 1; by it a few requests try whether it works again.
+// ShouldAvoid reports whether other upstreams are to be preferred because several entries
+// suspect this one and none has received an answer. random is between 0 and 1; it selects a
+// few requests that probe whether the upstream works again.
 func (s FleetSuspicion) ShouldAvoid(random float64) bool {
 	if s.SuspectingEntries < SuspicionQuorum || s.LoadReportAge <= MaxLoadReportAge {
 		return false
