--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -1,11 +1,11 @@
-// Package ratelimit enforces what upstreams ask for in their answers: a request rate that
-// all entries share ([Limiter], [Store]), and a pause for this process alone ([Backoff]).
-// It has no I/O and no clock.
+// Package ratelimit enforces the limits that upstreams set in their responses: a request
+// rate that all entries share ([Limiter], [Store]), and a backoff of this process alone
+// ([Backoff]). It has no I/O and no clock.
 //
 // Entries can't coordinate on each request, and leases from a leader would have to be
 // reassigned whenever an entry or the leader is lost. So every entry takes an equal share
 // of the rate, in time slots at a random phase. Observed limits are replicated to all
-// entries: otherwise each of them would learn of a limit by sending a request of its own.
+// entries; otherwise each of them would have to send a request of its own to observe a limit.
 package ratelimit
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// An upstream tolerates overshoot times its limit in any window, and burst requests.
+// An upstream tolerates, in any window, overshoot times its limit and burst more requests.
 const (
 	window    = 4 * time.Second
 	overshoot = 1.5
@@ -21,22 +21,23 @@
 )
 
 const (
-	// slotLength bounds how long an unused slot stays open. Otherwise the slots of all
+	// slotLength limits how long an unused slot stays open. Otherwise the slots of all
 	// entries would be open after an idle period, and be used at once when the other
 	// upstreams fail.
 	slotLength = time.Second
 	// minShare is the part of a limit that is used with any number of entries.
 	minShare  = 0.5
-	shareStep = 0.25
-	// maxDeviations of the number of slots in a window have to fit into what is tolerated.
+	shareStep = 0.25 // step by which usableShare reduces the part
+	// maxDeviations is the number of standard deviations above the mean number of slots in a
+	// window that the upstream has to tolerate.
 	maxDeviations = 5
 	// relativeTolerance is the relative change of a limit, or of the number of entries, below
 	// which the slots stay as they are.
 	relativeTolerance = 0.1
 )
 
-// usableShare returns the part of the limit that the entries use together. The slots of a few
-// entries are bounded by their number; those of many coincide at random.
+// usableShare returns the part of the limit that the entries use together. With few entries,
+// their number limits how many slots can coincide; with many, slots coincide at random.
 func usableShare(rate float64, entries int) float64 {
 	tolerated := overshoot*rate*window.Seconds() + burst
 	for part := 1.0; part > minShare; part -= shareStep {
@@ -57,15 +58,15 @@
 	rate         float64 // requests per second of all entries; 0: no limit
 	entries      int
 	lastSent     time.Time
-	lastObserved time.Time // when an answer named the limit last
-	notBefore    time.Time // no slot begins earlier
-	firstSlot    time.Time // the first slot begins
+	lastObserved time.Time // when the latest response with the limit was received
+	notBefore    time.Time // no slot starts earlier
+	firstSlot    time.Time // start of the first slot
 	period       time.Duration
-	nextSlot     int // the first slot that is not used
+	nextSlot     int // index of the first unused slot
 }
 
-// SetLimit sets the limit that an answer named. phase, in [0, 1), is the position of the
-// first slot in the first period. It reports whether the limit has changed.
+// SetLimit sets the limit that a response contained. phase, in [0, 1), is the position of
+// the first slot in the first period. It reports whether the limit has changed.
 func (l *Limiter) SetLimit(rate float64, entries int, now time.Time, phase float64) (changed bool) {
 	l.lastObserved = now
 	if l.rate > 0 && similar(l.rate, rate) {
@@ -83,8 +84,8 @@
 	}
 }
 
-// schedule lays out the slots. A request that was sent before the limit was known counts
-// as this entry's share of a window.
+// schedule sets the period and the start of the slots. A request that was sent less than a
+// window ago counts as this entry's share of that window.
 func (l *Limiter) schedule(entries int, now time.Time, phase float64) {
 	l.entries = max(entries, 1)
 	l.period = time.Duration(float64(l.entries) / (usableShare(l.rate, l.entries) * l.rate) * float64(time.Second))
@@ -96,9 +97,9 @@
 	l.nextSlot = 0
 }
 
-// HandleUnlimited handles an answer without a limit to a request that was sent at the given
-// time, and reports whether it ends the limit. An answer to an earlier request does not:
-// it may be older than the limit.
+// HandleUnlimited handles a response without a limit to a request that was sent at the given
+// time, and reports whether the response ends the limit. The response to a request that was
+// sent before the limit was last observed does not, because it may be older than the limit.
 func (l *Limiter) HandleUnlimited(sent time.Time) (ended bool) {
 	if l.rate == 0 || !sent.After(l.lastObserved) {
 		return false
@@ -135,9 +136,9 @@
 	return true
 }
 
-// Weight returns how many entries this one stands for while its slot is open, since the
-// others send nothing then. With a weight of 1 most slots would pass before a request
-// comes whose prompt has its home at the upstream.
+// Weight returns the number of entries whose requests this entry sends while its slot is
+// open, since the slots of the others are closed then. With a weight of 1 most slots would
+// pass before a request arrives whose preferred upstream this is.
 func (l *Limiter) Weight() float64 {
 	if l.rate == 0 {
 		return 1
@@ -145,8 +146,8 @@
 	return max(float64(l.period)/float64(slotLength), 1)
 }
 
-// slotAt returns the index of the latest slotAt and the time since it began; the index is
-// negative before the first.
+// slotAt returns the index of the latest slot and the time since it started. The index is
+// negative before the first slot.
 func (l *Limiter) slotAt(now time.Time) (index int, elapsed time.Duration) {
 	sinceFirst := now.Sub(l.firstSlot)
 	if sinceFirst < 0 {
--- a/core/coordination/ratelimit/limiter_test.go
+++ b/core/coordination/ratelimit/limiter_test.go
@@ -17,7 +17,7 @@
 				t.Errorf("%d entries, limit %v: %v slots in a window, tolerated %v", entries, rate, meanSlots, tolerated)
 			}
 			if part < minShare || part > 1 {
-				t.Errorf("%d entries, limit %v: a part of %v", entries, rate, part)
+				t.Errorf("%d entries, limit %v: usable share %v is out of range", entries, rate, part)
 			}
 		}
 	}
@@ -29,11 +29,11 @@
 	l := &Limiter{}
 	for range 2 {
 		if !l.TryAcquire(start) || l.ExpectedWait(start) != 0 {
-			t.Fatal("without a limit requests are held back")
+			t.Fatal("requests are blocked without a limit")
 		}
 	}
 	if !l.SetLimit(1, 8, start, 0.5) || l.SetLimit(1.05, 8, start.Add(time.Millisecond), 0.1) {
-		t.Error("a limit is news once")
+		t.Error("want a change for the first limit only, not for a similar one")
 	}
 	period := l.period
 	if part := usableShare(1, 8); period != time.Duration(8/part*float64(time.Second)) {
@@ -52,9 +52,9 @@
 	}{
 		{-time.Millisecond, false},
 		{0, true},
-		{time.Millisecond, false}, // it is used
+		{time.Millisecond, false}, // the slot is used
 		{period - time.Millisecond, false},
-		{period + slotLength, false}, // it is over
+		{period + slotLength, false}, // the second slot has ended
 		{2*period + slotLength/2, true},
 		{2*period + slotLength - time.Millisecond, false},
 		{3 * period, true},
@@ -65,47 +65,47 @@
 	}
 }
 
-// A request of the last window delays the slots, also when the limit changes; the number of
-// entries changes the period.
+// A request that was sent less than a window ago delays the slots, also when the limit
+// changes. A change of the number of entries changes the period.
 func TestLimitChanges(t *testing.T) {
 	l := &Limiter{}
 	l.SetLimit(2, 8, start, 0)
 	if !l.TryAcquire(start) {
-		t.Fatal("an entry that has sent nothing is blocked")
+		t.Fatal("blocked though no request was sent before")
 	}
 	later := start.Add(time.Minute)
 	l.SetLimit(4, 8, later, 0)
 	if !l.TryAcquire(later) {
-		t.Error("blocked by what was sent a minute before")
+		t.Error("blocked by a request that was sent a minute before")
 	}
 	later = later.Add(window / 2)
 	l.SetLimit(1, 8, later, 0)
 	if l.CanSend(later) || !l.CanSend(later.Add(window/2)) {
-		t.Error("what was sent half a window before is forgotten with another limit")
+		t.Error("after a change of the limit, a request half a window before does not delay the slots by a window")
 	}
 	period := l.period
 	l.SetEntries(8, later, 0.9)
 	if l.period != period {
-		t.Error("the same number of entries changes the slots")
+		t.Error("setting the same number of entries changes the period")
 	}
 	l.SetEntries(80, later, 0)
 	if l.period < 10*period {
-		t.Errorf("ten times the entries: period %v, before %v", l.period, period)
+		t.Errorf("with ten times the entries: period %v, before %v", l.period, period)
 	}
 }
 
-// Only an answer to a request that was sent after the limit was named ends it.
+// Only the response to a request that was sent after the limit was observed ends the limit.
 func TestHandleUnlimited(t *testing.T) {
 	l := &Limiter{}
 	if l.HandleUnlimited(start) {
-		t.Error("there was none")
+		t.Error("ended a limit that was not set")
 	}
 	l.SetLimit(1, 8, start, 0)
 	if l.HandleUnlimited(start.Add(-time.Millisecond)) || l.Rate() != 1 {
-		t.Error("ended by an answer to a request that was sent before")
+		t.Error("limit ended by the response to a request that was sent before it was observed")
 	}
 	if !l.HandleUnlimited(start.Add(time.Second)) || l.Rate() != 0 || !l.CanSend(start.Add(time.Second)) {
-		t.Error("not ended")
+		t.Error("limit not ended by the response to a later request")
 	}
 }
 
@@ -119,10 +119,10 @@
 		changed bool
 		want    float64
 	}{
-		{0, 1, false, 0}, // nothing was named
+		{0, 1, false, 0}, // end of an unknown limit
 		{2, 2, true, 2},
-		{2.1, 4, false, 2}, // about the same: its time is kept
-		{0, 3, false, 2},   // of before that
+		{2.1, 4, false, 2}, // a similar rate: only the time is updated
+		{0, 3, false, 2},   // older than the latest observation
 		{0, 5, true, 0},
 		{2, 4, false, 0},
 		{3, 6, true, 3},
@@ -135,22 +135,22 @@
 	select {
 	case <-store.Changed():
 	default:
-		t.Error("no signal of the changes")
+		t.Error("no notification of the changes")
 	}
 	all, count, _ := store.ChangesSince(0, 10)
 	if len(all) != 1 || all[0].Rate != 3 {
-		t.Errorf("told %v", all)
+		t.Errorf("changes %v, want one with rate 3", all)
 	}
 	if again, _, _ := store.ChangesSince(count, 10); len(again) > 0 {
-		t.Errorf("returned again: %v", again)
+		t.Errorf("changes returned twice: %v", again)
 	}
 	store.Merge([]Observation{{InstanceID: "b", Rate: 1, ObservedAt: at(10)}}, at(10+int(limitRetention/time.Second)))
 	if store.Rate("a") != 0 || store.Rate("b") != 1 {
-		t.Error("what is old is kept, or what is new forgotten")
+		t.Error("an old observation is kept, or a new one is lost")
 	}
 }
 
-// Of too many lives those that changed last are kept.
+// The number of stored observations is limited; those that changed last are kept.
 func TestStoreBound(t *testing.T) {
 	s := &Store{}
 	for i := range maxObservations + 500 {
@@ -165,11 +165,11 @@
 func TestBackoff(t *testing.T) {
 	b := &Backoff{}
 	if b.Remaining(start) != 0 {
-		t.Error("a backoff by default")
+		t.Error("the zero value blocks requests")
 	}
 	b.Extend(start.Add(3 * time.Second))
 	b.Extend(start.Add(time.Second))
 	if b.Remaining(start) != 3*time.Second || b.Remaining(start.Add(2*time.Second)) != time.Second || b.Remaining(start.Add(3*time.Second)) != 0 {
-		t.Errorf("left: %v", b.Remaining(start))
+		t.Errorf("remaining backoff %v at the start, want 3s, and 1s two seconds later", b.Remaining(start))
 	}
 }
--- a/core/coordination/ratelimit/simulation_test.go
+++ b/core/coordination/ratelimit/simulation_test.go
@@ -11,20 +11,19 @@
 	random          *rand.Rand
 	entries         []*simulatedEntry
 	rate            float64       // the limit
-	restartInterval time.Duration // between two entries that start again; 0: none does
+	restartInterval time.Duration // between restarts of entries; 0: no restarts
 	now             time.Time
 
 	pending  []update
 	arrivals []arrival
 }
 
-// simulatedEntry is one entry.
 type simulatedEntry struct {
 	limiter       Limiter
 	store         Store
-	sentVersion   uint64 // of the board's news that were told
-	isolated      bool   // it neither tells nor is told
-	firstObserved time.Time
+	sentVersion   uint64    // version of the store up to which changes were sent
+	isolated      bool      // the entry neither sends nor receives updates
+	firstObserved time.Time // when it first received a response with the limit
 }
 
 type update struct {
@@ -40,10 +39,10 @@
 
 const (
 	simulationStep      = 10 * time.Millisecond
-	responseDelay       = 60 * time.Millisecond // from a request to its answer
+	responseDelay       = 60 * time.Millisecond // from a request to its response
 	maxReplicationDelay = 700 * time.Millisecond
 	convergenceTime     = 3 * time.Second
-	isolatedGracePeriod = 500 * time.Millisecond // from an answer that names a limit until it counts
+	isolatedGracePeriod = 500 * time.Millisecond // after firstObserved; earlier requests don't count
 )
 
 func newSimulation(seed uint64, entries int, rate float64) *simulation {
@@ -58,8 +57,8 @@
 	return s
 }
 
-// run plays for so long; wish returns how many requests a second all entries would send
-// to the upstream.
+// run runs the simulation for the duration. demand returns the rate in requests per second
+// at which all entries together attempt to send to the upstream.
 func (s *simulation) run(duration time.Duration, demand func(since time.Duration) float64) {
 	type answer struct {
 		sender *simulatedEntry
@@ -94,7 +93,7 @@
 	}
 }
 
-// restartEntry lets an entry forget all. It is told again of what the others know.
+// restartEntry resets an entry. Another entry sends all its observations to it.
 func (s *simulation) restartEntry() {
 	restarted, other := s.entries[s.random.IntN(len(s.entries))], s.entries[s.random.IntN(len(s.entries))]
 	*restarted = simulatedEntry{
@@ -104,7 +103,7 @@
 	s.replicate(restarted, observations)
 }
 
-// receiveLimit is an answer that names the limit.
+// receiveLimit handles a response that contains the limit.
 func (s *simulation) receiveLimit(e *simulatedEntry) {
 	if e.firstObserved.IsZero() {
 		e.firstObserved = s.now
@@ -133,7 +132,7 @@
 	})
 }
 
-// deliver brings what was told to whom it is for.
+// deliver delivers the updates that are due.
 func (s *simulation) deliver() {
 	pending := s.pending[:0]
 	for _, x := range s.pending {
@@ -149,8 +148,9 @@
 	s.pending = pending
 }
 
-// maxArrivals returns the maxArrivals arrivals in a window that ends at an arrival later than from. Of the
-// entries that are told nothing those count that have heard the limit long enough before.
+// maxArrivals returns the highest number of arrivals in a window that ends at an arrival no
+// earlier than since. Arrivals from isolated entries count only from isolatedGracePeriod
+// after the entry first observed the limit.
 func (s *simulation) maxArrivals(since time.Time) (highest int) {
 	for i, last := range s.arrivals {
 		if last.at.Before(since) {
@@ -168,8 +168,9 @@
 	return highest
 }
 
-// An upstream gets more requests than its limit allows: from entries that each use the whole
-// limit, that never learn of it, or that all have an open slot when other upstreams fail.
+// TestSimulatedRateLimit guards against an upstream receiving more requests than its limit
+// allows: from entries that each use the whole limit, that never receive the limit, or that
+// all have an open slot when other upstreams fail.
 func TestSimulatedRateLimit(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
@@ -180,14 +181,14 @@
 		restartInterval time.Duration
 	}{
 		{
-			name:  "as usual",
+			name:  "constant demand",
 			seeds: 5,
 			demand: func(usual float64) func(time.Duration) float64 {
 				return func(time.Duration) float64 { return usual }
 			},
 		},
 		{
-			name:  "the others are lost after a while without requests",
+			name:  "other upstreams fail after an idle period",
 			seeds: 5,
 			demand: func(usual float64) func(time.Duration) float64 {
 				return func(since time.Duration) float64 {
@@ -202,7 +203,7 @@
 			},
 		},
 		{
-			name:          "one in ten neither tells nor is told",
+			name:          "one entry in ten is isolated",
 			seeds:         5,
 			isolatedShare: 0.1,
 			demand: func(usual float64) func(time.Duration) float64 {
@@ -210,7 +211,7 @@
 			},
 		},
 		{
-			name:            "one entry after the other starts again",
+			name:            "entries restart one after the other",
 			seeds:           5,
 			restartInterval: 500 * time.Millisecond,
 			demand: func(usual float64) func(time.Duration) float64 {
--- a/core/coordination/ratelimit/store.go
+++ b/core/coordination/ratelimit/store.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Retention of observations: a limit is observed again whenever a request is sent, and the
-// end of one is kept for longer than it takes to reach all entries.
+// Limits of the stored observations. A limit is observed again whenever a request is sent,
+// and the end of a limit is kept for longer than it takes to replicate it to all entries.
 const (
 	limitRetention   = 10 * time.Minute
 	clearedRetention = time.Minute
@@ -16,17 +16,17 @@
 	maxObservations  = 8192
 )
 
-// Observation is the limit that a life of an upstream named at some time.
+// Observation is a limit that an instance of an upstream set in a response.
 type Observation struct {
 	InstanceID string
 	Rate       float64 // requests per second; 0: the limit has ended
 	ObservedAt time.Time
 }
 
-// Store holds the latest observation of each life, and numbers their changes so that they
-// can be replicated. The zero value is empty.
+// Store holds the latest observation of each instance, and assigns versions to their changes
+// so that they can be replicated. The zero value is empty.
 type Store struct {
-	mu         sync.Mutex // guards all below
+	mu         sync.Mutex // guards the fields below
 	byInstance map[string]versionedObservation
 	version    uint64 // counts changes
 	changed    chan struct{}
@@ -39,8 +39,8 @@
 	version uint64
 }
 
-// Merge adds observations, of which the latest of each life wins, and returns those that
-// changed a rate.
+// Merge adds observations, keeps the latest of each instance, and returns those that changed
+// a rate.
 func (s *Store) Merge(observations []Observation, now time.Time) (changes []Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,8 +78,8 @@
 
 func sameRate(a, b float64) bool { return a == b || a > 0 && b > 0 && similar(a, b) }
 
-// prune drops old observations; above the bound also the half that changed first. The
-// caller holds mu.
+// prune removes old observations, and above maxObservations also the half that changed least
+// recently. The caller holds mu.
 func (s *Store) prune(now time.Time) {
 	s.prunedAt = now
 	overLimit := len(s.byInstance) > maxObservations
@@ -106,7 +106,7 @@
 	return s.changed
 }
 
-// ChangesSince returns up to limit changes after the version, 0 for all, in their order, the
+// ChangesSince returns up to limit changes after the version (0 for all) in order, the
 // version after them, and whether there are more.
 func (s *Store) ChangesSince(version uint64, limit int) (observations []Observation, next uint64, more bool) {
 	s.mu.Lock()
@@ -133,7 +133,7 @@
 	return observations, next, more
 }
 
-// Rate returns the limit of a life, 0 if none is known.
+// Rate returns the limit of an instance in requests per second, 0 if none is known.
 func (s *Store) Rate(instanceID string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
