--- a/core/coordination/retry/retryafter.go
+++ b/core/coordination/retry/retryafter.go
@@ -8,7 +8,7 @@
 	// trip, and a temporary cause, such as a start or a full queue, takes at least as long.
 	minRetryAfter = 200 * time.Millisecond
 	// unknownOutageDelay is added if the duration of an outage is not known. Otherwise callers
-	// refused at the start of an outage would return while it lasts (bench return).
+	// refused at the start of an outage would return while it lasts (benchmark case return).
 	unknownOutageDelay = 600 * time.Millisecond
 	// maxRetryAfter limits the delay before jitter. The age of a long outage says no more
 	// about when it ends.
@@ -33,9 +33,9 @@
 }
 
 // Delay returns the time after which the caller should return. random is in [0, 1). An
-// outage of unknown duration is expected to last as long again as it has lasted (bench
-// return). If ExpectedWait is known, more urgent requests return earlier; otherwise the
-// order is random, because an early return is no advantage.
+// outage of unknown duration is expected to last as long again as it has lasted (benchmark
+// case return). If ExpectedWait is known, callers with more urgent requests return earlier;
+// otherwise the order is random, because an early return is no advantage.
 func (r RetryAfter) Delay(random float64) time.Duration {
 	base, position := r.ExpectedWait, r.jitterPosition(random)
 	if base <= 0 {
