--- a/clock.go
+++ b/clock.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time and wakes a waiting goroutine. Tests pass a fake one.
+// Clock returns the time and runs timers. Tests pass a fake one.
 type Clock interface {
 	// Now returns the current time, with a monotonic reading where the system has one.
 	Now() time.Time
@@ -14,15 +14,15 @@
 	After(d time.Duration) <-chan time.Time
 }
 
-// SuspendClock is a clock that knows for how long the VM has been suspended: its own
-// time does not count that.
+// SuspendClock is a [Clock] that also measures for how long the VM has been suspended. The
+// time from Now does not include suspensions.
 type SuspendClock interface {
 	Clock
-	// Suspended returns for how long in all.
+	// Suspended returns the total time that the VM has been suspended.
 	Suspended() time.Duration
 }
 
-// SystemClock is the machine's own clock. It implements [SuspendClock].
+// SystemClock is the operating system's clock. It implements [SuspendClock].
 type SystemClock struct{}
 
 // Now implements [Clock].
@@ -31,16 +31,17 @@
 // After implements [Clock].
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// maxClockReadSkew is by how much two clocks that are read one after the other seem to
-// move apart where a process is kept from its processor in between.
+// maxClockReadSkew limits the difference between two clocks read one after the other that is
+// attributed to the process being descheduled between the two reads.
 const maxClockReadSkew = 100 * time.Millisecond
 
-// Suspended implements [SuspendClock]. A system that does not tell is never
-// suspended. What is under readingError is none: a wake from a suspension takes longer.
+// Suspended implements [SuspendClock]. It returns 0 where the system does not provide the two
+// clocks. A difference up to maxClockReadSkew also counts as 0, because waking from a
+// suspension takes longer than that.
 func (SystemClock) Suspended() time.Duration {
 	var monotonic, boot unix.Timespec
-	// Read in this order the difference is too small by what passes in between, never too
-	// large.
+	// CLOCK_BOOTTIME is read first, so the time between the two reads makes the difference
+	// too small, never too large.
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
--- a/log.go
+++ b/log.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// MemberID is the identity of one disk of one VM in a consensus group. A VM
-// whose disk was lost comes back under a new one.
+// MemberID identifies one disk of one VM in a consensus group. A VM that has lost its disk
+// rejoins the group with a new MemberID.
 type MemberID uint64
 
 // Member is a voter of a consensus group.
 type Member struct {
 	ID MemberID
-	VM string // the VM's name, by which peers are reached
+	VM string // name of the VM, used to address its messages
 }
 
 // Config is the set of voters of a consensus group.
@@ -20,13 +20,13 @@
 	Voters []Member
 }
 
-// HasVoter reports whether the member votes.
+// HasVoter reports whether the member is a voter.
 func (c Config) HasVoter(id MemberID) bool {
 	_, ok := c.FindVoter(id)
 	return ok
 }
 
-// FindVoter returns the voter with the identity.
+// FindVoter returns the voter with the given ID.
 func (c Config) FindVoter(id MemberID) (Member, bool) {
 	for _, m := range c.Voters {
 		if m.ID == id {
@@ -36,7 +36,7 @@
 	return Member{}, false
 }
 
-// EntryKind tells what a log entry carries.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
 // The kinds of log entry.
@@ -55,7 +55,7 @@
 	Config Config // for EntryConfig
 }
 
-// HardState is what a member must remember over a restart, beside its log.
+// HardState is the state, besides the log, that a member must persist across restarts.
 type HardState struct {
 	Term uint64
 	Vote MemberID
@@ -69,7 +69,7 @@
 	Data   []byte
 }
 
-// MessageKind tells one consensus message from another.
+// MessageKind is the type of a consensus message.
 type MessageKind uint8
 
 // The consensus messages.
@@ -81,67 +81,68 @@
 	MessageAppend
 	MessageAppendReply
 	MessageSnapshotChunk      // a part of a snapshot
-	MessageSnapshotChunkReply // the offset wanted next
-	MessageTimeoutNow         // the leader asks the receiver to stand for election
-	MessageLearnerJoin        // a learner asks the leader to be sent the log
+	MessageSnapshotChunkReply // the offset of the chunk that the receiver needs next
+	MessageTimeoutNow         // the leader asks the receiver to start an election at once
+	MessageLearnerJoin        // a learner asks the leader to replicate the log to it
 )
 
-// Message is one consensus message. Times are durations since a random origin
-// of the process that first wrote them; only that process may compare them.
+// Message is one consensus message. Its times are durations since a random origin in the
+// process that set them, so only that process may compare them.
 type Message struct {
 	Group              string
 	Kind               MessageKind
 	From               MemberID
 	To                 MemberID
 	FromVM             string // the sender's VM
-	ToVM               string // the receiver's VM; "" is every peer
+	ToVM               string // the receiver's VM; "" addresses every peer
 	Term               uint64
-	Index              uint64 // the entry before Entries, the last log entry, or the match
-	LogTerm            uint64 // the term of that entry
+	Index              uint64 // index of the entry before Entries, of the last log entry, or of the last matching entry
+	LogTerm            uint64 // term of the entry at Index
 	Commit             uint64
 	Entries            []Entry
 	Reject             bool
-	LastIndexHint      uint64        // with Reject: the last entry the sender has
-	SentAt             time.Duration // the leader's time of sending, echoed by the reply
-	LeaseRequestedAt   time.Duration // a follower's time, echoed once a quorum has confirmed the leader after it
-	LeaseCommitIndex   uint64        // the commit index that a lease from Probe requires
-	LeadershipTransfer bool          // the vote is asked for by the leader itself
-	SnapshotOffset     uint64        // of a snapshot's chunk
-	SnapshotSize       uint64        // the snapshot's size
-	Data               []byte        // the chunk
-	Config             Config        // the snapshot's voters
+	LastIndexHint      uint64        // with Reject: index of the sender's last entry
+	SentAt             time.Duration // when the leader sent the message; echoed in the reply
+	LeaseRequestedAt   time.Duration // when a follower asked for a lease; echoed after a quorum confirmed the leader
+	LeaseCommitIndex   uint64        // commit index that the follower must have applied before it uses the lease
+	LeadershipTransfer bool          // the leader asked the sender to stand for election
+	SnapshotOffset     uint64        // offset of the chunk in the snapshot, in bytes
+	SnapshotSize       uint64        // size of the whole snapshot, in bytes
+	Data               []byte        // the chunk of the snapshot
+	Config             Config        // voters recorded in the snapshot
 }
 
-// Storage keeps a member's log on disk. A call that returns nil has synced.
+// Storage persists a member's log on disk. When a method returns nil, the data has been
+// synced.
 type Storage interface {
-	// Load returns what was kept, or an error that says what to do.
+	// Load returns the stored state, or an error that says what the operator has to do.
 	Load() (HardState, Snapshot, []Entry, error)
-	// Append keeps the hard state, if not nil, and the entries; entries at or
-	// after the first one's index that were kept before are replaced.
+	// Append stores the hard state, if it is not nil, and the entries. Stored entries with an
+	// index at or after that of the first new entry are replaced.
 	Append(hard *HardState, entries []Entry) error
-	// Compact keeps the snapshot and drops the log up to keep.
+	// Compact stores the snapshot and drops the log entries up to keep.
 	Compact(snapshot Snapshot, keep uint64) error
-	// Close releases the files.
+	// Close closes the files.
 	Close() error
 }
 
-// StateMachine is what a consensus group replicates. Apply must be
-// deterministic: equal entries in equal order give equal states and results.
+// StateMachine is the state that a consensus group replicates. Apply must be deterministic:
+// the same entries in the same order produce the same states and results.
 type StateMachine interface {
 	Apply(entry Entry) []byte
 	Snapshot() []byte
 	Restore(data []byte) error
 }
 
-// Sender hands consensus messages to the peers. It never blocks: a message
-// that finds its ring full is dropped and counted.
+// Sender sends consensus messages to the peers. Send never blocks: if the send queue is full,
+// the message is dropped and counted.
 type Sender interface {
 	Send(m Message)
 }
 
-// Proposer appends a command to a replicated log, at whichever VM leads it, and
-// returns the state machine's result. A command carries its own identity, so
-// that proposing it again after a lost answer is safe.
+// Proposer appends a command to a replicated log, on whichever VM is the leader, and returns
+// the result of the state machine. Every command has an ID of its own, so proposing it again
+// after a lost response is safe.
 type Proposer interface {
 	Propose(ctx context.Context, command []byte) ([]byte, error)
 }
--- a/proxy.go
+++ b/proxy.go
@@ -11,47 +11,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RetryMode tells whether a passage may run more than once.
+// RetryMode says whether a request may run more than once.
 type RetryMode uint8
 
-// The kinds of repetition.
+// The retry modes.
 const (
-	RetryNever  RetryMode = iota // at most one upstream may begin it
-	RetryFreely                  // any number may run it
-	RetryResume                  // a stream: another upstream may go on after the last event
+	RetryNever  RetryMode = iota // at most one upstream may start the request
+	RetryFreely                  // any number of upstreams may run the request
+	RetryResume                  // a stream: another upstream may continue after the last event
 )
 
-// PromptPart is a piece of a prompt that other requests may share.
+// PromptPart is a part of a prompt that may also be a part of other requests' prompts.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// ProxyRequest is one caller's request that goes through unchanged. It is read only
-// once it is made.
+// ProxyRequest is a caller's request that is forwarded unchanged. It must not be modified
+// after it has been created.
 type ProxyRequest struct {
 	ID               string
 	Method           string
-	RequestTarget    string // as the caller wrote it
+	RequestTarget    string // as received from the caller
 	Host             string
 	Path             string
-	Header           http.Header // end to end, without what only the router may set
+	Header           http.Header // end-to-end headers, without those that only the router may set
 	Body             []byte
-	BodyDigest       [sha256.Size]byte // SHA-256 of Body, taken while it was read
-	IdempotencyKey   string            // the caller's, "" if none
-	SessionID        string            // "" if none
-	Model            string            // "" if none is named
-	RouterPicksModel bool              // the router names the model
+	BodyDigest       [sha256.Size]byte // SHA-256 of Body, computed while the body was read
+	IdempotencyKey   string            // set by the caller; "" if there is none
+	SessionID        string            // "" if there is none
+	Model            string            // "" if the request names none
+	RouterPicksModel bool              // the router chooses the model
 	PromptParts      []PromptPart
 	PromptTokens     int
-	MaxOutputTokens  int    // the most that may be generated
-	LastEventID      string // a stream goes on after it
+	MaxOutputTokens  int    // limit of the number of tokens to generate
+	LastEventID      string // ID of the event after which a stream continues
 	ArrivedAt        time.Time
-	Deadline         time.Time // zero: the caller named none
+	Deadline         time.Time // zero if the caller set none
 }
 
-// SharedPromptTokens returns the tokens of the prompt's parts but the last, which is the
-// request's own.
+// SharedPromptTokens returns the number of tokens in all parts of the prompt except the last,
+// which is specific to the request.
 func (p *ProxyRequest) SharedPromptTokens() int {
 	sum := 0
 	for i := range len(p.PromptParts) - 1 {
@@ -60,97 +60,100 @@
 	return sum
 }
 
-// ProxyAttempt is one try of a passage at one upstream.
+// ProxyAttempt is one try of a request at one upstream.
 type ProxyAttempt struct {
 	Request      *ProxyRequest
 	Upstream     Upstream
-	Organisation string // "" if no key was needed
-	Model        string // "" if the passage names none
+	Organisation string // "" if the request needed no API key
+	Model        string // "" if the request names none
 	LastEventID  string
-	Priority     int // 0 is first; negative: not told
+	Priority     int // 0 is the highest; a negative value means unspecified
 	Deadline     time.Time
-	MaxConns     int // connections that this process may hold to the upstream
-	// PrefixCacheSource is an upstream that may hold shared parts of the prompt: what this
-	// one lacks of them is copied from there. The zero address: none.
+	MaxConns     int // limit of the connections from this process to the upstream
+	// PrefixCacheSource is the address of an upstream that may have shared parts of the
+	// prompt in its cache; Upstream copies the parts that it lacks from there. The zero value
+	// means none.
 	PrefixCacheSource netip.AddrPort
 }
 
-// UpstreamLoad is what an upstream said of itself on an answer.
+// UpstreamLoad is the load that an upstream reported in a response.
 type UpstreamLoad struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// ProxyResponseHead is the beginning of an upstream's answer to an attempt.
+// ProxyResponseHead is the status and the headers of an upstream's response, with the facts
+// that the upstream reported in them.
 type ProxyResponseHead struct {
 	Status          int
-	Header          http.Header   // end to end
-	RequestID       string        // the request's id as the upstream echoes it
-	HasSignature    bool          // the upstream put its signature on it
-	NotRun          bool          // the upstream says that it did not begin
-	Misdirected     bool          // another incarnation has the address
-	ModelConfidence int           // of the model in its answer, 0 to 100; -1 if not told
-	Load            *UpstreamLoad // nil if not told
+	Header          http.Header   // end-to-end headers
+	RequestID       string        // request ID echoed by the upstream
+	HasSignature    bool          // the response has the upstream's signature
+	NotRun          bool          // the upstream reports that it did not start the request
+	Misdirected     bool          // another instance answers at the address
+	ModelConfidence int           // the model's confidence in its answer, 0 to 100; -1 if not reported
+	Load            *UpstreamLoad // nil if not reported
 	Draining        bool          // the upstream gets no new work
-	RetryAfter      time.Duration // for which this entry sends the upstream nothing; 0 if not told
-	RateLimit       float64       // requests per second that the upstream accepts from all entries; 0: no limit
+	RetryAfter      time.Duration // how long this entry must send the upstream no requests; 0 if not reported
+	RateLimit       float64       // requests per second accepted from all entries together; 0 if unlimited
 }
 
-// ProxyResponse is an upstream's answer while it comes.
+// ProxyResponse is an upstream's response while it is being received.
 type ProxyResponse interface {
-	// Head returns what came before the body.
+	// Head returns the status and the headers.
 	Head() ProxyResponseHead
-	// Read returns the next bytes, and io.EOF only after the whole body.
+	// Read returns the next bytes of the body. It returns io.EOF only after the complete
+	// body.
 	Read(p []byte) (int, error)
-	// Close ends the run if the body was not read to its end.
+	// Close cancels the run if the body has not been read to its end.
 	Close() error
 }
 
-// ProxyHeaderCodec puts the router's own facts into an upstream's headers, and
-// reads an upstream's facts from its answer.
+// ProxyHeaderCodec encodes an attempt's properties as request headers for an upstream, and
+// decodes what the upstream reports in its response headers.
 type ProxyHeaderCodec interface {
-	// Encode sets the headers of an attempt; left is the time until its deadline.
+	// Encode sets the headers of an attempt; left is the time until the attempt's deadline.
 	Encode(h http.Header, a *ProxyAttempt, left time.Duration)
-	// Decode reads an answer's status and headers.
+	// Decode decodes the status and the headers of a response.
 	Decode(status int, h http.Header) ProxyResponseHead
 }
 
-// Forwarder sends attempts to upstreams. An error is an [AttemptError]; its
-// Run says whether the upstream can have begun.
+// Forwarder sends attempts to upstreams. Its errors are of type [AttemptError], whose Run
+// field says whether the upstream may have started the request.
 type Forwarder interface {
 	Forward(ctx context.Context, a *ProxyAttempt) (ProxyResponse, error)
 }
 
-// ProxyResponseSink takes the answer on its way to the caller.
+// ProxyResponseSink receives the response that is sent to the caller.
 type ProxyResponseSink interface {
 	// WriteHead sends the status and the headers.
 	WriteHead(h ProxyResponseHead) error
 	// Write sends a part of the body.
 	Write(p []byte) error
-	// Flush sends what Write may have kept back.
+	// Flush sends the data that Write has buffered.
 	Flush() error
 }
 
-// Upstream is an upstream as the platform's list has it.
+// Upstream is an upstream as listed by the platform.
 type Upstream struct {
-	Incarnation        string    // the platform's name for it; it may start again under that
-	StartedAt          time.Time // zero: not told
+	Incarnation        string    // the platform's name for the upstream; a restarted process may keep it
+	StartedAt          time.Time // start time of the process; zero if not reported
 	Service            string
 	Address            netip.AddrPort
 	DataCentre         string
-	Version            string // of its software
+	Version            string // version of the upstream's software
 	Slots              int
 	Draining           bool
 	Models             []string
-	SlowStartRemaining time.Duration // for which it bears little, from the reading of the list
+	SlowStartRemaining time.Duration // remaining duration of slow start, counted from the time that the list was read
 }
 
-// InstanceID names one life of the upstream, from a start to its end. Whatever is kept
-// of an upstream is kept by its life: one that has started again holds and knows
-// nothing of before, and neither load nor doubt of its former life says anything
-// of it. An upstream at another address has started again, whether its start is
-// told or not.
+// InstanceID identifies one run of the upstream's process, from its start to its exit. All
+// state about an upstream is kept under its InstanceID, because a restarted process has lost
+// its caches and sessions, and neither the load nor the suspicion of the earlier process
+// applies to it. An upstream at another address counts as restarted, whether or not its start
+// time is reported.
 func (u Upstream) InstanceID() string {
 	b := []byte(u.Address.String())
 	if !u.StartedAt.IsZero() {
@@ -159,9 +162,9 @@
 	return u.Incarnation + "~" + strconv.FormatUint(xxhash.Sum64(b)&0xffffffff, 36)
 }
 
-// UpstreamLister reads the whole list of upstreams.
+// UpstreamLister reads the complete list of upstreams.
 type UpstreamLister interface {
-	// ListUpstreams returns the list, or an error. It asks again for a page that was
-	// over the rate allowed, as long as the context lasts.
+	// ListUpstreams returns the list, or an error. It requests a page again if the platform
+	// rejected it for exceeding the rate limit, until the context ends.
 	ListUpstreams(ctx context.Context) ([]Upstream, error)
 }
--- a/quarantine.go
+++ b/quarantine.go
@@ -6,15 +6,16 @@
 	"net/netip"
 )
 
-// requestDigestSize is enough that nobody makes two requests with one digest, and half
-// of what SHA-256 gives: digests go over links and into the log.
+// requestDigestSize is the size of a [Digest] in bytes: half of a SHA-256 hash, because
+// digests are sent over the network and stored in the log, and still enough that nobody can
+// construct two requests with the same digest.
 const requestDigestSize = 16
 
-// Digest names what an organisation asks for, whatever id its attempts have. The
-// zero value names nothing.
+// Digest identifies the content of an organisation's request, independent of the IDs of its
+// attempts. The zero value identifies no request.
 type Digest [requestDigestSize]byte
 
-// String returns the digest as logs have it.
+// String returns the digest in the form used in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText implements [encoding.TextMarshaler].
@@ -29,17 +30,17 @@
 	return err
 }
 
-// QuarantineStage is what is done with requests that upstreams ended under.
+// QuarantineStage says how requests that crash upstreams are treated.
 type QuarantineStage uint8
 
-// The stages.
+// The quarantine stages.
 const (
 	QuarantineNone    QuarantineStage = iota
-	QuarantineIsolate                 // it runs where no other suspect does
-	QuarantineRefuse                  // it does not run
+	QuarantineIsolate                 // the request runs at an upstream reserved for it
+	QuarantineRefuse                  // the request does not run
 )
 
-// String returns the stage as logs have it.
+// String returns the stage in the form used in logs.
 func (s QuarantineStage) String() string {
 	switch s {
 	case QuarantineIsolate:
@@ -50,23 +51,23 @@
 	return "free"
 }
 
-// Quarantine is what all VMs are to know of a request under which upstreams ended.
+// Quarantine is the state, sent to all VMs, of a request whose runs crash upstreams.
 type Quarantine struct {
 	Digest  Digest          `json:"digest"`
-	Service string          `json:"service"` // that it goes to
+	Service string          `json:"service"` // the service that the request is for
 	Stage   QuarantineStage `json:"stage"`
-	// TrialVM is the VM that runs one copy of a refused request, "" if none does; Try
-	// counts the trials.
+	// TrialVM is the VM that makes a trial run of a refused request, "" if there is none;
+	// TrialCount is the number of trial runs.
 	TrialVM    string `json:"trial,omitempty"`
 	TrialCount int    `json:"try,omitempty"`
 }
 
-// Isolated reports whether copies of the request run at an upstream of their own.
+// Isolated reports whether the request runs at an upstream reserved for it.
 func (h Quarantine) Isolated() bool { return h.Stage == QuarantineIsolate || h.TrialVM != "" }
 
-// Prober finds out whether an upstream's process is there.
+// Prober checks whether an upstream's process still exists.
 type Prober interface {
-	// Gone reports whether nothing listens at an upstream's address any more. What
-	// can't be found out is taken for an upstream that lives.
+	// Gone reports whether nothing listens at the upstream's address any more. If that cannot
+	// be determined, the upstream is assumed to be running.
 	Gone(ctx context.Context, address netip.AddrPort) bool
 }
--- a/refusal.go
+++ b/refusal.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// RunStatus tells a caller whether an upstream can have begun its request.
+// RunStatus says whether an upstream may have started a request.
 type RunStatus string
 
-// The words of the "run" member of a problem document.
+// The values of the "run" member of a problem document.
 const (
-	NotRun     RunStatus = "not-run" // no upstream can have begun the request
-	Ran        RunStatus = "ran"     // an upstream began it
-	RunUnknown RunStatus = "unknown" // it cannot be known
+	NotRun     RunStatus = "not-run" // no upstream can have started the request
+	Ran        RunStatus = "ran"     // an upstream started the request
+	RunUnknown RunStatus = "unknown" // an upstream may have started the request
 )
 
-// Code is the machine-readable reason for a refusal. Each code has a counter.
+// Code is the machine-readable reason of a refusal. Each code has its own counter.
 type Code string
 
-// The codes a caller or an operator can meet. docs/API.md lists them.
+// The codes that callers and operators can receive. docs/API.md lists them.
 const (
 	CodeKeyUnknown         Code = "key-unknown"
 	CodeModelForbidden     Code = "model-forbidden"
@@ -47,7 +47,7 @@
 	CodeOutcomeUnknown     Code = "outcome-unknown"
 )
 
-// httpStatuses gives the HTTP status of each code.
+// httpStatuses maps each code to its HTTP status.
 var httpStatuses = map[Code]int{
 	CodeKeyUnknown:         http.StatusUnauthorized,
 	CodeModelForbidden:     http.StatusForbidden,
@@ -78,15 +78,15 @@
 // HTTPStatuses returns every code with its HTTP status.
 func HTTPStatuses() map[Code]int { return httpStatuses }
 
-// Refusal is the final answer to a request that gets no whole answer.
+// Refusal is the final response to a request that gets no complete answer.
 type Refusal struct {
 	Code       Code
 	Run        RunStatus
 	Detail     string
-	RetryAfter time.Duration // zero: the header is left out
+	RetryAfter time.Duration // zero: no Retry-After header is sent
 }
 
-// NewRefusal returns a refusal of a request that no upstream can have begun.
+// NewRefusal returns a refusal of a request that no upstream can have started.
 func NewRefusal(code Code, format string, args ...any) *Refusal {
 	return &Refusal{
 		Code:   code,
@@ -95,13 +95,13 @@
 	}
 }
 
-// WithRetryAfter returns the refusal with the time after which to come back.
+// WithRetryAfter sets the delay after which the caller may retry, and returns r.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// WithRunStatus returns the refusal with the run word replaced.
+// WithRunStatus sets the run status and returns r.
 func (r *Refusal) WithRunStatus(run RunStatus) *Refusal {
 	r.Run = run
 	return r
--- a/version.go
+++ b/version.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// ModelVersion names one version of one model, written "model@name".
+// ModelVersion identifies one version of one model, written "model@name".
 type ModelVersion struct {
 	Model string
 	Name  string
 }
 
-// ParseModelVersion splits "model@name". A text without "@" is a bare model, with an
-// empty Name.
+// ParseModelVersion parses "model@name". A string without "@" is a model without a version;
+// its Name is empty.
 func ParseModelVersion(s string) ModelVersion {
 	model, name, _ := strings.Cut(s, "@")
 	return ModelVersion{
@@ -18,7 +18,7 @@
 	}
 }
 
-// String returns the written form.
+// String returns the form "model@name", or only the model if Name is empty.
 func (v ModelVersion) String() string {
 	if v.Name == "" {
 		return v.Model
@@ -26,5 +26,5 @@
 	return v.Model + "@" + v.Name
 }
 
-// Pinned reports whether the version is named, not only the model.
+// Pinned reports whether v names a version, not only a model.
 func (v ModelVersion) Pinned() bool { return v.Name != "" }
