--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -11,21 +11,22 @@
 	"persimmoncross/core/state/record"
 )
 
-// maxResumes is how often one broken stream is resumed.
+// maxResumes limits how many times one attempt's interrupted stream is resumed.
 const maxResumes = 2
 
-// responseWriter takes the answer of a step.
+// responseWriter receives the response of a cascade step.
 type responseWriter interface {
 	start(h persimmoncross.ResponseHead) error
 	write(chunk []byte) error
-	// committed reports whether a part went where it can't be taken back.
+	// committed reports whether a part of the response can no longer be taken back.
 	committed() bool
 }
 
-// errCallerGone means that the caller does not take the answer.
-var errCallerGone = errors.New("dispatch: the caller is gone")
+// errCallerGone means that the caller no longer accepts the response.
+var errCallerGone = errors.New("dispatch: the caller has disconnected")
 
-// runStep runs one runStep until one attempt succeeds or none may follow.
+// runStep runs one step of a cascade, or the only step, until an attempt succeeds or no
+// further attempt is allowed.
 func (r *execution) runStep(ctx context.Context, step, version persimmoncross.ModelVersion, out responseWriter) *persimmoncross.Refusal {
 	d, w := r.dispatcher, r.request
 	for try := range w.maxAttempts() {
@@ -60,7 +61,8 @@
 	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").WithRetryAfter(upstreamRetryAfter)
 }
 
-// callService runs a plain callService's call.
+// callService sends a plain service's request until an attempt succeeds or no further attempt
+// is allowed.
 func (r *execution) callService(ctx context.Context) *persimmoncross.Refusal {
 	d, w := r.dispatcher, r.request
 	for try := range w.maxAttempts() {
@@ -89,7 +91,7 @@
 	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").WithRetryAfter(upstreamRetryAfter)
 }
 
-// retryAfter returns when a caller should come back for whom there is no upstream.
+// retryAfter returns the delay after which a caller may retry when no upstream is available.
 func (r *execution) retryAfter(c routing.PickInfo) time.Duration {
 	wait := r.dispatcher.Table.MinBackoffRemaining(c)
 	if wait > 0 {
@@ -98,7 +100,7 @@
 	return max(wait, upstreamRetryAfter)
 }
 
-// checkBeforeAttempt checks what must hold right before an attempt starts.
+// checkBeforeAttempt checks the conditions for an attempt immediately before it starts.
 func (r *execution) checkBeforeAttempt(ctx context.Context, try int) *persimmoncross.Refusal {
 	if ctx.Err() != nil {
 		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the time is up")
@@ -119,7 +121,8 @@
 	return nil
 }
 
-// checkAfterFailure decides after a failed attempt: nil means that another may follow.
+// checkAfterFailure returns the refusal that follows a failed attempt, or nil if another
+// attempt is allowed.
 func (r *execution) checkAfterFailure(ctx context.Context, err error, out responseWriter) *persimmoncross.Refusal {
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the time is up, or the caller is gone")
@@ -144,12 +147,12 @@
 	return nil
 }
 
-// refuse returns a refusal with what is known of the request's runs.
+// refuse returns a refusal with the request's run status.
 func (r *execution) refuse(code persimmoncross.Code, format string, args ...any) *persimmoncross.Refusal {
 	return persimmoncross.NewRefusal(code, format, args...).WithRunStatus(r.runStatus)
 }
 
-// replaceVersion finds another version when the one chosen may not run any more.
+// replaceVersion chooses another version when the chosen one is no longer permitted.
 func (r *execution) replaceVersion(ctx context.Context, step, version persimmoncross.ModelVersion) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	s := r.dispatcher.Settings()
 	pin, replacement, ok := r.dispatcher.choosePin(s, r.request, step)
@@ -165,7 +168,7 @@
 	return r.dispatcher.commitPin(ctx, r.request, pin)
 }
 
-// attempt sends the request to one upstream and passes its answer on.
+// attempt sends the request to one upstream and forwards the response.
 func (r *execution) attempt(ctx context.Context, u *routing.Upstream, v persimmoncross.ModelVersion, out responseWriter) error {
 	d, w := r.dispatcher, r.request
 	r.triedUpstreams[u.Name] = true
@@ -222,8 +225,8 @@
 	r.runStatus = strongerRunStatus(r.runStatus, persimmoncross.RunUnknown)
 }
 
-// copyResponse copies the answer's chunks to the writer. A stream that breaks is
-// resumed by its engine; another engine's answer never continues it.
+// copyResponse copies the response's chunks to the writer. An interrupted stream is resumed
+// at the same engine; a response from another engine never continues it.
 func (r *execution) copyResponse(ctx context.Context, u *routing.Upstream, a persimmoncross.Attempt, response persimmoncross.Response, out responseWriter, startedAt time.Time, stallWatchdog *watchdog) error {
 	defer func() { response.Close() }()
 	head := response.Head()
@@ -272,7 +275,7 @@
 	return nil
 }
 
-// recordPartialUsage keeps what was generated, for the bill of a cancelled request.
+// recordPartialUsage keeps the usage so far, for billing if the request is cancelled.
 func (r *execution) recordPartialUsage(a persimmoncross.Attempt, u *routing.Upstream, usage persimmoncross.Usage) {
 	r.partialLine = newBillingLine(a, u, usage)
 }
@@ -291,8 +294,9 @@
 	}
 }
 
-// recordOutcome tells the upstream's history and the version's evidence the outcome.
-// A caller who leaves, and a request at fault, say nothing of either.
+// recordOutcome records the attempt's outcome in the upstream's circuit breaker and in the
+// version's rollout evidence. An attempt that the caller cancelled, or whose request was
+// invalid, says nothing about either.
 func (r *execution) recordOutcome(ctx context.Context, u *routing.Upstream, v persimmoncross.ModelVersion, err error) {
 	var a *persimmoncross.AttemptError
 	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.ClientFault
@@ -306,7 +310,7 @@
 		u.SetBackoff(r.dispatcher.Clock.Now().Add(a.RetryAfter))
 	}
 	if v.Model == "" || a != nil && (a.Overloaded || a.Run == persimmoncross.NotRun) {
-		return // the engine's fault, not the version's
+		return // a fault of the engine, not of the version
 	}
 	r.dispatcher.RolloutEvidence.Note(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
 }
--- a/core/coordination/dispatch/backoff_test.go
+++ b/core/coordination/dispatch/backoff_test.go
@@ -10,8 +10,8 @@
 	"persimmoncross"
 )
 
-// serveRejections replaces the engine by a server that rejects all requests with the status and a
-// Retry-After. It returns how many requests reached it.
+// serveRejections replaces the engine by a server that rejects all requests with the status
+// and a Retry-After header. It returns the number of requests that reached the server.
 func (e *testEnv) serveRejections(name string, status int) *atomic.Int64 {
 	reached := &atomic.Int64{}
 	e.addServer(name, httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -24,7 +24,7 @@
 	return reached
 }
 
-// An engine gets requests within the Retry-After that it answered.
+// An engine must get no requests during the Retry-After delay of its response.
 func TestRequestsDuringAnEngineBackoff(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests} {
 		e := newEnv(t)
@@ -35,12 +35,13 @@
 			}
 		}
 		if n := reached.Load(); n != 1 {
-			t.Errorf("status %d: it got %d requests", status, n)
+			t.Errorf("status %d: the engine received %d requests, want 1", status, n)
 		}
 	}
 }
 
-// With all engines in a backoff callers are refused at once, with its end as Retry-After.
+// When all engines are in a backoff, callers must be refused at once, with the end of the
+// backoff as Retry-After.
 func TestAllEnginesInBackoff(t *testing.T) {
 	e := newEnv(t)
 	reached := e.serveRejections("engine-3", http.StatusServiceUnavailable)
@@ -48,9 +49,9 @@
 	before := reached.Load()
 	s := e.serve(e.chatRequest("large", 1))
 	if s.refusal == nil || s.refusal.Run != persimmoncross.NotRun || s.refusal.RetryAfter < 25*time.Second || s.refusal.RetryAfter > 30*time.Second {
-		t.Errorf("refusal %+v", s.refusal)
+		t.Errorf("got refusal %+v, want not-run with a Retry-After of 25 to 30 s", s.refusal)
 	}
 	if n := reached.Load(); before != 1 || n != before {
-		t.Errorf("it got %d requests, then %d", before, n)
+		t.Errorf("the engine received %d requests, then %d; want 1 both times", before, n)
 	}
 }
--- a/core/coordination/dispatch/cascade.go
+++ b/core/coordination/dispatch/cascade.go
@@ -10,18 +10,18 @@
 	"persimmoncross/core/state/settings"
 )
 
-// maxRatedAnswerBytes bounds an answer that waits for its rating.
+// maxRatedAnswerBytes limits the size of an answer that is buffered until it is rated.
 const maxRatedAnswerBytes = 4 << 20
 
-// cascadeRatingTimeout bounds how long an answer is held back for its rating.
+// cascadeRatingTimeout limits how long an answer is held back for its rating.
 const cascadeRatingTimeout = 2 * time.Second
 
-// errAnswerTooLarge means that an answer can't be held back for a rating.
-var errAnswerTooLarge = errors.New("dispatch: the answer is too large to be rated")
+// errAnswerTooLarge means that an answer is too large to be buffered for a rating.
+var errAnswerTooLarge = errors.New("dispatch: the answer is too large to be buffered for rating")
 
-// runCascade runs the steps from cheap to strong until an answer is good enough.
-// All but the last step's answers are held back until they are rated, so that
-// the caller never sees parts of two.
+// runCascade runs the steps from the cheapest to the strongest model until an answer is good
+// enough. The answers of all steps but the last are buffered until they are rated, so that
+// the caller never receives parts of two answers.
 func (o *claimedExecution) runCascade(ctx context.Context) *persimmoncross.Refusal {
 	r := o.execution
 	quality := r.qualityThreshold()
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// chooseFirstStep chooses the step to start with.
+// chooseFirstStep returns the index of the step to start with.
 func (d *Dispatcher) chooseFirstStep(s *settings.Snapshot, w *Request, steps []persimmoncross.ModelVersion) int {
 	if len(steps) == 1 || d.Rater == nil {
 		return 0
@@ -81,7 +81,7 @@
 	r.dispatcher.CascadeEstimator.RecordDuration(step.Model, r.dispatcher.Clock.Now().Sub(startedAt))
 }
 
-// versionForStep returns the version of a step; the session is pinned for it.
+// versionForStep returns the version for a step and pins the session to it.
 func (o *claimedExecution) versionForStep(ctx context.Context, i int, step persimmoncross.ModelVersion) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	if i == o.firstStep {
 		return o.firstVersion, nil
@@ -110,8 +110,8 @@
 	return r.request.Organisation.Quality
 }
 
-// rateAndAccept rates a held answer. Without a rating it is not good enough: the
-// strongest step's answer needs none.
+// rateAndAccept rates a buffered answer and reports whether it is good enough. An answer
+// whose rating fails is not: the answer of the last step follows, which is not rated.
 func (r *execution) rateAndAccept(ctx context.Context, buffered *bufferedResponse, quality float64) bool {
 	d := r.dispatcher
 	if d.Rater == nil {
@@ -132,7 +132,7 @@
 	return good
 }
 
-// bufferedResponse is a writer that keeps the answer until it is released.
+// bufferedResponse is a responseWriter that buffers the answer until sendTo sends it.
 type bufferedResponse struct {
 	head   persimmoncross.ResponseHead
 	chunks [][]byte
@@ -141,7 +141,7 @@
 
 func (h *bufferedResponse) start(head persimmoncross.ResponseHead) error {
 	h.head = head
-	h.chunks = nil // a retry starts over
+	h.chunks = nil // a retry starts from the beginning
 	h.size = 0
 	return nil
 }
--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -12,15 +12,15 @@
 	"persimmoncross/internal/standin"
 )
 
-// TestUpstreamFaults causes each fault at the first engine that a request is
-// sent to, and checks what the caller gets, what ran, and what is billed.
+// TestUpstreamFaults causes each fault at the first engine that a request is sent to, and
+// checks what the caller receives, which runs started, and what is billed.
 func TestUpstreamFaults(t *testing.T) {
 	const tokens = 30
 	for _, c := range []struct {
 		name   string
 		fault  standin.Fault
 		stall  time.Duration
-		code   persimmoncross.Code // "": a whole answer
+		code   persimmoncross.Code // "" expects a complete answer
 		run    persimmoncross.RunStatus
 		starts int
 	}{
@@ -39,7 +39,7 @@
 			starts: 2,
 		},
 		{
-			name: "crossed answer",
+			name: "response to another attempt",
 			fault: standin.Fault{
 				Kind: standin.FaultCrossed,
 			},
@@ -54,14 +54,14 @@
 			starts: 2,
 		},
 		{
-			name: "cut before the first token",
+			name: "connection closed before the first token",
 			fault: standin.Fault{
 				Kind: standin.FaultCut,
 			},
 			starts: 2,
 		},
 		{
-			name: "cut in the middle, resumable",
+			name: "connection closed in the middle, resumable",
 			fault: standin.Fault{
 				Kind:      standin.FaultCut,
 				After:     10,
@@ -70,7 +70,7 @@
 			starts: 1,
 		},
 		{
-			name: "cut in the middle, not resumable",
+			name: "connection closed in the middle, not resumable",
 			fault: standin.Fault{
 				Kind:  standin.FaultCut,
 				After: 10,
@@ -89,14 +89,14 @@
 			}
 			s := e.serve(w)
 			if n := len(e.startedRuns()); n != c.starts {
-				t.Errorf("%d runs began, want %d", n, c.starts)
+				t.Errorf("%d runs started, want %d", n, c.starts)
 			}
 			if c.code != "" {
 				if s.refusal == nil || s.refusal.Code != c.code || s.refusal.Run != c.run {
-					t.Errorf("refusal %v", s.refusal)
+					t.Errorf("got refusal %v", s.refusal)
 				}
 				if n := len(e.settledRequests()); n != 0 {
-					t.Errorf("%d bills for no answer", n)
+					t.Errorf("got %d settled requests without an answer, want 0", n)
 				}
 				return
 			}
@@ -105,13 +105,13 @@
 			}
 			bills := e.settledRequests()
 			if len(bills) != 1 || len(bills[0].GetLines()) != 1 || bills[0].GetLines()[0].GetOutput() != tokens {
-				t.Errorf("bills %v", bills)
+				t.Errorf("unexpected settled requests: %v", bills)
 			}
 		})
 	}
 }
 
-// A call that may not run twice is sent once, whatever becomes of it.
+// A request that must not run twice is sent once, whatever its outcome.
 func TestAtMostOnceCallIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -140,26 +140,26 @@
 			w.StallTimeout = 100 * time.Millisecond
 			s := e.serve(w)
 			if s.refusal == nil || s.refusal.Code != persimmoncross.CodeOutcomeUnknown || s.refusal.Run != persimmoncross.RunUnknown {
-				t.Errorf("refusal %v", s.refusal)
+				t.Errorf("got refusal %v", s.refusal)
 			}
-			// The caller asks again, with the fault gone.
+			// The caller sends the request again, without the fault.
 			e.service.SetFault(standin.Fault{
 				Kind: standin.FaultNone,
 			})
 			again := e.serviceRequest("POST", "/deposit")
 			again.IdempotencyKey = "d1"
 			if s := e.serve(again); s.refusal == nil || s.refusal.Run == persimmoncross.NotRun {
-				t.Errorf("resend: refusal %v", s.refusal)
+				t.Errorf("got refusal %v for the repeated request", s.refusal)
 			}
 			if n := len(e.startedRuns()); n != 1 {
-				t.Errorf("%d runs began, want 1", n)
+				t.Errorf("%d runs started, want 1", n)
 			}
 		})
 	}
 }
 
-// Permission that ends while a request retries, climbs or moves on must be
-// seen before the next attempt.
+// A permission that ends while a request is retried, escalated or moved to another version
+// must be checked before the next attempt.
 func TestPermissionRevokedBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -192,10 +192,10 @@
 			c.end(e)
 			s := <-done
 			if s.refusal == nil || s.refusal.Code != c.code {
-				t.Errorf("refusal %v", s.refusal)
+				t.Errorf("got refusal %v", s.refusal)
 			}
 			if n := len(e.startedRuns()); n != 1 {
-				t.Errorf("%d runs began", n)
+				t.Errorf("%d runs started, want 1", n)
 			}
 		})
 	}
@@ -215,37 +215,37 @@
 		e.apply("")
 		s := <-done
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeServiceForbidden || s.refusal.Run == persimmoncross.NotRun {
-			t.Errorf("refusal %v", s.refusal)
+			t.Errorf("got refusal %v", s.refusal)
 		}
 		if n := len(e.startedRuns()); n != 1 {
-			t.Errorf("%d runs began", n)
+			t.Errorf("%d runs started, want 1", n)
 		}
 	})
-	t.Run("denied before a climb", func(t *testing.T) {
+	t.Run("denied before an escalation", func(t *testing.T) {
 		e := newEnv(t)
 		e.rater.smallRating = 0.1
 		e.rater.onRate = func() { e.apply(`, "deny": ["large"]`) }
 		s := e.serve(e.chatRequest("auto", 5))
 		if s.refusal == nil || s.refusal.Run != persimmoncross.Ran {
-			t.Errorf("refusal %v", s.refusal)
+			t.Errorf("got refusal %v", s.refusal)
 		}
 		for _, r := range e.startedRuns() {
 			if r.Version == "large@1" {
-				t.Error("a run on the denied version")
+				t.Error("the denied version ran the request")
 			}
 		}
 	})
-	t.Run("withdrawn before a climb", func(t *testing.T) {
+	t.Run("withdrawn before an escalation", func(t *testing.T) {
 		e := newEnv(t)
 		e.rater.smallRating = 0.1
 		e.rater.onRate = func() { e.withdraw("large@1") }
 		s := e.serve(e.chatRequest("auto", 5))
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeVersionWithdrawn || s.refusal.Run != persimmoncross.Ran {
-			t.Errorf("refusal %v", s.refusal)
+			t.Errorf("got refusal %v", s.refusal)
 		}
 		for _, r := range e.startedRuns() {
 			if r.Version == "large@1" {
-				t.Error("a run on the withdrawn version")
+				t.Error("the withdrawn version ran the request")
 			}
 		}
 	})
@@ -264,10 +264,10 @@
 		e.gate.set(nil, persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "lapsed"))
 		s := <-done
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeNoLease || s.refusal.Run == persimmoncross.NotRun {
-			t.Errorf("refusal %v", s.refusal)
+			t.Errorf("got refusal %v", s.refusal)
 		}
 		if n := len(e.startedRuns()); n != 1 {
-			t.Errorf("%d runs began", n)
+			t.Errorf("%d runs started, want 1", n)
 		}
 	})
 }
@@ -293,7 +293,7 @@
 			lines:   2,
 		},
 		{
-			name:    "no rating",
+			name:    "rating fails",
 			err:     errors.New("down"),
 			version: "large@1",
 			lines:   2,
@@ -308,23 +308,23 @@
 				t.Errorf("refusal %v, version %s, text %q", s.refusal, s.head.Version, s.text())
 			}
 			if b := e.settledRequests(); len(b) != 1 || len(b[0].GetLines()) != c.lines {
-				t.Errorf("bills %v", b)
+				t.Errorf("unexpected settled requests: %v", b)
 			}
 		})
 	}
 }
 
-// The end of an answer waits for its settlement: without one the answer is not
-// shown as whole. The claim is closed once the ledger answers again.
+// The end of an answer must wait for the settlement: if the settlement fails, the answer is
+// not reported as complete. The claim is settled once the ledger is available again.
 func TestResponseEndsAfterSettlement(t *testing.T) {
 	e := newEnv(t)
 	e.ledger.onCommand = func(c *record.Command) { e.ledger.unavailable = c.GetSettle() != nil }
 	s := e.serve(e.chatRequest("small", 5))
 	if s.refusal == nil || s.refusal.Code != persimmoncross.CodeLedgerUnavailable || s.refusal.Run != persimmoncross.Ran {
-		t.Errorf("refusal %v", s.refusal)
+		t.Errorf("got refusal %v", s.refusal)
 	}
 	if n, _, _ := e.ledger.machine.Sizes(); n != 1 {
-		t.Fatalf("%d claims", n)
+		t.Fatalf("got %d claims, want 1", n)
 	}
 	e.ledger.mu.Lock()
 	e.ledger.onCommand = nil
@@ -340,12 +340,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(e.settledRequests()); n != 0 {
-		t.Errorf("%d bills for no answer", n)
+		t.Errorf("got %d settled requests without an answer, want 0", n)
 	}
 }
 
-// A caller without a key who leaves cancels the run and is billed for what was
-// generated; the run of one with a key goes on.
+// A caller without an idempotency key who disconnects cancels the run and is billed for the
+// tokens generated so far. The run of a request with a key continues.
 func TestCallerDisconnects(t *testing.T) {
 	t.Run("without a key", func(t *testing.T) {
 		e := newEnv(t)
@@ -363,13 +363,13 @@
 		e.dispatcher.Serve(ctx, e.chatRequest("small@1", 5000), s)
 		bills := e.settledRequests()
 		if len(bills) != 1 || bills[0].GetOutcome() != "cancelled" || bills[0].GetLines()[0].GetOutput() != 25 {
-			t.Errorf("bills %v", bills)
+			t.Errorf("unexpected settled requests: %v", bills)
 		}
 		for e.startedRuns()[0].End == "" {
 			time.Sleep(time.Millisecond)
 		}
 		if r := e.startedRuns()[0]; r.End != "cancelled" {
-			t.Errorf("the run ended %q", r.End)
+			t.Errorf("the run ended as %q, want cancelled", r.End)
 		}
 	})
 	t.Run("with a key", func(t *testing.T) {
@@ -391,8 +391,8 @@
 	})
 }
 
-// A long answer to a request with a key takes bounded memory, and a reader that
-// comes too late is refused.
+// The answer to a request with an idempotency key uses bounded memory however long it is, and
+// a reader that starts after chunks were dropped is refused.
 func TestLongKeyedResponseUsesBoundedMemory(t *testing.T) {
 	const tokens = 20_000
 	e := newEnv(t)
@@ -404,12 +404,12 @@
 	first.onWrite = func() {
 		if len(first.chunks) == tokens-5 {
 			if !e.dispatcher.ServeJoin(t.Context(), "relay", "long", late) {
-				t.Error("the request does not run any more")
+				t.Error("the request is no longer running")
 			}
 			close(asked)
 		}
 	}
-	// The run must not end before the late reader has asked.
+	// The run must not end before the late reader has joined.
 	e.ledger.onCommand = func(c *record.Command) {
 		if c.GetSettle() != nil {
 			<-asked
@@ -420,15 +420,14 @@
 		t.Errorf("refusal %v, %d bytes", first.refusal, len(first.text()))
 	}
 	if late.refusal == nil || late.refusal.Code != persimmoncross.CodeAnswerLost {
-		t.Errorf("the late reader got %v", late.refusal)
+		t.Errorf("got refusal %v for the late reader, want answer-lost", late.refusal)
 	}
 }
 
-// One that may not be repeated must not be sent again by net/http either, when
-// its connection breaks.
+// net/http must not resend a request that must not run twice when its connection breaks.
 func TestConnectionDoesNotResend(t *testing.T) {
 	e := newEnv(t)
-	// A connection is kept alive, then the service cuts the next call on it.
+	// The first request leaves a keep-alive connection; the service closes it during the next.
 	e.serve(e.serviceRequest("GET", "/ping"))
 	e.service.SetFault(standin.Fault{
 		Kind: standin.FaultCut,
@@ -444,11 +443,12 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("the call was sent %d times", n)
+		t.Errorf("the request was sent %d times, want 1", n)
 	}
 }
 
-// A version that fails at an engine must not take the engine from the others.
+// A version that fails at an engine must not keep requests for other versions from the
+// engine.
 func TestCircuitBreakerIsPerVersion(t *testing.T) {
 	e := newEnv(t)
 	e.engines["engine-1"].SetFault(standin.Fault{
@@ -470,12 +470,12 @@
 		}
 	}
 	if n := at("small@2"); n != 5 {
-		t.Errorf("%d runs of the failing version before the circuit opened, want 5", n)
+		t.Errorf("%d runs of the failing version before the circuit breaker opened, want 5", n)
 	}
 	for range 3 {
 		e.serve(e.chatRequest("small@1", 1))
 	}
 	if n := at("small@1"); n != 3 {
-		t.Errorf("%d runs of the good version at the engine, want 3", n)
+		t.Errorf("%d runs of the working version at the engine, want 3", n)
 	}
 }
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -19,37 +19,37 @@
 	"persimmoncross/core/state/settings"
 )
 
-// settleGracePeriod is how long past its deadline a request may wait for the ledger.
+// settleGracePeriod limits how long past its deadline a request may wait for the ledger.
 const settleGracePeriod = 10 * time.Second
 
-// RolloutEvidence learns how versions do, and limits new work on those being rolled
-// out.
+// RolloutEvidence collects the outcomes of runs by version, and limits new requests to
+// versions that are being rolled out.
 type RolloutEvidence interface {
-	// Note takes the outcome of one run and the time to its first token.
+	// Note records the outcome of one run; first is the time to its first token.
 	Note(v persimmoncross.ModelVersion, organisation string, failed bool, first time.Duration)
-	// Rated takes a rating of one answer that was noted.
+	// Rated records the rating of an answer whose run was passed to Note.
 	Rated(v persimmoncross.ModelVersion, organisation string, poor bool)
-	// Sample asks whether an answer of the version should be rated.
+	// Sample reports whether an answer of the version should be rated.
 	Sample(v persimmoncross.ModelVersion) bool
-	// Expose asks whether the version may get work that could go elsewhere.
+	// Expose reports whether the version may get a request that another version could run.
 	Expose(v persimmoncross.ModelVersion) bool
 }
 
-// Dispatcher runs requests. The exported fields are set before the first.
+// Dispatcher runs requests. The exported fields must be set before the first request.
 type Dispatcher struct {
-	Owner              string // the VM and its process's incarnation
+	Owner              string // the VM and the incarnation of its process
 	Clock              persimmoncross.Clock
-	FleetTime          func() int64 // the fleet's time, in Unix nanoseconds, for the ledger
+	FleetTime          func() int64 // the fleet's time in Unix nanoseconds, for the ledger
 	Settings           func() *settings.Snapshot
 	Admitter           persimmoncross.Admitter
 	Ledger             persimmoncross.Proposer
 	UpstreamClient     persimmoncross.UpstreamClient
-	Prober             persimmoncross.Prober // nil: nothing is found out of upstreams
+	Prober             persimmoncross.Prober // nil: upstreams are not probed after a lost connection
 	QuarantineRecorder *quarantine.Recorder
 	QuarantineStore    *quarantine.Store
 	Table              *routing.Table
 	Limiter            *limits.Limiter
-	Rater              persimmoncross.Rater // nil: cascades take the first answer
+	Rater              persimmoncross.Rater // nil: a cascade uses the first step's answer
 	Joiner             persimmoncross.Joiner
 	CascadeEstimator   *cascade.Estimator
 	RolloutEvidence    RolloutEvidence
@@ -58,43 +58,43 @@
 	Random             *rand.Rand
 
 	sharedResponses sharedResponses
-	ratingQueue     chan ratingRequest // answers that wait for the rater
+	ratingQueue     chan ratingRequest // answers waiting to be rated
 	lateSettlements chan *record.Settle
 	pinnedVersions  pinCache
 
-	mu          sync.Mutex // guards Random and all below
+	mu          sync.Mutex // guards Random and all fields below
 	inFlight    int
 	retryBudget retry.Budget
 }
 
-// Of the retries that all organisations' requests share.
+// Limits of the retry budget, which the requests of all organisations share.
 const (
 	retryBudgetWindow   = 10 * time.Second
-	minRetriesPerWindow = 10 // in a window, where hardly any traffic comes
+	minRetriesPerWindow = 10 // retries allowed in a window however low the traffic
 )
 
-// creditRetryBudget lets the retries grow by a request of the organisation.
+// creditRetryBudget adds the credit of one request of the organisation to the retry budget.
 func (d *Dispatcher) creditRetryBudget(o *settings.Organisation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.retryBudgetLocked().RecordRequest(o.Retries, d.Clock.Now())
 }
 
-// takeRetry takes a retry out, and reports whether there was one.
+// takeRetry takes one retry from the retry budget and reports whether one was left.
 func (d *Dispatcher) takeRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.retryBudgetLocked().TryRetry(d.Clock.Now())
 }
 
-// retryBudgetLocked returns the retries' retryBudgetLocked. The caller holds mu.
+// retryBudgetLocked returns the retry budget with its limits set. The caller holds mu.
 func (d *Dispatcher) retryBudgetLocked() *retry.Budget {
 	d.retryBudget.Window = retryBudgetWindow
 	d.retryBudget.MinAllowance = minRetriesPerWindow
 	return &d.retryBudget
 }
 
-// Serve runs the request and hands its answer, or its refusal, to the sink.
+// Serve runs the request and sends its answer or its refusal to the sink.
 func (d *Dispatcher) Serve(ctx context.Context, w *Request, sink persimmoncross.ResponseSink) {
 	d.count("requests")
 	d.addInFlight(1)
@@ -134,11 +134,11 @@
 	d.execute(ctx, w, countedSink)
 }
 
-// capacity returns how many requests the upstreams that the request may use
-// serve at once.
+// capacity returns how many requests the upstreams permitted for the request can run
+// concurrently. It returns 0, which means unknown, for a plain service.
 func (d *Dispatcher) capacity(w *Request) int {
 	if w.Service != nil {
-		return 0 // a plain service's limits are its own
+		return 0 // a plain service enforces its own limits
 	}
 	s := d.Settings()
 	var versions []persimmoncross.ModelVersion
@@ -148,9 +148,9 @@
 	return d.Table.Capacity(versions)
 }
 
-// serveKeyed runs the request apart from its caller, who may lose the
-// connection and ask again: the run goes on, and every caller with the same
-// key gets the same recording.
+// serveKeyed runs the request independently of its caller, who may lose the connection and
+// send the request again. The run continues, and every caller with the same idempotency key
+// receives the same shared response.
 func (d *Dispatcher) serveKeyed(ctx context.Context, w *Request, sink persimmoncross.ResponseSink) {
 	response, created := d.sharedResponses.getOrCreate(w)
 	if response == nil {
@@ -170,13 +170,15 @@
 	response.streamTo(ctx, sink)
 }
 
-// Prepare makes what requests share. It comes before the first request.
+// Prepare allocates the queues that requests share. It must be called before the first
+// request.
 func (d *Dispatcher) Prepare() {
 	d.ratingQueue = make(chan ratingRequest, maxQueuedRatings)
 	d.lateSettlements = make(chan *record.Settle, maxLateSettlements)
 }
 
-// InFlight returns the number of requests being served or run.
+// InFlight returns the number of requests being served, including runs that continue without
+// a caller.
 func (d *Dispatcher) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,14 +191,14 @@
 	d.inFlight += n
 }
 
-// ServeJoin copies the answer of a request that runs here, for another VM's
-// caller. It returns false if the request doesn't run here.
+// ServeJoin copies the answer of a request that runs in this process to a caller of another
+// VM. It returns false if the request does not run here.
 func (d *Dispatcher) ServeJoin(ctx context.Context, organisation, key string, sink persimmoncross.ResponseSink) bool {
 	response := d.sharedResponses.find(organisation, key)
 	if response == nil {
 		return false
 	}
-	d.addInFlight(1) // a planned stop waits for the copy too
+	d.addInFlight(1) // a planned stop also waits for this copy
 	defer d.addInFlight(-1)
 	response.streamTo(ctx, sink)
 	return true
@@ -206,7 +208,7 @@
 	metrics.GetOrRegisterCounter(name, d.Metrics).Inc(1)
 }
 
-// countingSink counts and logs what becomes of each request.
+// countingSink counts and logs the outcome of each request.
 type countingSink struct {
 	persimmoncross.ResponseSink
 	dispatcher *Dispatcher
--- a/core/coordination/dispatch/doc.go
+++ b/core/coordination/dispatch/doc.go
@@ -1,15 +1,15 @@
-// Package dispatch carries a request from admission to settlement: it claims
-// it in the ledger, chooses version and upstream for each attempt, retries
-// where that is safe, passes the answer on, and settles.
+// Package dispatch runs a request from admission to settlement: it claims the
+// request in the ledger, chooses a version and an upstream for each attempt,
+// retries where that is safe, forwards the response, and settles the request.
 //
-// The order of the steps is what the guarantees rest on:
+// The guarantees depend on the order of the steps:
 //
-//   - the lease, the permission and the withdrawal are looked at again right
-//     before each attempt, not only at admission;
-//   - a request with an idempotency key, or that may not run twice, is claimed
-//     (committed) before its first attempt; any other is claimed while its
-//     first attempt already runs;
-//   - once a part of an answer has gone to the caller, only the same run may
-//     go on, by the engine's own resume;
-//   - the last frame is released after the settlement is committed.
+//   - the lease, the permission and the withdrawal of versions are checked again
+//     immediately before each attempt, not only at admission;
+//   - a request that has an idempotency key, has a session to be pinned, or must
+//     not run twice is claimed (committed) before its first attempt; any other
+//     request is claimed while its first attempt is already running;
+//   - once a part of an answer has been sent to the caller, only the same run may
+//     continue it, through the engine's resume;
+//   - the end of the answer is sent after the settlement is committed.
 package dispatch
--- a/core/coordination/dispatch/env_test.go
+++ b/core/coordination/dispatch/env_test.go
@@ -31,8 +31,7 @@
 	"persimmoncross/io/transport/engine"
 )
 
-// testEnv is a dispatcher with a ledger in memory, between stand-in upstreams and a
-// sink that the test reads.
+// testEnv is a dispatcher with an in-memory ledger and stand-in upstreams.
 type testEnv struct {
 	t          *testing.T
 	dispatcher *dispatch.Dispatcher
@@ -44,12 +43,12 @@
 	service    *standin.Service
 	addresses  map[string]string
 	sequence   int
-	services   string // that the organisation may call
+	services   string // services that the organisation may call
 }
 
-// fakeLedger applies commands at once, unless it is down.
+// fakeLedger applies commands at once, unless unavailable is set.
 type fakeLedger struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards all fields below
 	machine     *ledger.Ledger
 	index       uint64
 	unavailable bool
@@ -77,7 +76,7 @@
 }
 
 type fakeGate struct {
-	mu    sync.Mutex // guards both
+	mu    sync.Mutex // guards admit and lease
 	admit *persimmoncross.Refusal
 	lease *persimmoncross.Refusal
 }
@@ -104,12 +103,12 @@
 	return g.lease
 }
 
-// fakeRater gives the small model's answers one rating, all others a good one.
+// fakeRater returns smallRating for answers of the model small and 0.9 for all others.
 type fakeRater struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards all fields below
 	smallRating float64
 	err         error
-	onRate      func() // called at each rating; may be nil
+	onRate      func() // called for each rating; may be nil
 }
 
 func (r *fakeRater) Rate(_ context.Context, _, _ []byte, v persimmoncross.ModelVersion) (float64, error) {
@@ -124,14 +123,14 @@
 	return 0.9, r.err
 }
 
-// failingJoiner stands for an owner that is gone.
+// failingJoiner behaves as if the owner had exited.
 type failingJoiner struct{}
 
 func (failingJoiner) Join(context.Context, string, string, string, persimmoncross.ResponseSink) error {
 	return errors.New("gone")
 }
 
-// firstCandidate places at the first candidate, so that tests know which.
+// firstCandidate always picks the first candidate, so that tests can predict the pick.
 type firstCandidate struct{}
 
 func (firstCandidate) Pick([]persimmoncross.Candidate, int) int { return 0 }
@@ -228,7 +227,7 @@
 	})
 }
 
-// apply takes the settings into force, with more fields for the organisation.
+// apply puts the settings into force; more holds further fields of the organisation.
 func (e *testEnv) apply(more string) {
 	text := strings.NewReplacer("<key>", settings.HashKey("k"), "<more>", more, "<services>", e.services).Replace(envSettings)
 	for name, a := range e.addresses {
@@ -259,7 +258,7 @@
 	}
 }
 
-// chatRequest returns a chatRequest request.
+// chatRequest returns a chat request for the model.
 func (e *testEnv) chatRequest(model string, tokens int) *dispatch.Request {
 	o, ok := e.state.Current().Organisation("k")
 	if !ok {
@@ -277,7 +276,7 @@
 	}
 }
 
-// serviceRequest returns a plain service's serviceRequest.
+// serviceRequest returns a request to the plain service.
 func (e *testEnv) serviceRequest(method, path string) *dispatch.Request {
 	w := e.chatRequest("stock", 0)
 	w.Stream = false
@@ -289,14 +288,14 @@
 	return w
 }
 
-// fakeSink keeps what a caller would get.
+// fakeSink records what a caller would receive.
 type fakeSink struct {
 	head        persimmoncross.ResponseHead
 	chunks      []string
 	ends        int
 	refusal     *persimmoncross.Refusal
-	failAtChunk int    // the caller leaves at this chunk; 0 is never
-	onWrite     func() // called at each chunk; may be nil
+	failAtChunk int    // the caller disconnects at this chunk; 0 means never
+	onWrite     func() // called for each chunk; may be nil
 }
 
 func (s *fakeSink) Start(h persimmoncross.ResponseHead) error {
@@ -320,7 +319,7 @@
 	s.refusal = r
 }
 
-// text returns the generated text of a stream.
+// text returns the text generated in a stream.
 func (s *fakeSink) text() string {
 	var b strings.Builder
 	for _, c := range s.chunks {
@@ -341,17 +340,17 @@
 	return b.String()
 }
 
-// serve runs the request to its end.
+// serve runs the request and waits for its end.
 func (e *testEnv) serve(w *dispatch.Request) *fakeSink {
 	s := &fakeSink{}
 	e.dispatcher.Serve(e.t.Context(), w, s)
 	if s.ends != 1 {
-		e.t.Errorf("the answer ended %d times", s.ends)
+		e.t.Errorf("End was called %d times, want 1", s.ends)
 	}
 	return s
 }
 
-// startedRuns returns every run that an upstream began.
+// startedRuns returns all runs that the upstreams started.
 func (e *testEnv) startedRuns() []standin.Run {
 	var all []standin.Run
 	for _, n := range []string{"engine-1", "engine-2", "engine-3"} {
@@ -363,7 +362,7 @@
 // settledRequests returns the settled requests.
 func (e *testEnv) settledRequests() []*record.Request { return e.ledger.machine.Bills(0, 1000) }
 
-// quotaOf returns the organisation's bounds, for a test that uses them up.
+// quotaOf returns the organisation's quota, for tests that use it up.
 func quotaOf(e *testEnv) limits.Quota {
 	o, _ := e.state.Current().Organisation("k")
 	return limits.Quota{
--- a/core/coordination/dispatch/pins.go
+++ b/core/coordination/dispatch/pins.go
@@ -10,12 +10,11 @@
 	"persimmoncross/core/state/settings"
 )
 
-// maxCachedPins bounds the sessions whose pins one entry remembers.
+// maxCachedPins limits the number of sessions whose pins one entry caches.
 const maxCachedPins = 50_000
 
-// pinCache remembers pins that the ledger has committed. A pin changes only
-// when its version is withdrawn, so a remembered one stays right until the
-// ledger may have forgotten the session.
+// pinCache caches pins that the ledger has committed. A pin changes only when its version is
+// withdrawn, so a cached pin stays valid until the ledger may have dropped the session.
 type pinCache struct {
 	mu   sync.Mutex // guards pins
 	pins map[[3]string]cachedPin
@@ -49,8 +48,10 @@
 	return [3]string{w.Organisation.Name, w.SessionID, model}
 }
 
-// choosePin returns the command that pins the session for the step, nil if the
-// request has no session or its pin is known and still permitted.
+// choosePin returns the version to run the step on and the command that pins the session to
+// that version. The command is nil if the request has no session, the step names a version,
+// or the session's pin is cached and still permitted. choosePin returns false if no version
+// is permitted.
 func (d *Dispatcher) choosePin(s *settings.Snapshot, w *Request, step persimmoncross.ModelVersion) (*record.Pin, persimmoncross.ModelVersion, bool) {
 	proposed, ok := d.pickVersion(s, w.Organisation.Name, step)
 	if !ok || w.SessionID == "" || step.Pinned() {
@@ -78,8 +79,9 @@
 	}
 }
 
-// resolvePin takes the version that the ledger gave for a pin. If that one has
-// been withdrawn, the session is moved, once and for all entries.
+// resolvePin uses the version that the ledger returned for a pin. If that version has been
+// withdrawn, resolvePin moves the session to another version with a command to the ledger, so
+// that the move applies once and to all entries.
 func (d *Dispatcher) resolvePin(ctx context.Context, w *Request, p *record.Pin, versionText string) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	assigned := persimmoncross.ParseModelVersion(versionText)
 	s := d.Settings()
@@ -100,7 +102,7 @@
 	return assigned, nil
 }
 
-// commitPin commits a pin apart from a claim.
+// commitPin commits a pin that is not part of a claim.
 func (d *Dispatcher) commitPin(ctx context.Context, w *Request, p *record.Pin) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	v, refusal := d.proposeCommand(ctx, &record.Command{
 		Pin: p,
--- a/core/coordination/dispatch/quarantine.go
+++ b/core/coordination/dispatch/quarantine.go
@@ -10,18 +10,19 @@
 	"persimmoncross/core/coordination/routing"
 )
 
-// quarantineDigest names what the request asks for, whatever id and key it has.
+// quarantineDigest returns the digest of the request's content, which does not depend on its
+// ID or idempotency key.
 func (w *Request) quarantineDigest() persimmoncross.Digest {
 	return quarantine.DigestOf(w.Organisation.Name, w.Method, w.TargetName, w.Path, sha256.Sum256(w.Body))
 }
 
-// quarantineStage returns what is done with the request for what it does to upstreams.
+// quarantineStage returns the request's quarantine stage.
 func (r *execution) quarantineStage() persimmoncross.QuarantineStage {
 	return r.copy.EffectiveStage(r.dispatcher.QuarantineStore.Hold(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
 }
 
-// checkQuarantine refuses a request that ends upstreams: at once, and as not run only if it
-// has not.
+// checkQuarantine refuses a request in stage "refuse". It refuses a request that an upstream
+// may have started with CodeUpstreamFailed, and reports only other requests as not run.
 func (r *execution) checkQuarantine() *persimmoncross.Refusal {
 	if r.quarantineStage() != persimmoncross.QuarantineRefuse {
 		return nil
@@ -32,11 +33,12 @@
 	if r.runStatus != persimmoncross.NotRun {
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "upstreams end under requests like this one")
 	}
-	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("refused: upstreams end under this request")
+	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("refused a quarantined request: its runs crash upstreams")
 	return r.refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").WithRetryAfter(quarantine.RetryAfter)
 }
 
-// addIsolation adds to a choice what requests under suspicion make of it.
+// addIsolation adds the isolated requests to the pick, and the request itself if it is
+// isolated.
 func (r *execution) addIsolation(c routing.PickInfo) routing.PickInfo {
 	d := r.dispatcher
 	c.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.copy.Service)
@@ -48,8 +50,9 @@
 	return c
 }
 
-// recordForQuarantine tells the book how a run ended, and lets it be found out whether an
-// upstream that cut it has ended.
+// recordForQuarantine records how a run ended in the quarantine recorder. If the connection
+// to the upstream was lost, recordForQuarantine starts a probe of whether the upstream has
+// crashed.
 func (r *execution) recordForQuarantine(ctx context.Context, quarantineRun *quarantine.Run, u *routing.Upstream, err error) {
 	d := r.dispatcher
 	now := d.Clock.Now()
@@ -73,6 +76,6 @@
 		}
 		u.RecordExit()
 		d.count("quarantine.ended")
-		d.Log.Info().Str("upstream", u.Name).Str("address", u.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream ended under requests")
+		d.Log.Info().Str("upstream", u.Name).Str("address", u.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while it ran requests")
 	}()
 }
--- a/core/coordination/dispatch/rating.go
+++ b/core/coordination/dispatch/rating.go
@@ -8,13 +8,13 @@
 	"persimmoncross/core/state/ledger"
 )
 
-// Bounds of the ratings that roll-outs ask for.
+// Limits of the ratings for rollouts.
 const (
 	maxQueuedRatings = 256
 	ratingTimeout    = 10 * time.Second
 )
 
-// ratingRequest is an answer that is to be rated for a roll-out.
+// ratingRequest is an answer to be rated for a rollout.
 type ratingRequest struct {
 	version          persimmoncross.ModelVersion
 	organisation     string
@@ -23,8 +23,8 @@
 	answer           []byte
 }
 
-// startSampling begins to keep the answer, if the roll-outs want it rated. A
-// cascade's held answers were rated already.
+// startSampling starts to copy the answer if it is to be rated for a rollout. An answer that
+// a cascade has rated is not rated again.
 func (r *execution) startSampling(v persimmoncross.ModelVersion) {
 	d := r.dispatcher
 	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.RolloutEvidence.Sample(v) {
@@ -50,7 +50,7 @@
 	r.ratingSample.answer = append(r.ratingSample.answer, chunk...)
 }
 
-// enqueueSample hands the whole answer to the rating goroutine.
+// enqueueSample passes the complete answer to RunRatings, or drops it if the queue is full.
 func (r *execution) enqueueSample() {
 	if r.ratingSample == nil {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// RunRatings rates answers for the roll-outs until the context ends.
+// RunRatings rates answers for rollouts until the context ends.
 func (d *Dispatcher) RunRatings(ctx context.Context) {
 	for {
 		select {
--- a/core/coordination/dispatch/refusal_test.go
+++ b/core/coordination/dispatch/refusal_test.go
@@ -8,7 +8,8 @@
 	"persimmoncross/core/coordination/dispatch"
 )
 
-// Every refusal that says not-run is checked against the upstreams' books.
+// Every refusal with run status not-run is checked against the runs recorded by the
+// upstreams.
 func TestNotRunRefusalsStartNoRun(t *testing.T) {
 	stop := persimmoncross.NewRefusal(persimmoncross.CodeStopping, "stopping")
 	lapsed := persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "no lease")
@@ -17,7 +18,7 @@
 		prepare func(e *testEnv)
 		work    func(e *testEnv) *dispatch.Request
 		code    persimmoncross.Code
-		retry   bool // the refusal says when to come back
+		retry   bool // the refusal must have a Retry-After delay
 	}{
 		{
 			name:    "stopping",
@@ -74,7 +75,7 @@
 			retry:   true,
 		},
 		{
-			name: "time is up",
+			name: "deadline exceeded",
 			work: func(e *testEnv) *dispatch.Request {
 				w := e.chatRequest("small", 1)
 				w.Deadline = time.Now().Add(-time.Second)
@@ -111,16 +112,16 @@
 			}
 			s := e.serve(w)
 			if s.refusal == nil || s.refusal.Code != c.code || s.refusal.Run != persimmoncross.NotRun {
-				t.Fatalf("refusal %v, want %s", s.refusal, c.code)
+				t.Fatalf("got refusal %v, want not-run with code %s", s.refusal, c.code)
 			}
 			if c.retry && s.refusal.RetryAfter <= 0 {
-				t.Error("it does not say when to come back")
+				t.Error("the refusal has no Retry-After delay")
 			}
 			if n := len(e.startedRuns()); n != 0 {
-				t.Errorf("%d runs began", n)
+				t.Errorf("%d runs started, want 0", n)
 			}
 			if n := len(e.settledRequests()); n != 0 {
-				t.Errorf("%d bills", n)
+				t.Errorf("got %d settled requests, want 0", n)
 			}
 		})
 	}
--- a/core/coordination/dispatch/request.go
+++ b/core/coordination/dispatch/request.go
@@ -9,15 +9,15 @@
 	"persimmoncross/core/state/settings"
 )
 
-// Request is a request as admitted.
+// Request is an admitted request.
 type Request struct {
 	ID             string
-	IdempotencyKey string // the caller's idempotency key, "" if none
+	IdempotencyKey string // set by the caller; "" if there is none
 	Organisation   *settings.Organisation
-	TargetName     string // the model, version or cascade asked for
+	TargetName     string // the requested model, version, cascade or service
 	SessionID      string
 	Stream         bool
-	AtMostOnce     bool // may not run twice
+	AtMostOnce     bool // must not run twice
 	Deadline       time.Time
 	StallTimeout   time.Duration
 	Body           []byte
@@ -27,7 +27,7 @@
 	Header         http.Header
 }
 
-// ledgerKey returns the key by which the ledger knows the request.
+// ledgerKey returns the key of the request in the ledger.
 func (w *Request) ledgerKey() string {
 	if w.IdempotencyKey != "" {
 		return w.IdempotencyKey
@@ -35,7 +35,8 @@
 	return "request:" + w.ID
 }
 
-// idempotencyDigest tells whether a resend is the same request.
+// idempotencyDigest returns a digest that is the same for two requests with the same
+// idempotency key only if they are the same request.
 func (w *Request) idempotencyDigest() []byte {
 	h := sha256.New()
 	for _, s := range []string{w.Method, w.Path, w.TargetName, w.SessionID} {
@@ -46,7 +47,7 @@
 	return h.Sum(nil)
 }
 
-// maxAttempts returns how many tries the request may have.
+// maxAttempts returns the maximum number of attempts of the request.
 func (w *Request) maxAttempts() int {
 	if w.Service != nil {
 		return w.Service.Attempts
@@ -54,7 +55,8 @@
 	return w.Organisation.Attempts
 }
 
-// strongerRunStatus returns the run word that says more of two.
+// strongerRunStatus returns the stronger of two run statuses: NotRun is the weakest, Ran the
+// strongest.
 func strongerRunStatus(a, b persimmoncross.RunStatus) persimmoncross.RunStatus {
 	rank := map[persimmoncross.RunStatus]int{
 		persimmoncross.NotRun:     0,
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -14,15 +14,15 @@
 	"persimmoncross/core/state/record"
 )
 
-// maxJoinAttempts is how often a request that another entry runs is asked for there
-// before that entry's process is taken for dead; the tries are joinRetryInterval apart,
-// together longer than a settings lease, so that it starts nothing any more.
+// Limits of joining a request that another entry runs. After maxJoinAttempts failed attempts,
+// joinRetryInterval apart, the other entry's process is considered dead. All attempts together
+// take longer than a settings lease, so the other process can no longer start an attempt.
 const (
 	maxJoinAttempts   = 12
 	joinRetryInterval = 250 * time.Millisecond
 )
 
-// execution is one request under way.
+// execution is the state of one request from its claim to its settlement.
 type execution struct {
 	dispatcher       *Dispatcher
 	request          *Request
@@ -32,14 +32,14 @@
 	triedUpstreams   map[string]bool
 	billingLines     []*record.Line
 	pins             []*record.Pin
-	storedAnswer     *record.Answer // nil once it is too large
+	storedAnswer     *record.Answer // nil if the answer is too large or has no idempotency key
 	answerBytes      int
-	timeToFirstToken time.Duration // to the latest attempt's first token
-	responseStarted  bool          // a part of the answer went to the sink
+	timeToFirstToken time.Duration // of the latest attempt
+	responseStarted  bool          // a part of the answer was sent to the sink
 	partialLine      *record.Line
 	alreadyRated     bool                         // a cascade has rated the answer
 	ratingSample     *ratingRequest               // nil unless the answer is to be rated
-	claimResult      chan *persimmoncross.Refusal // the outcome of a claim made meanwhile
+	claimResult      chan *persimmoncross.Refusal // result of the claim made by claimAsync
 	copy             quarantine.Request
 }
 
@@ -60,7 +60,7 @@
 	}
 	defer func() { r.copy.Done(r.runStatus != persimmoncross.NotRun) }()
 	if refusal := r.checkQuarantine(); refusal != nil {
-		sink.End(refusal) // before anything is claimed for it
+		sink.End(refusal) // before the request is claimed
 		return
 	}
 	first, refusal := r.prepare(ctx)
@@ -74,16 +74,16 @@
 	r.close(ctx, refusal)
 }
 
-// claimedExecution is a claimed request, with its steps.
+// claimedExecution is an execution whose request is claimed, with the steps to run.
 type claimedExecution struct {
 	execution    *execution
 	steps        []persimmoncross.ModelVersion
-	firstStep    int                         // the step to start with
-	firstVersion persimmoncross.ModelVersion // for that step
+	firstStep    int                         // index of the step to start with
+	firstVersion persimmoncross.ModelVersion // version for that step
 }
 
-// prepare claims the request. A nil result without a refusal means that the sink
-// has had its answer already: a recorded one, or another entry's.
+// prepare claims the request. A nil result without a refusal means that the sink has already
+// received its answer, either one stored in the ledger or that of another entry's run.
 func (r *execution) prepare(ctx context.Context) (*claimedExecution, *persimmoncross.Refusal) {
 	d, w := r.dispatcher, r.request
 	o := &claimedExecution{
@@ -123,8 +123,8 @@
 	return o, nil
 }
 
-// claimAsync claims while the first attempt runs: the request has no key, so
-// nobody else can have claimed it.
+// claimAsync claims the request while its first attempt runs. The request has no idempotency
+// key, so nobody else can have claimed it.
 func (r *execution) claimAsync(ctx context.Context) {
 	r.claimResult = make(chan *persimmoncross.Refusal, 1)
 	ctx = context.WithoutCancel(ctx)
@@ -139,8 +139,8 @@
 	}()
 }
 
-// claimOrReplay gets the right to run the request, or gives the sink the answer that
-// there is already, and returns nil.
+// claimOrReplay claims the request. If the request has been claimed before, claimOrReplay
+// sends the existing answer to the sink and returns nil, or returns a refusal.
 func (r *execution) claimOrReplay(ctx context.Context, pin *record.Pin) (*record.Verdict, *persimmoncross.Refusal) {
 	deadOwner := ""
 	for try := 0; ; try++ {
@@ -177,7 +177,7 @@
 	}
 }
 
-// replayAnswer gives the sink the answer that the ledger kept.
+// replayAnswer sends the answer stored in the ledger to the sink.
 func (r *execution) replayAnswer(v *record.Verdict) *persimmoncross.Refusal {
 	if v.GetOutcome() != ledger.Whole {
 		return persimmoncross.NewRefusal(persimmoncross.CodeOutcomeUnknown, "the request ended as %q and may not run again", v.GetOutcome()).WithRunStatus(persimmoncross.Ran)
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// runSteps runs the steps.
+// runSteps runs the service's request, the cascade or the only step.
 func (o *claimedExecution) runSteps(ctx context.Context) *persimmoncross.Refusal {
 	if o.execution.request.Service != nil {
 		return o.execution.callService(ctx)
@@ -219,7 +219,7 @@
 	return o.execution.runStep(ctx, o.steps[0], o.firstVersion, o.execution)
 }
 
-// close settles, and only then releases the end of the answer.
+// close settles the request and only then sends the end of the answer.
 func (r *execution) close(ctx context.Context, refusal *persimmoncross.Refusal) {
 	if r.claimResult != nil {
 		if failed := <-r.claimResult; failed != nil && refusal == nil {
@@ -251,7 +251,7 @@
 	r.sink.End(refusal)
 }
 
-// run is the writer of the step whose answer the caller gets.
+// The methods below implement responseWriter for the step whose answer is sent to the caller.
 
 func (r *execution) start(h persimmoncross.ResponseHead) error {
 	r.responseStarted = true
@@ -281,7 +281,8 @@
 
 func (r *execution) committed() bool { return r.responseStarted }
 
-// newAttemptID is unique: the request's id is, and the attempts are numbered.
+// newAttemptID returns a unique ID: the request's ID is unique, and its attempts are
+// numbered.
 func (r *execution) newAttemptID() string {
 	r.attemptCount++
 	return fmt.Sprintf("%s-%d", r.request.ID, r.attemptCount)
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -11,15 +11,15 @@
 	"persimmoncross/core/state/record"
 )
 
-// Times to come back that refusals name.
+// Delays of the Retry-After header in refusals, and the size of the queue of late settlements.
 const (
-	ledgerRetryAfter     = 2 * time.Second // an election
+	ledgerRetryAfter     = 2 * time.Second // the duration of an election
 	ledgerFullRetryAfter = time.Minute
 	upstreamRetryAfter   = time.Second
-	maxLateSettlements   = 4096 // requests to be closed late
+	maxLateSettlements   = 4096 // requests waiting for a late settlement
 )
 
-// proposeCommand commits a ledger proposeCommand and returns the ledger's verdict.
+// proposeCommand commits a command to the ledger and returns the ledger's verdict.
 func (d *Dispatcher) proposeCommand(ctx context.Context, c *record.Command) (*record.Verdict, *persimmoncross.Refusal) {
 	raw, err := d.Ledger.Propose(ctx, record.Encode(c))
 	if err != nil {
@@ -48,8 +48,8 @@
 	})
 }
 
-// settle commits the request's end. It outlives the caller and the deadline,
-// within a grace.
+// settle commits the outcome of the request. It continues after the caller has disconnected,
+// and up to settleGracePeriod past the deadline.
 func (d *Dispatcher) settle(ctx context.Context, r *execution, outcome string) *persimmoncross.Refusal {
 	deadline := r.request.Deadline.Add(settleGracePeriod)
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
@@ -62,7 +62,7 @@
 		d.enqueueLateSettlement(r)
 		return refusal.WithRunStatus(r.runStatus)
 	}
-	// The sweeper may have settled it, if this process was taken for dead.
+	// The sweeper may have settled the request if it considered this process dead.
 	settledBySweeper := outcome == ledger.Whole && v.GetOutcome() == ledger.Swept
 	if v.GetState() != record.State_SETTLED || v.GetOutcome() != outcome && !settledBySweeper {
 		d.count("settle.stale")
@@ -88,9 +88,10 @@
 	return settlement
 }
 
-// enqueueLateSettlement leaves a request whose caller has had its final answer, without
-// the ledger's, to be closed as failed once the ledger answers again: else its
-// claim would stand for as long as this process lives.
+// enqueueLateSettlement queues the settlement of a request whose caller has received its
+// final response although the ledger did not commit the settlement. RunLateSettlements
+// commits the request as failed or not run once the ledger is available again; otherwise the
+// claim would remain until this process exits.
 func (d *Dispatcher) enqueueLateSettlement(r *execution) {
 	outcome := ledger.Failed
 	if r.runStatus == persimmoncross.NotRun {
@@ -103,7 +104,8 @@
 	}
 }
 
-// RunLateSettlements closes what settleLate left, until the context ends.
+// RunLateSettlements commits the settlements queued by enqueueLateSettlement until the
+// context ends.
 func (d *Dispatcher) RunLateSettlements(ctx context.Context) {
 	for {
 		select {
--- a/core/coordination/dispatch/shared_response.go
+++ b/core/coordination/dispatch/shared_response.go
@@ -9,20 +9,21 @@
 	"persimmoncross"
 )
 
-// maxSharedResponseBytes bounds the bytes of one answer that are kept while it runs.
-// Beyond it the run waits for its readers, and what all of them have read is
-// dropped, so that a long answer takes flat memory; a reader that comes later
-// is refused.
+// maxSharedResponseBytes limits the bytes of one running answer that are buffered. Above the
+// limit the run waits for its readers, and chunks that all readers have read are dropped, so
+// that the memory for a long answer stays bounded. A reader that starts after that is
+// refused.
 const maxSharedResponseBytes = 1 << 20
 
-// sharedResponses holds the answers of the keyed requests that run in this process.
+// sharedResponses holds the answers of the requests with an idempotency key that run in this
+// process.
 type sharedResponses struct {
-	mu    sync.Mutex // guards open
+	mu    sync.Mutex // guards byKey
 	byKey map[[2]string]*sharedResponse
 }
 
-// getOrCreate returns the request's recording, and whether it was made now. It
-// returns nil if the key stands for another request.
+// getOrCreate returns the request's shared response and whether it was created by this call.
+// It returns nil if the idempotency key belongs to a different request.
 func (r *sharedResponses) getOrCreate(w *Request) (response *sharedResponse, created bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,20 +61,20 @@
 	}
 }
 
-// sharedResponse is a [persimmoncross.ResponseSink] that any number of callers read from
-// its beginning.
+// sharedResponse is a [persimmoncross.ResponseSink] whose content any number of callers can
+// read from the beginning.
 type sharedResponse struct {
 	requestDigest []byte
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards all fields below
 	head            *persimmoncross.ResponseHead
 	chunks          [][]byte
-	discardedChunks int           // chunks no longer held, before chunks
-	bufferedBytes   int           // bytes held
-	readers         map[*int]bool // each reader's next chunk
+	discardedChunks int           // number of discarded chunks, which preceded chunks
+	bufferedBytes   int           // total size of chunks
+	readers         map[*int]bool // index of each reader's next chunk
 	ended           bool
 	refusal         *persimmoncross.Refusal
-	changed         chan struct{} // closed and replaced at each change
+	changed         chan struct{} // closed and replaced on each change
 }
 
 // Start implements [persimmoncross.ResponseSink].
@@ -115,8 +116,8 @@
 	r.changed = make(chan struct{})
 }
 
-// discardConsumed forgets the chunks that every reader has passed; without readers, all.
-// It reports whether there is room again.
+// discardConsumed drops the chunks that every reader has read, or all chunks if there are no
+// readers. It reports whether the buffer is within its limit again.
 func (r *sharedResponse) discardConsumed() bool {
 	minNext := r.discardedChunks + len(r.chunks)
 	for next := range r.readers {
@@ -131,7 +132,7 @@
 	return r.bufferedBytes <= maxSharedResponseBytes
 }
 
-// streamTo hands the answer to the sink from its first chunk, as it comes.
+// streamTo sends the answer to the sink from its first chunk, as it is received.
 func (r *sharedResponse) streamTo(ctx context.Context, sink persimmoncross.ResponseSink) {
 	next := 0
 	r.mu.Lock()
@@ -176,11 +177,12 @@
 func (r *sharedResponse) read(next *int) (chunks [][]byte, head *persimmoncross.ResponseHead, ended bool, refusal *persimmoncross.Refusal, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A copy: what the reader has not handed on yet may be dropped meanwhile.
+	// The chunks are cloned because discardConsumed may drop them before the reader has
+	// sent them.
 	chunks = slices.Clone(r.chunks[*next-r.discardedChunks:])
 	*next += len(chunks)
 	if len(chunks) > 0 && r.bufferedBytes > maxSharedResponseBytes {
-		r.broadcast() // the run may be waiting for this reader
+		r.broadcast() // Write may be waiting for this reader
 	}
 	return chunks, r.head, r.ended, r.refusal, r.changed
 }
--- a/core/coordination/dispatch/versions.go
+++ b/core/coordination/dispatch/versions.go
@@ -8,7 +8,8 @@
 	"persimmoncross/core/state/settings"
 )
 
-// checkPermission refuses what the organisation may not use, before anything runs.
+// checkPermission refuses a request for something that the organisation may not use, before
+// anything runs.
 func (d *Dispatcher) checkPermission(w *Request) *persimmoncross.Refusal {
 	if w.Service != nil {
 		return d.checkServicePermission(w)
@@ -17,7 +18,7 @@
 	return refusal
 }
 
-// checkServicePermission refuses a plain service's call that is not permitted now.
+// checkServicePermission refuses a plain service's request that is not permitted now.
 func (d *Dispatcher) checkServicePermission(w *Request) *persimmoncross.Refusal {
 	if d.Settings().Named(w.Organisation.Name).Services[w.Service.Name] {
 		return nil
@@ -25,7 +26,7 @@
 	return persimmoncross.NewRefusal(persimmoncross.CodeServiceForbidden, "%s may not use %q", w.Organisation.Name, w.Service.Name)
 }
 
-// noVersionRefusal refuses a step that has no version to run on now.
+// noVersionRefusal returns the refusal for a step that has no version to run on.
 func (d *Dispatcher) noVersionRefusal(w *Request, step persimmoncross.ModelVersion) *persimmoncross.Refusal {
 	if isAllowed(d.Settings().Named(w.Organisation.Name), step) {
 		return persimmoncross.NewRefusal(persimmoncross.CodeVersionWithdrawn, "%q is withdrawn", step)
@@ -33,8 +34,8 @@
 	return persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, step)
 }
 
-// permittedSteps returns the permittedSteps of what was asked for that the organisation may use.
-// A step without a version stands for any permitted version of its model.
+// permittedSteps returns the steps of the requested target that the organisation may use. A
+// step without a version stands for any permitted version of its model.
 func (d *Dispatcher) permittedSteps(s *settings.Snapshot, w *Request) ([]persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	_, cascade := s.File.Cascades[w.TargetName]
 	named := persimmoncross.ParseModelVersion(w.TargetName)
@@ -61,8 +62,8 @@
 	return nil, persimmoncross.NewRefusal(persimmoncross.CodeModelForbidden, "%s may not use %q", w.Organisation.Name, w.TargetName)
 }
 
-// isAllowed reports whether the organisation is allowed the version, or a version
-// of the model, withdrawn or not.
+// isAllowed reports whether the organisation is allowed to use the version, or any version of
+// the model if step names no version. Withdrawn versions count too.
 func isAllowed(o *settings.Organisation, step persimmoncross.ModelVersion) bool {
 	for v := range o.Versions {
 		if v == step || !step.Pinned() && v.Model == step.Model {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// permittedVersions returns the versions that a step may run on now.
+// permittedVersions returns the versions that a step may run on now, sorted.
 func permittedVersions(s *settings.Snapshot, organisation string, step persimmoncross.ModelVersion) []persimmoncross.ModelVersion {
 	var list []persimmoncross.ModelVersion
 	for v := range s.Named(organisation).Versions {
@@ -84,9 +85,9 @@
 	return list
 }
 
-// pickVersion chooses one of the step's permitted versions by their weights in force.
-// If the one drawn is being rolled out and may get no more work now, the pickVersion
-// is among the others; it gets the work only if there is no other.
+// pickVersion picks one of the step's permitted versions at random by the weights in force.
+// If the picked version is being rolled out and may get no more requests now, pickVersion
+// picks among the others; it returns such a version only if no other is left.
 func (d *Dispatcher) pickVersion(s *settings.Snapshot, organisation string, step persimmoncross.ModelVersion) (persimmoncross.ModelVersion, bool) {
 	permitted := permittedVersions(s, organisation, step)
 	if len(permitted) == 0 {
@@ -111,7 +112,7 @@
 	return usable[0], true
 }
 
-// pickByWeight returns the index of one of the versions, by weight.
+// pickByWeight returns the index of a version picked at random by weight.
 func (d *Dispatcher) pickByWeight(usable []persimmoncross.ModelVersion, weights map[persimmoncross.ModelVersion]int) int {
 	total := 0
 	for _, v := range usable {
--- a/core/coordination/dispatch/watchdog.go
+++ b/core/coordination/dispatch/watchdog.go
@@ -9,17 +9,18 @@
 	"persimmoncross"
 )
 
-// errStalled is the cause with which a silent attempt is cancelled.
-var errStalled = errors.New("dispatch: the upstream is silent")
+// errStalled is the cause with which a stalled attempt is cancelled.
+var errStalled = errors.New("dispatch: the upstream has stalled")
 
-// watchdog cancels an attempt whose upstream is silent for too long.
+// watchdog cancels an attempt if nothing is received from its upstream for the request's
+// StallTimeout.
 type watchdog struct {
 	clock        persimmoncross.Clock
-	lastActivity atomic.Int64 // Unix nanoseconds of the latest sign of life
+	lastActivity atomic.Int64 // Unix nanoseconds when data was last received
 	done         chan struct{}
 }
 
-// startWatchdog starts a watchdog over one attempt.
+// startWatchdog starts a watchdog for one attempt.
 func (r *execution) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	g := &watchdog{
 		clock: r.dispatcher.Clock,
