--- a/core/coordination/routing/backoff.go
+++ b/core/coordination/routing/backoff.go
@@ -13,7 +13,7 @@
 	inner ratelimit.Backoff
 }
 
-// SetBackoff keeps this VM's requests from the upstream until then.
+// SetBackoff stops this VM from sending requests to the upstream until the given time.
 func (u *Upstream) SetBackoff(until time.Time) {
 	u.backoff.mu.Lock()
 	defer u.backoff.mu.Unlock()
@@ -32,8 +32,8 @@
 	b.inner = ratelimit.Backoff{}
 }
 
-// MinBackoffRemaining returns how long it takes until the first upstream that is eligible for the
-// choice leaves its backoff, 0 if none is in one.
+// MinBackoffRemaining returns the shortest remaining backoff among the upstreams that are
+// eligible for the request, 0 if none of them is in a backoff.
 func (t *Table) MinBackoffRemaining(c PickInfo) time.Duration {
 	now := t.Clock.Now()
 	shortest := time.Duration(0)
--- a/core/coordination/routing/bench_test.go
+++ b/core/coordination/routing/bench_test.go
@@ -11,8 +11,8 @@
 	"persimmoncross/core/state/settings"
 )
 
-// BenchmarkPick measures a decision, and the table's memory, by the number of
-// upstreams that hold the version.
+// BenchmarkPick measures the time of a pick and the table's memory by the number of upstreams
+// that have the version.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/core/coordination/routing/breaker.go
+++ b/core/coordination/routing/breaker.go
@@ -7,8 +7,7 @@
 	"persimmoncross/core/coordination/outlier"
 )
 
-// Breaker is an upstream's breaker for one version, for use by many requests at
-// once.
+// Breaker is an upstream's circuit breaker for one version. It is safe for concurrent use.
 type Breaker struct {
 	Clock persimmoncross.Clock
 
@@ -16,15 +15,15 @@
 	breaker outlier.Breaker
 }
 
-// versionBreakers holds an upstream's breakers, one for each version that it serves: a
-// version that fails must not take the upstream from the others. A plain
-// service's is under the zero version.
+// versionBreakers holds an upstream's circuit breakers, one for each version that the
+// upstream serves, so that one failing version does not stop requests for the others. A plain
+// service's breaker is stored under the zero version.
 type versionBreakers struct {
 	mu        sync.Mutex // guards byVersion
 	byVersion map[persimmoncross.ModelVersion]*Breaker
 }
 
-// Breaker returns the upstream's breaker for the version.
+// Breaker returns the upstream's circuit breaker for the version and creates it if needed.
 func (u *Upstream) Breaker(v persimmoncross.ModelVersion) *Breaker {
 	c := &u.breakers
 	c.mu.Lock()
@@ -42,15 +41,15 @@
 	return b
 }
 
-// reset drops the breakers. Requests that are under way end at those that they
-// began at.
+// reset drops the breakers. A request in flight may still report to the breaker that it
+// obtained before.
 func (c *versionBreakers) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byVersion = nil
 }
 
-// HasOpenBreaker reports whether work of any version is kept from the upstream.
+// HasOpenBreaker reports whether the circuit breaker of any version is open.
 func (u *Upstream) HasOpenBreaker() bool {
 	c := &u.breakers
 	c.mu.Lock()
@@ -63,42 +62,42 @@
 	return false
 }
 
-// Allows is [outlier.Breaker.Allows].
+// Allows calls [outlier.Breaker.Allows].
 func (b *Breaker) Allows() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.breaker.Allows(b.Clock.Now())
 }
 
-// Begin is [outlier.Breaker.StartAttempt].
+// Begin calls [outlier.Breaker.StartAttempt].
 func (b *Breaker) Begin() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.StartAttempt()
 }
 
-// RecordResult is [outlier.Breaker.RecordResult].
+// RecordResult calls [outlier.Breaker.RecordOutcome].
 func (b *Breaker) RecordResult(failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.RecordOutcome(failed, b.Clock.Now())
 }
 
-// Abandon is [outlier.Breaker.Abandon].
+// Abandon calls [outlier.Breaker.AbandonProbe].
 func (b *Breaker) Abandon() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.AbandonProbe()
 }
 
-// ErrorRate is [outlier.Breaker.ErrorRate].
+// ErrorRate calls [outlier.Breaker.ErrorRate].
 func (b *Breaker) ErrorRate() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.breaker.ErrorRate()
 }
 
-// IsOpen is [outlier.Breaker.IsOpen].
+// IsOpen calls [outlier.Breaker.IsOpen].
 func (b *Breaker) IsOpen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/coordination/routing/isolation.go
+++ b/core/coordination/routing/isolation.go
@@ -9,11 +9,12 @@
 	"persimmoncross/core/coordination/quarantine"
 )
 
-// isolatedShareDivisor is one over the part of the upstreams that requests under suspicion may
-// have for themselves.
+// isolatedShareDivisor is the inverse of the largest share of the upstreams that may be
+// reserved for isolated requests.
 const isolatedShareDivisor = 4
 
-// isolationUpstream returns the upstream for a request under suspicion, nil if there is none.
+// isolationUpstream returns the upstream in the list that is reserved for an isolated
+// request, nil if the list is empty.
 func isolationUpstream(d persimmoncross.Digest, list []*Upstream) *Upstream {
 	names := make([]string, len(list))
 	for i, u := range list {
@@ -25,8 +26,9 @@
 	return nil
 }
 
-// pickIsolated returns the upstream for the choice's own request under suspicion, nil if it
-// can't take it now: no other one is to get it.
+// pickIsolated returns the upstream reserved for the request, which is isolated. It returns
+// nil if that upstream cannot take the request now, because the request must not run at any
+// other upstream.
 func pickIsolated(c PickInfo, list []*Upstream, now time.Time) *Upstream {
 	u := isolationUpstream(c.IsolatedDigest, list)
 	if u == nil || c.TriedUpstreams[u.Name] || u.backoff.remaining(now) > 0 || !u.Breaker(c.Version).Allows() {
@@ -35,7 +37,8 @@
 	return u
 }
 
-// excludeIsolated leaves out the upstreams that requests under suspicion have for themselves.
+// excludeIsolated removes the upstreams reserved for isolated requests from the list, unless
+// they exceed the share that isolatedShareDivisor allows.
 func excludeIsolated(c PickInfo, list []*Upstream) []*Upstream {
 	isolated := map[*Upstream]bool{}
 	for _, d := range c.IsolatedDigests {
@@ -47,10 +50,11 @@
 	return slices.DeleteFunc(slices.Clone(list), func(u *Upstream) bool { return isolated[u] })
 }
 
-// InstanceID names the life of the upstream, as far as this VM has seen lives end.
+// InstanceID identifies the current run of the upstream's process, as far as this VM has
+// observed restarts and exits.
 func (u *Upstream) InstanceID() string {
 	return u.Name + "~" + strconv.FormatUint(u.restarts.Load(), 10) + "." + strconv.FormatUint(u.observedExits.Load(), 10)
 }
 
-// RecordExit notes that the upstream's process was found gone.
+// RecordExit counts an exit of the upstream's process.
 func (u *Upstream) RecordExit() { u.observedExits.Add(1) }
--- a/core/coordination/routing/picker.go
+++ b/core/coordination/routing/picker.go
@@ -10,20 +10,20 @@
 	"persimmoncross"
 )
 
-// Costs used by [ExpectedLatency].
+// Estimates and penalties used by [ExpectedLatency].
 const (
-	idleTimeToFirstToken    = 30 * time.Millisecond // to the first token at an idle engine
-	prefillTimePerKB        = 4 * time.Millisecond  // of uncached prompt
-	remoteDataCentrePenalty = 3 * time.Millisecond  // a second data centre's round trip
-	errorPenalty            = 2 * time.Second       // times the share of failed attempts
+	idleTimeToFirstToken    = 30 * time.Millisecond // time to the first token at an idle engine
+	prefillTimePerKB        = 4 * time.Millisecond  // per KB of uncached prompt
+	remoteDataCentrePenalty = 3 * time.Millisecond  // round trip to another data centre
+	errorPenalty            = 2 * time.Second       // multiplied by the share of failed attempts
 	defaultMeanDuration     = time.Second
 	bytesPerKB              = 1024
 )
 
-// ExpectedLatency places a request where the expected time to its first token is
-// least: its own reading, slower in a fuller batch, and the queue ahead of it.
-// Equal ones are told apart at random, so that the entries do not all choose
-// alike.
+// ExpectedLatency picks the upstream with the lowest expected time to the first token. It
+// estimates that time from the prefill time of the prompt, which grows with the number of
+// requests in the batch, and from the wait in the upstream's queue. Ties are broken at
+// random, so that the entries do not all pick the same upstream.
 type ExpectedLatency struct {
 	Random *rand.Rand
 
@@ -51,7 +51,7 @@
 	return cheapest[e.Random.IntN(len(cheapest))]
 }
 
-// expectedCost returns seconds to the first token.
+// expectedCost returns the expected time to the first token, in seconds.
 func expectedCost(c persimmoncross.Candidate, promptBytes int) float64 {
 	meanDuration := c.MeanDuration
 	if meanDuration == 0 {
@@ -61,7 +61,7 @@
 	batchFactor := 1 + c.EstimatedInFlight/slots
 	prefill := idleTimeToFirstToken.Seconds() + float64(max(0, promptBytes-c.CachedBytes))/bytesPerKB*prefillTimePerKB.Seconds()
 	cost := prefill*batchFactor + c.EstimatedInFlight/slots*batchSlowdown*meanDuration.Seconds()
-	// A slot comes free about every hold/slots.
+	// A slot becomes free about every meanDuration/slots.
 	cost += max(0, c.EstimatedInFlight+1-slots) / slots * meanDuration.Seconds()
 	cost += c.ErrorRate * errorPenalty.Seconds()
 	if !c.SameDataCentre {
@@ -70,11 +70,11 @@
 	return cost
 }
 
-// batchSlowdown is what one more request costs those that run beside it, as a
-// share of their time: it bounds how far a cached prefix draws work together.
+// batchSlowdown is the share by which each request slows down the others in the same batch.
+// It limits how many requests a cached prefix attracts to one upstream.
 const batchSlowdown = 0.03
 
-// Random places anywhere: a baseline.
+// Random picks at random. It is a baseline for comparisons.
 type Random struct {
 	Random *rand.Rand
 }
@@ -84,7 +84,7 @@
 	return r.Random.IntN(len(candidates))
 }
 
-// RoundRobin places in turn: a baseline.
+// RoundRobin picks in turn. It is a baseline for comparisons.
 type RoundRobin struct {
 	next atomic.Uint64
 }
@@ -94,7 +94,8 @@
 	return int(r.next.Add(1) % uint64(len(candidates)))
 }
 
-// LeastOutstanding places where this entry has least under way: a baseline.
+// LeastOutstanding picks the candidate with the fewest in-flight requests from this entry. It
+// is a baseline for comparisons.
 type LeastOutstanding struct{}
 
 // Pick implements [persimmoncross.Picker].
@@ -108,7 +109,8 @@
 	return best
 }
 
-// PowerOfTwoChoices takes the less loaded of two random ones: a baseline.
+// PowerOfTwoChoices picks the less loaded of two random candidates. It is a baseline for
+// comparisons.
 type PowerOfTwoChoices struct {
 	Random *rand.Rand
 }
--- a/core/coordination/routing/prefix.go
+++ b/core/coordination/routing/prefix.go
@@ -6,23 +6,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what is remembered of one upstream's prompts.
+// Limits of the prefixes kept for one upstream.
 const (
-	blockSize       = 256  // bytes hashed together
-	maxPromptBlocks = 64   // blocks of one prompt that are looked at
-	maxCachedBlocks = 4096 // blocks of one upstream
+	blockSize       = 256  // bytes of prompt per block; each block extends the hash of the prefix
+	maxPromptBlocks = 64   // blocks of one prompt that are hashed
+	maxCachedBlocks = 4096 // blocks kept for one upstream
 	maxPrefixAge    = 5 * time.Minute
-	affinityBlocks  = 4 // the beginning by which a prompt has its home
+	affinityBlocks  = 4 // length of the prefix that determines a prompt's affinity upstream
 )
 
-// prefixCache remembers, for one upstream, which beginnings of prompts this entry
-// sent there: what its prompt cache probably holds.
+// prefixCache holds, for one upstream, the hashes of the prompt prefixes that this entry has
+// sent there, as an estimate of the content of the upstream's prompt cache.
 type prefixCache struct {
 	lastSent       map[uint64]time.Time
-	insertionOrder []uint64 // oldest first, with those added again
+	insertionOrder []uint64 // oldest first; a hash that is added again keeps its place
 }
 
-// cachedBytes returns how many bytes of the prompt are believed to be cached.
+// cachedBytes returns the estimated number of bytes of the prompt in the upstream's cache.
 func (p *prefixCache) cachedBytes(hashes []uint64, now time.Time) int {
 	matched := 0
 	for _, hash := range hashes {
@@ -51,7 +51,7 @@
 	}
 }
 
-// prefixHashes returns the hash of each beginning of the prompt, block by block.
+// prefixHashes returns the hash of each prefix of the prompt, in steps of blockSize bytes.
 func prefixHashes(prompt []byte) []uint64 {
 	hashes := make([]uint64, 0, min(len(prompt)/blockSize, maxPromptBlocks))
 	d := xxhash.New()
@@ -62,10 +62,11 @@
 	return hashes
 }
 
-// affinityUpstream returns the upstream that all entries take for the home of prompts
-// with this beginning: the highest of a hash over both (rendezvous hashing).
-// Entries don't tell each other where they sent a prompt; without a home each
-// would fill another engine's cache with it. Short prompts have none.
+// affinityUpstream returns the upstream that all entries prefer for prompts with the same
+// prefix: the one with the highest hash of prefix and upstream (rendezvous hashing). The
+// entries do not exchange where they send prompts; without a common preferred upstream each
+// entry would fill another engine's cache with the same prefix. A prompt shorter than
+// affinityBlocks has no preferred upstream, and the result is nil.
 func affinityUpstream(list []*Upstream, hashes []uint64) *Upstream {
 	if len(hashes) < affinityBlocks {
 		return nil
@@ -81,7 +82,7 @@
 	return affinity
 }
 
-// mixBits spreads a hash's bits (the finalizer of SplitMix64).
+// mixBits spreads the bits of a hash (the finalizer of SplitMix64).
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/core/coordination/routing/routing_test.go
+++ b/core/coordination/routing/routing_test.go
@@ -9,7 +9,7 @@
 	"persimmoncross/core/state/settings"
 )
 
-// fakeClock moves when the test says so.
+// fakeClock is a clock that the test sets.
 type fakeClock struct {
 	persimmoncross.SystemClock
 	now time.Time
@@ -18,7 +18,7 @@
 // Now implements [persimmoncross.Clock].
 func (c *fakeClock) Now() time.Time { return c.now }
 
-// A version that fails takes the upstream from no other version.
+// A failing version must not open the upstream's circuit breakers for other versions.
 func TestBreakerIsPerVersion(t *testing.T) {
 	clock := &fakeClock{
 		now: time.Unix(1000, 0),
@@ -37,25 +37,25 @@
 		Model: "good",
 	}
 	if !u.Breaker(good).Allows() || u.Breaker(good).IsOpen() {
-		t.Error("another version is kept away")
+		t.Error("the circuit breaker of another version is open")
 	}
 	if !u.HasOpenBreaker() {
-		t.Error("the upstream does not tell of its version")
+		t.Error("HasOpenBreaker returned false with an open circuit breaker")
 	}
 	clock.now = clock.now.Add(time.Minute)
 	u.Breaker(bad).Begin()
 	u.Breaker(bad).Abandon()
 	if !u.Breaker(bad).Allows() {
-		t.Error("no probe after one without a verdict")
+		t.Error("no probe is allowed after an abandoned probe")
 	}
 	u.Breaker(bad).RecordResult(false)
 	if u.HasOpenBreaker() || u.Breaker(bad).ErrorRate() == 0 {
-		t.Error("a good probe does not end it, or its share of failures is lost")
+		t.Error("a successful probe did not close the circuit breaker, or reset the error rate")
 	}
 }
 
-// The home of a prompt is the same at every entry, and moves only from an
-// upstream that is gone.
+// A prompt must have the same affinity upstream at every entry, and another one only after
+// its upstream was removed.
 func TestPromptAffinity(t *testing.T) {
 	prompt := make([]byte, 4096)
 	moved := 0
@@ -65,25 +65,25 @@
 		all, other := newTable(10).List(), newTable(10).List()
 		home := affinityUpstream(all, blocks)
 		if got := affinityUpstream(other, blocks); got.Name != home.Name {
-			t.Fatalf("home %s at one entry, %s at another", home.Name, got.Name)
+			t.Fatalf("affinity upstream is %s at one entry, %s at another", home.Name, got.Name)
 		}
 		if got := affinityUpstream(all[1:], blocks); got.Name != home.Name {
 			moved++
 			if home != all[0] {
-				t.Error("a home moved although its upstream stayed")
+				t.Error("the affinity upstream changed although it was not removed")
 			}
 		}
 	}
 	if moved == 0 || moved > 30 {
-		t.Errorf("%d of 100 homes were at one of 10 upstreams", moved)
+		t.Errorf("%d of 100 prompts had the same one of 10 upstreams, want 1 to 30", moved)
 	}
 	if affinityUpstream(newTable(3).List(), prefixHashes(prompt[:100])) != nil {
-		t.Error("a short prompt has a home")
+		t.Error("a short prompt has an affinity upstream")
 	}
 }
 
-// An upstream that comes back under its old name at another address is a new
-// one: nothing of what was known of the former holds for it.
+// An upstream that returns under its old name at another address must start without the state
+// of the earlier one.
 func TestNewAddressResetsUpstream(t *testing.T) {
 	table := newTable(2)
 	before := table.List()[0]
@@ -102,18 +102,18 @@
 	same := file(2)
 	table.Update(same)
 	if table.List()[0] != before {
-		t.Error("an upstream that stayed is new")
+		t.Error("an unchanged upstream was replaced")
 	}
 	changed := file(2)
 	changed.File.Upstreams[before.Name].Address = changed.File.Upstreams[table.List()[1].Name].Address
 	table.Update(changed)
 	if after := table.List()[0]; after == before || after.Draining() {
-		t.Error("an upstream at another address is taken for the former")
+		t.Error("an upstream at another address kept its state")
 	}
 }
 
-// Nothing goes to an evacuated data centre, neither what is suspect nor what was tried
-// everywhere else; and it counts as no capacity.
+// An evacuated data centre must get no requests, neither isolated ones nor those that were
+// tried at all other upstreams.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	table := newTable(4)
 	list := table.List()
@@ -142,7 +142,7 @@
 			{ServiceUpstreams: names, IsolatedDigest: persimmoncross.Digest{byte(i + 1)}},
 		} {
 			if u := table.Pick(c); u == nil || u.DataCentre() != "d1" {
-				t.Fatalf("%+v: %+v", c, u)
+				t.Fatalf("Pick(%+v) returned %+v, want an upstream in d1", c, u)
 			}
 		}
 	}
@@ -151,12 +151,12 @@
 		Evacuated: map[string]bool{"d0": true, "d1": true},
 	})
 	if u := table.Pick(PickInfo{ServiceUpstreams: names}); u != nil {
-		t.Errorf("all are evacuated, and %s gets work", u.Name)
+		t.Errorf("Pick returned %s although all data centres are evacuated", u.Name)
 	}
 }
 
-// A request under suspicion waits for its own upstream while that is in a backoff:
-// elsewhere it would end another one.
+// An isolated request must wait while the upstream reserved for it is in a backoff, because
+// at another upstream it might crash that one too.
 func TestSuspectRequestWaitsForItsUpstream(t *testing.T) {
 	table := newTable(4)
 	var names []string
@@ -170,11 +170,11 @@
 	home := table.Pick(suspect)
 	home.SetBackoff(table.Clock.Now().Add(time.Hour))
 	if u := table.Pick(suspect); u != nil {
-		t.Errorf("it is sent to %s, and its own is %s", u.Name, home.Name)
+		t.Errorf("the isolated request was sent to %s, want none while %s is in a backoff", u.Name, home.Name)
 	}
 	for range 20 {
 		if u := table.Pick(PickInfo{ServiceUpstreams: names}); u == nil || u == home {
-			t.Errorf("another request is sent to %v, and %s is in a backoff", u, home.Name)
+			t.Errorf("another request was sent to %v while %s is in a backoff", u, home.Name)
 		}
 	}
 }
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing knows the upstreams as one entry sees them, and decides which
-// of them runs a request.
+// Package routing holds the state of the upstreams as observed by one entry, and
+// picks the upstream for each attempt.
 //
-// A [Table] is shared by the request goroutines. What it learns per upstream
-// are counters and small records that are replaced whole, so that a decision
-// reads them without waiting.
+// A [Table] is shared by the request goroutines. The state of an upstream consists
+// of counters and small records that are replaced as a whole, so that a pick reads
+// them without blocking.
 package routing
 
 import (
@@ -20,25 +20,25 @@
 	"persimmoncross/core/state/settings"
 )
 
-// How much one attempt moves the averages.
+// Smoothing factors of the moving averages.
 const (
 	durationSmoothing = 0.05
 	inFlightSmoothing = 0.05
 )
 
-// Table is what one entry knows of the upstreams.
+// Table holds the upstreams and their state as observed by one entry.
 type Table struct {
 	Clock       persimmoncross.Clock
 	DataCentre  string
 	Picker      persimmoncross.Picker
-	LiveEntries func() int // that place work, this one included
+	LiveEntries func() int // number of entries that send requests, including this one
 
-	mu        sync.Mutex // guards replacing the maps
+	mu        sync.Mutex // serializes updates of the maps
 	upstreams atomic.Pointer[map[string]*Upstream]
-	evacuated atomic.Pointer[map[string]bool] // data centres
+	evacuated atomic.Pointer[map[string]bool] // names of the evacuated data centres
 }
 
-// Upstream is one of them.
+// Upstream is an upstream with its state as observed by this entry.
 type Upstream struct {
 	Name    string
 	Address netip.AddrPort
@@ -49,24 +49,25 @@
 	sameDataCentre bool
 	inFlight       atomic.Int64
 	report         atomic.Pointer[persimmoncross.UpstreamReport]
-	restarts       atomic.Uint64 // how often it has started again
-	observedExits  atomic.Uint64 // how often its process was found gone
-	draining       atomic.Bool   // the platform, or the upstream itself, says that it leaves
+	restarts       atomic.Uint64 // number of restarts
+	observedExits  atomic.Uint64 // number of times the process was found to have exited
+	draining       atomic.Bool   // set by SetDraining; the upstream's own state is in report
 	backoff        upstreamBackoff
 	history        attemptHistory
 	breakers       versionBreakers
 }
 
-// attemptHistory holds the averages of past attempts.
+// attemptHistory holds averages over past attempts.
 type attemptHistory struct {
-	mu                  sync.Mutex // guards all below
-	meanDurationSeconds float64    // seconds
-	meanInFlight        float64    // own attempts under way, averaged over decisions
+	mu                  sync.Mutex // guards all fields below
+	meanDurationSeconds float64    // mean duration of an attempt, in seconds
+	meanInFlight        float64    // this entry's in-flight attempts, averaged over picks
 	prefixes            prefixCache
 }
 
-// Update takes a revision's upstreams over. One that stays at its address
-// keeps what is known of it; one under a new address is a new one.
+// Update applies the upstreams of a settings revision. An upstream whose address, versions,
+// slots, fencing and data centre are unchanged keeps its state; any other upstream starts
+// without state.
 func (t *Table) Update(s *settings.Snapshot) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,7 @@
 	t.upstreams.Store(&next)
 }
 
-// isAvailable reports whether the upstream may get new work.
+// isAvailable reports whether the upstream may get new requests.
 func (t *Table) isAvailable(u *Upstream) bool {
 	e := t.evacuated.Load()
 	return !u.Draining() && (e == nil || !(*e)[u.DataCentre()])
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// List returns the upstreams, by name.
+// List returns the upstreams, sorted by name.
 func (t *Table) List() []*Upstream {
 	var list []*Upstream
 	for _, u := range t.upstreamsByName() {
@@ -114,27 +115,28 @@
 	return list
 }
 
-// Find returns the upstream with the name.
+// Find returns the upstream with the given name.
 func (t *Table) Find(name string) (*Upstream, bool) {
 	u, ok := t.upstreamsByName()[name]
 	return u, ok
 }
 
-// PickInfo is what a decision needs to know of a request.
+// PickInfo is the information about a request that Pick needs.
 type PickInfo struct {
-	Version          persimmoncross.ModelVersion // for an engine
-	ServiceUpstreams []string                    // for a plain service: its upstreams
+	Version          persimmoncross.ModelVersion // for a request to an engine
+	ServiceUpstreams []string                    // for a request to a plain service: names of its upstreams
 	Prompt           []byte
 	TriedUpstreams   map[string]bool
-	// IsolatedDigest is a request under suspicion: it runs at the upstream for it or nowhere.
+	// IsolatedDigest is the digest of the request if it is isolated. The request runs at the
+	// upstream reserved for it or not at all.
 	IsolatedDigest persimmoncross.Digest
-	// IsolatedDigests are such requests; others keep away from their upstreams where enough are
-	// left.
+	// IsolatedDigests are the digests of all isolated requests. Other requests avoid the
+	// upstreams reserved for them if enough other upstreams are left.
 	IsolatedDigests []persimmoncross.Digest
 }
 
-// Pick returns the upstream to send an attempt to, or nil if none may have it.
-// An upstream that was tried is taken again only if there is no other.
+// Pick returns the upstream for an attempt, or nil if no upstream may get the attempt. An
+// upstream that was already tried is picked only if no other is available.
 func (t *Table) Pick(c PickInfo) *Upstream {
 	now := t.Clock.Now()
 	var untried, tried []*Upstream
@@ -170,8 +172,8 @@
 	return untried[t.Picker.Pick(candidates, len(c.Prompt))]
 }
 
-// eligible returns the upstreams that hold the version or serve the service, do not
-// leave, and stand in no data centre that is evacuated, in the order of their names.
+// eligible returns the upstreams, sorted by name, that have the version or serve the service,
+// are not draining, and are not in an evacuated data centre.
 func (t *Table) eligible(c PickInfo) []*Upstream {
 	var list []*Upstream
 	for _, u := range t.upstreamsByName() {
@@ -184,8 +186,8 @@
 	return list
 }
 
-// Capacity returns how many requests the engines that hold any of the versions
-// serve at once.
+// Capacity returns how many requests the engines that have any of the versions can run
+// concurrently.
 func (t *Table) Capacity(versions []persimmoncross.ModelVersion) int {
 	slots := 0
 	for _, u := range t.upstreamsByName() {
@@ -197,7 +199,8 @@
 	return slots
 }
 
-// slots returns the reported number, else the settings'.
+// slots returns the number of slots that the upstream reported, or the number in the settings
+// if it reported none.
 func (u *Upstream) slots() int {
 	if r := u.report.Load(); r != nil && r.Slots > 0 {
 		return r.Slots
@@ -212,8 +215,8 @@
 	return u.hasVersion(c.Version)
 }
 
-// hasVersion reports whether the engine has the version. One that reports which
-// versions it has loaded is believed.
+// hasVersion reports whether the engine has the version. If the engine reports its loaded
+// versions, the version must be among them.
 func (u *Upstream) hasVersion(v persimmoncross.ModelVersion) bool {
 	if !slices.Contains(u.settings.Versions, v.String()) {
 		return false
@@ -240,7 +243,8 @@
 	return c
 }
 
-// Draining reports whether the upstream may get no new work.
+// Draining reports whether the platform has set the upstream to draining, or the upstream
+// reports that it is draining.
 func (u *Upstream) Draining() bool {
 	if u.draining.Load() {
 		return true
@@ -249,34 +253,34 @@
 	return r != nil && r.Draining
 }
 
-// SetDraining notes the platform's word.
+// SetDraining sets whether the platform wants the upstream drained.
 func (u *Upstream) SetDraining(leaving bool) { u.draining.Store(leaving) }
 
 // Kind returns "engine" or "service".
 func (u *Upstream) Kind() string { return u.settings.Kind }
 
-// DataCentre returns the data centre that the upstream stands in.
+// DataCentre returns the upstream's data centre.
 func (u *Upstream) DataCentre() string { return u.settings.DataCentre }
 
-// OmitsAttemptID reports whether the upstream does not echo attempt ids.
+// OmitsAttemptID reports whether the upstream does not echo attempt IDs.
 func (u *Upstream) OmitsAttemptID() bool { return u.settings.Blind }
 
-// DeclaredVersions returns the versions that the settings give the upstream.
+// DeclaredVersions returns the versions that the settings assign to the upstream.
 func (u *Upstream) DeclaredVersions() []string { return u.settings.Versions }
 
-// maxReportAge is the age up to which a report shows that its upstream is there.
+// maxReportAge is the age up to which a report shows that its upstream is running.
 const maxReportAge = 5 * time.Second
 
-// HasRecentReport reports whether the upstream has reported lately.
+// HasRecentReport reports whether the latest report was requested less than maxReportAge ago.
 func (u *Upstream) HasRecentReport() bool {
 	r := u.report.Load()
 	return r != nil && u.clock.Now().Sub(r.RequestedAt) < maxReportAge
 }
 
-// SupportsFencing reports whether the engine refuses old fencing numbers.
+// SupportsFencing reports whether the engine rejects orders with an old fencing number.
 func (u *Upstream) SupportsFencing() bool { return u.settings.Fencing }
 
-// ReportedVersions returns the versions that the engine said last that it holds.
+// ReportedVersions returns the loaded versions in the engine's latest report.
 func (u *Upstream) ReportedVersions() []persimmoncross.ModelVersion {
 	if r := u.report.Load(); r != nil {
 		return r.Versions
@@ -284,20 +288,21 @@
 	return nil
 }
 
-// InFlight returns this entry's attempts under way.
+// InFlight returns the number of this entry's in-flight attempts.
 func (u *Upstream) InFlight() int { return int(u.inFlight.Load()) }
 
-// ApplyReport takes a report: its slots, versions and word of leaving. Its load is
-// not used: it is late, and entries that all follow the same late figures chase
-// each other (docs/design/placement.md has the measurement).
+// ApplyReport stores a report, from which the upstream's slots, versions and draining state
+// are used. The reported load is not used: it lags behind, and entries that all follow the
+// same outdated load send their requests to the same upstreams in turn
+// (docs/design/placement.md has the measurement).
 //
-// An upstream may start again under its name and address: its own word tells. What
-// was known of its former life (prompts in its cache, times, doubts) is forgotten
-// then. It reports whether that is so.
+// An upstream may restart under the same name and address, which its report shows.
+// ApplyReport then resets the state of the earlier process (prompt cache, durations, circuit
+// breakers, backoff) and returns true.
 func (u *Upstream) ApplyReport(r persimmoncross.UpstreamReport) (restarted bool) {
 	old := u.report.Load()
 	if old != nil && r.RequestedAt.Before(old.RequestedAt) {
-		return false // its answer came later than that of one asked for after it
+		return false // a later request was answered first
 	}
 	u.report.Store(&r)
 	if old == nil || !hasRestarted(*old, r) {
@@ -310,8 +315,8 @@
 	return true
 }
 
-// hasRestarted reports whether the later report is of another life. Where the start
-// is not told, a sequence that has fallen tells.
+// hasRestarted reports whether the upstream restarted between the two reports. If a start
+// time is missing, a lower sequence number indicates a restart.
 func hasRestarted(old, now persimmoncross.UpstreamReport) bool {
 	if !old.StartedAt.IsZero() && !now.StartedAt.IsZero() {
 		return !old.StartedAt.Equal(now.StartedAt)
@@ -319,7 +324,7 @@
 	return now.Sequence < old.Sequence
 }
 
-// Restarts returns how often the upstream has started again since it is known.
+// Restarts returns the number of restarts observed since the upstream was added.
 func (u *Upstream) Restarts() uint64 { return u.restarts.Load() }
 
 func (h *attemptHistory) reset() {
@@ -329,7 +334,7 @@
 	h.prefixes = prefixCache{}
 }
 
-// BeginAttempt notes that an attempt starts; the function it returns ends it.
+// BeginAttempt records the start of an attempt. The returned function records its end.
 func (u *Upstream) BeginAttempt(now time.Time, v persimmoncross.ModelVersion, prompt []byte) (endAttempt func()) {
 	u.inFlight.Add(1)
 	u.Breaker(v).Begin()
@@ -343,7 +348,7 @@
 
 func (u *Upstream) endAttempt() { u.inFlight.Add(-1) }
 
-// RecordDuration notes how long a whole attempt took.
+// RecordDuration updates the mean duration with the duration of a complete attempt.
 func (u *Upstream) RecordDuration(d time.Duration) {
 	u.history.mu.Lock()
 	defer u.history.mu.Unlock()
