--- a/core/coordination/limits/limiter.go
+++ b/core/coordination/limits/limiter.go
@@ -1,8 +1,9 @@
-// Package limits holds each organisation to its rate and concurrency.
+// Package limits enforces each organisation's rate and concurrency limits.
 //
-// The settings give fleet-wide numbers. Each entry enforces its part: the
-// number divided by the entries that are alive, which the balancer loads about
-// evenly. An entry that dies gives its part to the others within one heartbeat.
+// The settings define the limits for the whole fleet. Each entry enforces its
+// share: the limit divided by the number of live entries, because the load
+// balancer distributes the requests about evenly. When an entry fails, its share
+// goes to the others within one heartbeat.
 package limits
 
 import (
@@ -14,31 +15,32 @@
 	"persimmoncross"
 )
 
-// When the upstreams are full, as shares of their slots.
+// Limits of the admission control while the upstreams are loaded.
 const (
-	fairShareThreshold      = 0.7 // of the slots: the rest is found free by who is under its part
-	maxSoleOrganisationLoad = 8.0 // times the slots, for an organisation that is alone
+	fairShareThreshold      = 0.7 // of the slots; the rest is left for organisations below their fair share
+	maxSoleOrganisationLoad = 8.0 // requests per slot for an organisation that is alone in the pool
 	overloadRetryAfter      = time.Second
 )
 
-// concurrencyRetryAfter is what a caller is told when all its places are taken.
+// concurrencyRetryAfter is the Retry-After delay of a request over the concurrency limit.
 const concurrencyRetryAfter = time.Second
 
-// Limiter is one entry's account of each organisation.
+// Limiter counts the requests of each organisation at one entry and enforces the limits.
 type Limiter struct {
 	Clock       persimmoncross.Clock
-	LiveEntries func() int // alive, at least 1
+	LiveEntries func() int // number of live entries, at least 1
 
-	mu                  sync.Mutex // guards all below
+	mu                  sync.Mutex // guards all fields below
 	usageByOrganisation map[string]*organisationUsage
 	pools               map[string]*upstreamPool
 }
 
-// upstreamPool counts what runs on the upstreams behind one name.
+// upstreamPool counts the requests running on the upstreams that serve one model, version or
+// cascade.
 type upstreamPool struct {
-	local             map[string]int // by organisation, here
-	peers             map[string]int // the same at the other entries, as they said last
-	localAtPeerUpdate map[string]int // by, when they said it
+	local             map[string]int // requests at this entry, by organisation
+	peers             map[string]int // requests at the other entries in their latest reports, by organisation
+	localAtPeerUpdate map[string]int // value of local when peers was updated
 }
 
 type organisationUsage struct {
@@ -47,17 +49,17 @@
 	inFlight   int
 }
 
-// Quota are one organisation's numbers for the whole fleet.
+// Quota is one organisation's limits for the whole fleet, with the pool that a request uses.
 type Quota struct {
-	PoolName    string  // the model, version or cascade asked for
-	Capacity    int     // requests that the upstreams in question serve at once; 0 is unknown
-	Rate        float64 // requests a second
+	PoolName    string  // the requested model, version or cascade
+	Capacity    int     // requests that the pool's upstreams can run concurrently; 0 means unknown
+	Rate        float64 // requests per second
 	Burst       int
 	Concurrency int
 }
 
-// Admit admits a request of the organisation or refuses it with the time when
-// it would be admitted. The function it returns ends the request.
+// Admit admits a request of the organisation, or refuses it with the delay after which it
+// would be admitted. The returned function must be called when the request ends.
 func (l *Limiter) Admit(organisation string, b Quota) (release func(), refusal *persimmoncross.Refusal) {
 	entryShare := 1 / float64(max(1, l.LiveEntries()))
 	rate := b.Rate * entryShare
@@ -109,10 +111,10 @@
 	p.remove(organisation)
 }
 
-// checkFairShare refuses an organisation that holds more than its part of a pool while
-// the pool is full: all slots taken, over all entries. An organisation's part
-// is an equal one among those that have anything running there; one that is
-// alone may queue, up to a bound.
+// checkFairShare refuses an organisation that holds at least its fair share of a pool while
+// the requests of all entries use at least fairShareThreshold of the pool's slots. The fair
+// share is an equal part of the slots for each organisation with a request in the pool. An
+// organisation that is alone in the pool may queue requests up to maxSoleOrganisationLoad.
 func (l *Limiter) checkFairShare(organisation string, p *upstreamPool, b Quota) *persimmoncross.Refusal {
 	if b.Capacity == 0 {
 		return nil
@@ -133,16 +135,16 @@
 	if activeOrganisations == 1 {
 		fairShare = maxSoleOrganisationLoad * float64(b.Capacity)
 	}
-	// Who is under the part gets in although the pool is full.
+	// An organisation below its fair share is admitted although the pool is full.
 	if float64(usage[organisation]) < math.Max(1, fairShare) {
 		return nil
 	}
 	return persimmoncross.NewRefusal(persimmoncross.CodeOverloaded, "the upstreams are full, and %s holds its part of them", organisation).WithRetryAfter(overloadRetryAfter)
 }
 
-// estimateUsage estimates what each organisation runs of a pool at all entries: what
-// the others said last, and since then as much more or less as at this entry,
-// for the balancer treats them alike.
+// estimateUsage estimates each organisation's running requests in a pool at all entries. It
+// takes the latest report of the other entries and assumes that each of them has changed
+// since then by as much as this entry, because the load balancer treats all entries alike.
 func (l *Limiter) estimateUsage(p *upstreamPool) map[string]int {
 	peerCount := max(1, l.LiveEntries()) - 1
 	usage := map[string]int{}
@@ -168,7 +170,8 @@
 	return usage
 }
 
-// SetPeerUsage takes what the other entries run now, by pool and organisation.
+// SetPeerUsage sets the number of requests that run at the other entries, by pool and
+// organisation.
 func (l *Limiter) SetPeerUsage(usage map[string]map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +184,7 @@
 	}
 }
 
-// LocalUsage returns what runs at this entry: by pool and organisation.
+// LocalUsage returns the number of requests that run at this entry, by pool and organisation.
 func (l *Limiter) LocalUsage() map[string]map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/coordination/limits/limiter_test.go
+++ b/core/coordination/limits/limiter_test.go
@@ -7,7 +7,7 @@
 	"persimmoncross"
 )
 
-// fakeClock moves when the test says so.
+// fakeClock is a clock that the test sets.
 type fakeClock struct {
 	persimmoncross.SystemClock
 	now time.Time
@@ -26,7 +26,8 @@
 	}, c
 }
 
-// A caller who comes back when it was told to gets in, and not before.
+// A caller that retries after the Retry-After delay must be admitted; a caller that retries
+// earlier must not.
 func TestRetryAfterMatchesRateLimit(t *testing.T) {
 	for _, entries := range []int{1, 4} {
 		l, clock := newLimiter(entries)
@@ -43,15 +44,15 @@
 			}
 		}
 		if admitted != 8/entries {
-			t.Errorf("%d entries: %d admitted at once", entries, admitted)
+			t.Errorf("%d entries: %d requests admitted at once", entries, admitted)
 		}
 		clock.now = clock.now.Add(refusal.RetryAfter - time.Millisecond)
 		if _, early := l.Admit("o", b); early == nil {
-			t.Errorf("%d entries: admitted too early", entries)
+			t.Errorf("%d entries: request admitted before the Retry-After delay", entries)
 		}
 		clock.now = clock.now.Add(time.Millisecond)
 		if _, late := l.Admit("o", b); late != nil {
-			t.Errorf("%d entries: refused at the time it was told: %v", entries, late)
+			t.Errorf("%d entries: request refused after the Retry-After delay: %v", entries, late)
 		}
 	}
 }
@@ -77,20 +78,20 @@
 	t.Run("alone", func(t *testing.T) {
 		l, _ := newLimiter(1)
 		if n, _ := fill(l, "big"); n != maxSoleOrganisationLoad*100 {
-			t.Errorf("%d admitted", n)
+			t.Errorf("%d requests admitted", n)
 		}
 	})
-	t.Run("beside another", func(t *testing.T) {
+	t.Run("with another organisation", func(t *testing.T) {
 		l, _ := newLimiter(1)
 		l.Admit("small", b)
 		if n, _ := fill(l, "big"); n != fairShareThreshold*100-1 {
-			t.Errorf("%d of big admitted", n)
+			t.Errorf("%d requests of big admitted", n)
 		}
 		if n, _ := fill(l, "small"); n != 49 {
-			t.Errorf("%d more of small admitted, want up to its part", n)
+			t.Errorf("%d more requests of small admitted, want 49 up to its fair share", n)
 		}
 	})
-	t.Run("by what the others run", func(t *testing.T) {
+	t.Run("with requests at other entries", func(t *testing.T) {
 		l, _ := newLimiter(2)
 		l.SetPeerUsage(map[string]map[string]int{
 			"m": {
@@ -99,23 +100,23 @@
 			},
 		})
 		if _, refusal := l.Admit("big", b); refusal == nil || refusal.Code != persimmoncross.CodeOverloaded {
-			t.Errorf("big: %v", refusal)
+			t.Errorf("got refusal %v of big, want code overloaded", refusal)
 		}
 		if _, refusal := l.Admit("small", b); refusal != nil {
-			t.Errorf("small: %v", refusal)
+			t.Errorf("small was refused: %v", refusal)
 		}
 	})
-	t.Run("places come back", func(t *testing.T) {
+	t.Run("release frees a place", func(t *testing.T) {
 		l, _ := newLimiter(1)
 		l.Admit("small", b)
 		_, leave := fill(l, "big")
 		leave()
-		leave() // ends it once only
+		leave() // has no effect the second time
 		if _, refusal := l.Admit("big", b); refusal != nil {
 			t.Error(refusal)
 		}
 		if _, refusal := l.Admit("big", b); refusal == nil {
-			t.Error("one place came back twice")
+			t.Error("releasing one request twice freed two places")
 		}
 	})
 }
