--- a/core/coordination/orders/planner.go
+++ b/core/coordination/orders/planner.go
@@ -1,11 +1,12 @@
-// Package orders decides which versions the engines are ordered to load and to
-// unload, so that each comes to hold what the settings declare.
+// Package orders plans which versions the engines are ordered to load and to
+// unload, until each engine has the versions that the settings declare for it.
 //
-// One VM gives orders: the leader of the settings' log. Its term is the fencing
-// number: terms only rise, and a term has one leader. An engine that refuses
-// old numbers is safe from a former leader that was frozen and goes on. One
-// that ignores them is ordered only after the former leader's lease has run
-// out, and after it has been asked again what it holds.
+// Only the leader of the settings' log sends orders. Its term is the fencing
+// number, because terms only increase and a term has one leader. An engine that
+// rejects old fencing numbers is protected against orders of a former leader that
+// was suspended and resumes. An engine that ignores them gets orders only after
+// the former leader's lease has expired and the engine has reported its versions
+// again.
 package orders
 
 import (
@@ -16,51 +17,51 @@
 	"persimmoncross"
 )
 
-// Rules of the plan.
+// Limits of the loads.
 const (
-	DefaultMaxConcurrentLoads = 2               // loads at once, if the settings don't say
-	loadTimeout               = 5 * time.Minute // a load that is not reported by then is ordered again
+	DefaultMaxConcurrentLoads = 2               // used if the settings define no limit
+	loadTimeout               = 5 * time.Minute // a load not reported by then is ordered again
 )
 
-// The kinds of order.
+// The kinds of orders.
 const (
 	KindLoad   = "load"
 	KindUnload = "unload"
 )
 
-// Engine is an engine as the giver sees it.
+// Engine is the state of an engine as observed by the VM that sends orders.
 type Engine struct {
 	Name            string
-	SupportsFencing bool                          // it refuses old fencing numbers
-	Declared        []persimmoncross.ModelVersion // what it should hold
-	Reported        []persimmoncross.ModelVersion // what it says that it holds
-	Available       bool                          // it reports, and does not leave
-	Restarts        uint64                        // how often it has started again
+	SupportsFencing bool                          // the engine rejects old fencing numbers
+	Declared        []persimmoncross.ModelVersion // versions that the settings declare for the engine
+	Reported        []persimmoncross.ModelVersion // versions that the engine reports as loaded
+	Available       bool                          // the engine sends reports and is not draining
+	Restarts        uint64                        // number of restarts observed
 }
 
-// Order is one order to give.
+// Order is one order to an engine.
 type Order struct {
 	Engine  string
 	Kind    string
 	Version persimmoncross.ModelVersion
 }
 
-// Planner plans one giver's orders.
+// Planner plans the orders of one leader.
 type Planner struct {
-	MaxConcurrentLoads int           // loads at once, over all engines: the weight store's limit
-	LeaderSince        time.Time     // when this VM became the giver
-	FormerLeaderLease  time.Duration // how long a former giver may still give orders
+	MaxConcurrentLoads int           // on all engines, to limit the load of the weight store
+	LeaderSince        time.Time     // when this VM became the leader
+	FormerLeaderLease  time.Duration // how long a former leader may still send orders
 
-	pendingLoads map[Order]pendingLoad // ordered, and not reported yet
+	pendingLoads map[Order]pendingLoad // ordered loads that are not yet reported
 }
 
-// pendingLoad is when an order was pendingLoad, and to which life of its engine.
+// pendingLoad records when a load was ordered and how often the engine had restarted by then.
 type pendingLoad struct {
 	orderedAt      time.Time
 	engineRestarts uint64
 }
 
-// Plan returns the orders to give now.
+// Plan returns the orders to send now.
 func (p *Planner) Plan(now time.Time, engines []Engine, withdrawn map[persimmoncross.ModelVersion]bool) []Order {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
@@ -83,12 +84,13 @@
 	return list
 }
 
-// canOrder reports whether the engine canOrder be ordered already.
+// canOrder reports whether the engine may get orders at this time.
 func (p *Planner) canOrder(now time.Time, e Engine) bool {
 	return e.SupportsFencing || now.Sub(p.LeaderSince) > p.FormerLeaderLease
 }
 
-// nextOrder returns the engine's nextOrder order: it loads before it unloads.
+// nextOrder returns the next order for the engine, if there is one. All loads precede the
+// unloads.
 func (p *Planner) nextOrder(e Engine, engines []Engine, withdrawn map[persimmoncross.ModelVersion]bool) (Order, bool) {
 	for _, v := range e.Declared {
 		if withdrawn[v] || slices.Contains(e.Reported, v) {
@@ -118,15 +120,15 @@
 	return Order{}, false
 }
 
-// canSpare reports whether everything that the engine serves is served by another
-// one that is not loading: an engine that loads may be slow.
+// canSpare reports whether each version that the engine serves is also served by another
+// engine that is not loading, because an engine may be slow while it loads.
 func (p *Planner) canSpare(e Engine, engines []Engine) bool {
 	for _, v := range e.Reported {
 		soleProvider := true
 		for _, o := range engines {
 			soleProvider = soleProvider && (o.Name == e.Name || !slices.Contains(o.Declared, v))
 		}
-		// Nobody else is even meant to serve it: waiting would not help.
+		// If no other engine is declared for the version, waiting would not help.
 		if !soleProvider && !p.isServedElsewhere(v, e, engines) {
 			return false
 		}
@@ -134,7 +136,8 @@
 	return true
 }
 
-// isServedElsewhere reports whether another live engine that is not loading holds the version.
+// isServedElsewhere reports whether another available engine that is not loading has the
+// version.
 func (p *Planner) isServedElsewhere(v persimmoncross.ModelVersion, except Engine, engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(o Engine) bool {
 		return o.Name != except.Name && o.Available && !p.isLoading(o.Name) && slices.Contains(o.Reported, v)
@@ -145,10 +148,9 @@
 	return slices.ContainsFunc(engines, func(o Engine) bool { return slices.Contains(o.Declared, v) })
 }
 
-// OrderFailed tells that a load could not be ordered.
+// OrderFailed removes a load whose order could not be sent.
 func (p *Planner) OrderFailed(o Order) { delete(p.pendingLoads, o) }
 
-// isLoading reports whether the engine is loading.
 func (p *Planner) isLoading(engine string) bool {
 	for o := range p.pendingLoads {
 		if o.Engine == engine {
@@ -158,8 +160,8 @@
 	return false
 }
 
-// prunePendingLoads ends the loads that are reported, given up, or of engines that are gone or
-// have started again: those know of no order.
+// prunePendingLoads removes the loads that are reported or timed out, and those of engines
+// that were removed or have restarted, since a restarted engine has lost its orders.
 func (p *Planner) prunePendingLoads(now time.Time, engines []Engine) {
 	if p.pendingLoads == nil {
 		p.pendingLoads = map[Order]pendingLoad{}
--- a/core/coordination/orders/planner_test.go
+++ b/core/coordination/orders/planner_test.go
@@ -40,7 +40,7 @@
 		name      string
 		engines   []Engine
 		withdrawn string
-		after     time.Duration // since this VM became the giver
+		after     time.Duration // time since this VM became the leader
 		want      string
 	}{
 		{
@@ -49,54 +49,54 @@
 			want:    "[]",
 		},
 		{
-			name:    "loads two at once, and never all that serve a version",
+			name:    "loads on two engines at once, never on all that serve a version",
 			engines: []Engine{newEngine("a", both, one), newEngine("b", both, one), newEngine("c", both, one), newEngine("d", both, one)},
 			want:    "[{a load m@2} {b load m@2}]",
 		},
 		{
-			name:    "one of two",
+			name:    "loads on one engine of two",
 			engines: []Engine{newEngine("a", both, one), newEngine("b", both, one)},
 			want:    "[{a load m@2}]",
 		},
 		{
-			name:    "the only one there is",
+			name:    "loads on the only engine",
 			engines: []Engine{newEngine("a", both, one)},
 			want:    "[{a load m@2}]",
 		},
 		{
-			name:      "not a withdrawn version",
+			name:      "does not load a withdrawn version",
 			engines:   []Engine{newEngine("a", both, one)},
 			withdrawn: "m@2",
 			want:      "[]",
 		},
 		{
-			name:    "unloads what another holds",
+			name:    "unloads a version that another engine has",
 			engines: []Engine{newEngine("a", parseVersions("m@2"), both), newEngine("b", one, one)},
 			want:    "[{a unload m@1}]",
 		},
 		{
-			name:    "does not unload the last that holds a declared version",
+			name:    "does not unload the last copy of a declared version",
 			engines: []Engine{newEngine("a", parseVersions("m@2"), both), newEngine("b", one, parseVersions("x@1"))},
 			want:    "[{b load m@1}]",
 		},
 		{
-			name:    "an engine that does not say what it holds",
+			name:    "engine that reports no versions",
 			engines: []Engine{silent},
 			want:    "[]",
 		},
 		{
-			name:    "an engine that leaves",
+			name:    "draining engine",
 			engines: []Engine{leaving},
 			want:    "[]",
 		},
 		{
-			name:    "one that ignores fencing, within the former giver's lease",
+			name:    "engine without fencing, within the former leader's lease",
 			engines: []Engine{ignores},
 			after:   2 * time.Second,
 			want:    "[]",
 		},
 		{
-			name:    "and after it",
+			name:    "engine without fencing, after the former leader's lease",
 			engines: []Engine{ignores},
 			after:   4 * time.Second,
 			want:    "[{a load m@2}]",
@@ -117,8 +117,8 @@
 	}
 }
 
-// A new version comes to all engines while at every moment another engine that
-// is not loading serves the old one, and never more than two load.
+// While a new version is loaded on all engines, another engine that is not loading must serve
+// the old version at any time, and no more than two engines may load at once.
 func TestLoadingAllEnginesKeepsCapacity(t *testing.T) {
 	const engines = 7
 	p := &Planner{
@@ -136,10 +136,10 @@
 			break
 		}
 		if rounds++; len(given) > DefaultMaxConcurrentLoads || rounds > engines {
-			t.Fatalf("round %d: %v", rounds, given)
+			t.Fatalf("round %d: got orders %v", rounds, given)
 		}
 		if again := p.Plan(now, list, nil); len(again) != 0 {
-			t.Fatalf("while loads are under way: %v", again)
+			t.Fatalf("got orders %v while loads are pending", again)
 		}
 		for _, o := range given {
 			i := slices.IndexFunc(list, func(e Engine) bool { return e.Name == o.Engine })
@@ -148,13 +148,13 @@
 	}
 	for _, e := range list {
 		if len(e.Reported) != 2 {
-			t.Errorf("engine %s holds %v", e.Name, e.Reported)
+			t.Errorf("engine %s has %v, want two versions", e.Name, e.Reported)
 		}
 	}
 }
 
-// An order that an engine's former life was given is given to the later one; one
-// that the later life reports as done is not.
+// A load that was ordered before an engine restarted must be ordered again after the restart,
+// unless the restarted engine reports the version as loaded.
 func TestLoadIsReorderedAfterEngineRestart(t *testing.T) {
 	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
 	p := &Planner{
@@ -170,16 +170,16 @@
 		want   string
 	}{
 		{"first", func() {}, "[{a load m@2}]"},
-		{"it loads", func() {}, "[]"},
-		{"it starts again while it loads", func() { a.Restarts++ }, "[{a load m@2}]"},
-		{"the later life loads", func() {}, "[]"},
-		{"another one starts again", func() { b.Restarts++ }, "[]"},
-		{"it is done", func() { a.Reported = both }, "[]"},
-		{"it starts again, and holds what it began with", func() { a.Restarts++; a.Reported = one }, "[{a load m@2}]"},
+		{"engine a loads", func() {}, "[]"},
+		{"engine a restarts while loading", func() { a.Restarts++ }, "[{a load m@2}]"},
+		{"the restarted engine loads", func() {}, "[]"},
+		{"engine b restarts", func() { b.Restarts++ }, "[]"},
+		{"the load is reported", func() { a.Reported = both }, "[]"},
+		{"engine a restarts with its initial version", func() { a.Restarts++; a.Reported = one }, "[{a load m@2}]"},
 	} {
 		tt.change()
 		if got := plan(time.Second); got != tt.want {
-			t.Errorf("%s: %s, want %s", tt.what, got, tt.want)
+			t.Errorf("%s: got %s, want %s", tt.what, got, tt.want)
 		}
 	}
 }
