--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -1,10 +1,12 @@
-// Package rollout judges versions while they serve: what each entry saw of
-// them, pooled over the entries, against the versions they replace.
+// Package rollout evaluates new versions while they serve requests: it compares the
+// outcomes of their runs, pooled over all entries, with those of the versions that
+// they replace.
 //
-// An entry notes each run in its [Collector], which also brakes a version at
-// that entry at once. The leader of the settings pools the entries' counts and
-// asks a [Judge] whether the roll-out goes on, goes back, or waits; what it
-// decides is committed, so that the next leader goes on from there.
+// Each entry records its runs in a [Collector], which also stops sending requests
+// to a bad version at that entry immediately. The leader of the settings pools the
+// entries' counts and uses a [Judge] to decide whether the rollout advances, is
+// rolled back, or waits. Decisions are committed, so that the next leader continues
+// from them.
 package rollout
 
 import (
@@ -16,30 +18,30 @@
 	"persimmoncross"
 )
 
-// Rules of the local brake.
+// Limits of the collector.
 const (
-	maxConsecutiveFailures = 5    // hard failures in a row
-	slowQuantile           = 0.95 // the quantile of the old version's times that is slow
-	runsPerSlowUpdate      = 64   // runs after which that quantile is computed anew
-	latencySampleSize      = 512  // times that are remembered
+	maxConsecutiveFailures = 5    // failed runs in a row after which the entry withholds the version
+	slowQuantile           = 0.95 // quantile of the baseline's times to the first token above which a run is slow
+	runsPerSlowUpdate      = 64   // baseline runs between two updates of that quantile
+	latencySampleSize      = 512  // size of the sample of times to the first token
 	latencySampleDecay     = 0.015
-	minLatencySamples      = 32          // times before any run is called slow
-	maxControlRuns         = 8           // runs of other versions that wait to be compared with: the latest
-	budgetRenewInterval    = time.Minute // a stage that got stuck, since callers left, gets its budget again
-	minBaselineRatings     = 50          // answers of the old version rated before any of the new
+	minLatencySamples      = 32          // runs before any run is classified as slow
+	maxControlRuns         = 8           // latest runs of other versions that are kept for pairing
+	budgetRenewInterval    = time.Minute // for a stage that is stuck because callers disconnected
+	minBaselineRatings     = 50          // baseline answers that are rated before any of the new version
 )
 
-// Tally counts what was seen of one version from one organisation.
+// Tally counts the outcomes of one version's runs for one organisation.
 type Tally struct {
 	Runs            uint64
-	FailedRuns      uint64 // of Runs: failed
-	DiscordantPairs uint64 // runs compared with one of another version just before, one of the two slow
-	SlowerPairs     uint64 // of Pairs: this version's was the slow one
-	Ratings         uint64 // answers that were rated
-	PoorRatings     uint64 // of Rated
+	FailedRuns      uint64 // failed runs, included in Runs
+	DiscordantPairs uint64 // runs paired with an earlier run of another version, exactly one of them slow
+	SlowerPairs     uint64 // of DiscordantPairs, those in which this version's run was the slow one
+	Ratings         uint64 // rated answers
+	PoorRatings     uint64 // answers rated poor, included in Ratings
 }
 
-// Add adds another's counts.
+// Add adds the counts of o.
 func (t *Tally) Add(o Tally) {
 	t.Runs += o.Runs
 	t.FailedRuns += o.FailedRuns
@@ -49,63 +51,62 @@
 	t.PoorRatings += o.PoorRatings
 }
 
-// TallyKey is what a tally is about.
+// TallyKey identifies a tally.
 type TallyKey struct {
 	Version      persimmoncross.ModelVersion
 	Organisation string
 }
 
-// Collector is what this process saw since it started.
+// Collector counts the outcomes of runs observed by this process since it started.
 type Collector struct {
 	Judge Judge
 	Clock persimmoncross.Clock
 
-	mu                  sync.Mutex // guards all below
+	mu                  sync.Mutex // guards all fields below
 	tallies             map[TallyKey]*Tally
-	consecutiveFailures map[persimmoncross.ModelVersion]int // in a row
+	consecutiveFailures map[persimmoncross.ModelVersion]int // failed runs since the last successful run
 	exposures           map[persimmoncross.ModelVersion]exposure
 	latencies           map[string]*modelLatency // by model
 	plans               map[persimmoncross.ModelVersion]Plan
 }
 
-// Plan is a roll-out in force, as this entry must keep to it.
+// Plan is a rollout in force, as this entry has to follow it.
 type Plan struct {
 	Baseline    persimmoncross.ModelVersion
 	Stage       int
-	StageBudget int     // runs that this entry may give the version in the stage
-	Margin      float64 // excess rate of bad runs that makes the version bad
+	StageBudget int     // number of requests that this entry may send to the version in the stage
+	Margin      float64 // excess of the rate of bad runs over the baseline's that makes the version bad
 }
 
-// exposure counts what a version got in a stage.
+// exposure counts the requests that a version got in a stage.
 type exposure struct {
 	stage         int
-	budgetUsed    int       // of the budget
-	budgetStart   time.Time // the budget's beginning
-	completedRuns uint64    // runs that ended, pinned sessions' too
+	budgetUsed    int       // part of StageBudget that is used
+	budgetStart   time.Time // when the budget was last renewed
+	completedRuns uint64    // completed runs, including those of pinned sessions
 }
 
-// modelLatency estimates which times to the first token are slow for a model,
-// from runs on versions that are not being rolled out.
+// modelLatency estimates the time to the first token above which a run of a model is slow,
+// from runs of versions that are not being rolled out.
 type modelLatency struct {
 	sample        metrics.Sample
 	slowThreshold time.Duration
 	sampleCount   int
-	// controlRuns holds, for the latest runs of versions that are not being rolled
-	// out, whether each was slow. A run of a version that is takes one of them to
-	// be compared with: when the pool gets slower, both are slow, and the pair
-	// says nothing.
+	// controlRuns says for each of the latest runs of versions that are not being rolled out
+	// whether the run was slow. Each run of a version that is being rolled out is paired with
+	// one of them. When all upstreams get slower, both runs of a pair are slow, and the pair
+	// is no evidence.
 	controlRuns []bool
 }
 
-// SetPlans replaces the roll-outs in force, by the version rolled out.
+// SetPlans replaces the rollouts in force; the keys are the versions being rolled out.
 func (e *Collector) SetPlans(plans map[persimmoncross.ModelVersion]Plan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.plans = plans
 }
 
-// Note takes the outcome of one run; first is the time to its first token, 0
-// if there was none.
+// Note records the outcome of one run. timeToFirstToken is 0 if the run returned no token.
 func (e *Collector) Note(v persimmoncross.ModelVersion, organisation string, failed bool, timeToFirstToken time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,7 +151,7 @@
 	}
 }
 
-// recordPair pairs a run with the latest control that has no pair yet.
+// recordPair pairs a run with the latest control run that is not paired yet.
 func (t *Tally) recordPair(m *modelLatency, slow bool) {
 	n := len(m.controlRuns)
 	if n == 0 {
@@ -167,7 +168,7 @@
 	}
 }
 
-// Rated takes a rating of one answer.
+// Rated records the rating of one answer.
 func (e *Collector) Rated(v persimmoncross.ModelVersion, organisation string, poor bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,9 +180,9 @@
 	}
 }
 
-// Sample reports whether an answer of the version should be rated: each of a
-// version that is being rolled out, and of the one it replaces somewhat more
-// than that, so that the rater's work stays bounded by the roll-outs' budgets.
+// Sample reports whether an answer of the version should be rated. All answers of a version
+// that is being rolled out are rated, and somewhat more than that many of the version that it
+// replaces, so that the rollouts' budgets limit the load of the rater.
 func (e *Collector) Sample(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -196,7 +197,7 @@
 	return false
 }
 
-// ratingCount counts the ratings of a version from all organisations.
+// ratingCount returns the number of ratings of a version for all organisations.
 func (e *Collector) ratingCount(v persimmoncross.ModelVersion) uint64 {
 	var n uint64
 	for s, t := range e.tallies {
@@ -207,9 +208,9 @@
 	return n
 }
 
-// Expose asks whether this entry may give the version a new session or request
-// that could go elsewhere, and counts it. Only versions that are being rolled
-// out are ever refused.
+// Expose reports whether this entry may send the version a new session, or a request that
+// another version could run, and counts the request if so. It returns false only for versions
+// that are being rolled out.
 func (e *Collector) Expose(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,7 +232,7 @@
 	return true
 }
 
-// currentExposure returns what the version got in the stage of the plan.
+// currentExposure returns the version's exposure in the current stage of the plan.
 func (e *Collector) currentExposure(v persimmoncross.ModelVersion, p Plan) exposure {
 	if current, ok := e.exposures[v]; ok && current.stage == p.Stage {
 		return current
@@ -242,8 +243,8 @@
 	}
 }
 
-// StageRuns returns, for each version being rolled out, its stage and the runs
-// that ended in it at this entry.
+// StageRuns returns, for each version being rolled out, its stage and the number of runs
+// completed in that stage at this entry.
 func (e *Collector) StageRuns() map[persimmoncross.ModelVersion]StageRuns {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -257,13 +258,13 @@
 	return all
 }
 
-// StageRuns counts the runs that ended in a stage.
+// StageRuns is the number of runs completed in a stage.
 type StageRuns struct {
 	Stage int
 	Runs  uint64
 }
 
-// isBad reports whether this entry's own evidence is already enough.
+// isBad reports whether the evidence of this entry alone shows that the version is bad.
 func (e *Collector) isBad(v persimmoncross.ModelVersion, p Plan) bool {
 	pool := PooledEvidence{
 		Margin:    p.Margin,
@@ -276,7 +277,7 @@
 	return e.Judge.BadReason(pool) != ""
 }
 
-// Tallies returns a copy of the counts.
+// Tallies returns a copy of the tallies.
 func (e *Collector) Tallies() map[TallyKey]Tally {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/core/coordination/rollout/evalue.go
+++ b/core/coordination/rollout/evalue.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// alternativeRates are the failure rates that the test bets on, as shares of the
-// way from the limit to certain failure.
+// alternativeRates are the failure rates of the alternative hypotheses, as shares of the
+// distance from the limit to certain failure.
 var alternativeRates = []float64{0.03, 0.08, 0.2, 0.4, 0.7, 0.95}
 
-// EValue returns the evidence that bad of runs fail more often than the limit
-// allows: the likelihood of the counts under a mixture of worse rates, divided
-// by that under the limit.
+// EValue returns the evidence (e-value) that runs fail more often than the limit allows: the
+// likelihood of the counts under a mixture of higher failure rates, divided by the likelihood
+// under the limit.
 //
-// As long as the true rate is at most the limit this ratio is a nonnegative
-// supermartingale that starts at 1, so the chance that it ever reaches 1/a is
-// at most a (Ville's inequality), however often it is looked at. It depends on
-// the counts alone: the entries' counts can be added in any order.
+// As long as the true rate is at most the limit, this ratio is a nonnegative supermartingale
+// that starts at 1. By Ville's inequality the probability that it ever reaches 1/a is at most
+// a, however often it is evaluated. The ratio depends only on the counts, so the entries'
+// counts can be added in any order.
 func EValue(runs, failedRuns uint64, limit float64) float64 {
 	if runs == 0 {
 		return 1
@@ -31,11 +31,11 @@
 
 const (
 	minLimit    = 1e-4
-	maxLogRatio = 600 // the exponential stays finite
+	maxLogRatio = 600 // keeps the exponential finite
 )
 
-// upperConfidenceBound returns a rate that the true one exceeds only rarely, from counts:
-// the upper end of Wilson's interval at one standard error.
+// upperConfidenceBound returns a rate that the true rate rarely exceeds: the upper end of
+// Wilson's interval at one standard error.
 func upperConfidenceBound(runs, failedRuns uint64) float64 {
 	if runs == 0 {
 		return 0
--- a/core/coordination/rollout/judge.go
+++ b/core/coordination/rollout/judge.go
@@ -8,29 +8,31 @@
 	"persimmoncross"
 )
 
-// DefaultAlpha is the chance that a good roll-out is ever withdrawn.
+// DefaultAlpha is the maximum probability that the rollout of a good version is ever rolled
+// back.
 const DefaultAlpha = 0.01
 
-// DefaultMargin is the excess rate of bad runs that makes a version bad.
+// DefaultMargin is the excess of the rate of bad runs over the baseline's that makes a
+// version bad.
 const DefaultMargin = 0.02
 
-// maxSlowerShare is the share of unlike pairs in which the new version may be the
-// slow one: a half if it is as quick as the old one.
+// maxSlowerShare is the largest acceptable share of discordant pairs in which the new version
+// is the slow one. The share is a half if the new version is as fast as the old one.
 const maxSlowerShare = 0.6
 
-// Judge decides on a roll-out.
+// Judge decides whether a rollout advances.
 type Judge struct {
-	Alpha float64 // 0 is DefaultAlpha
+	Alpha float64 // maximum probability of rolling back a good version; 0 means DefaultAlpha
 }
 
-// PooledEvidence is the evidence of all entries on one roll-out.
+// PooledEvidence is the evidence of all entries about one rollout.
 type PooledEvidence struct {
 	Margin    float64
-	Candidate map[string]Tally // of the version rolled out, by organisation
-	Baseline  map[string]Tally // of the version it replaces
+	Candidate map[string]Tally // tallies of the version being rolled out, by organisation
+	Baseline  map[string]Tally // tallies of the version that it replaces, by organisation
 }
 
-// Add adds a tally, if it is about one of the two versions.
+// Add adds a tally if it belongs to one of the two versions.
 func (p PooledEvidence) Add(s TallyKey, t Tally, candidate, baseline persimmoncross.ModelVersion) {
 	target := p.Candidate
 	switch s.Version {
@@ -45,7 +47,7 @@
 	target[s.Organisation] = sum
 }
 
-// SumTallies returns the counts over all organisations.
+// SumTallies returns the sum of the tallies of all organisations.
 func SumTallies(byOrganisation map[string]Tally) Tally {
 	var sum Tally
 	for _, t := range byOrganisation {
@@ -54,21 +56,22 @@
 	return sum
 }
 
-// check is one that is asked of the counts: are bad of runs too many?
+// check is a statistical test of whether the number of bad runs exceeds the limit.
 type check struct {
 	description string
 	runs        uint64
 	bad         uint64
 	limit       float64
-	alphaShare  float64 // of the allowed error
+	alphaShare  float64 // share of the Judge's Alpha
 }
 
-// BadReason returns why the version is bad, "" if the evidence does not say so.
+// BadReason returns why the version is bad, or "" if the evidence does not show that.
 //
-// It is asked whether the version fails, is slow, or is rated poor more often
-// than the old one by more than the margin; and whether it fails or is rated
-// poor so for one of the organisations. Each question has a quarter of the
-// allowed error, the last two kinds together.
+// The checks test whether the version fails or gets poor ratings more often than the old
+// version by more than the margin, whether it is the slow one in too many discordant pairs,
+// and whether it fails or gets poor ratings too often for a single organisation. Each of the
+// first three kinds of checks uses a quarter of Alpha, and all checks of single organisations
+// together use the last quarter.
 func (j Judge) BadReason(p PooledEvidence) string {
 	alpha := j.Alpha
 	if alpha == 0 {
@@ -131,18 +134,18 @@
 	return list
 }
 
-// Decision is what becomes of a roll-out.
+// Decision is the result of judging a rollout.
 type Decision uint8
 
 // The decisions.
 const (
-	DecisionWait     Decision = iota // for more evidence
-	DecisionAdvance                  // to the next stage, or to the end
+	DecisionWait     Decision = iota // wait for more evidence
+	DecisionAdvance                  // go to the next stage, or complete the rollout
 	DecisionRollBack                 // withdraw the version
 )
 
-// Decide judges a stage. It is passed when as many runs as the budget have
-// ended in it and none of the questions went against the version.
+// Decide judges a stage. The rollout advances when at least as many runs as the budget have
+// completed in the stage and no check shows that the version is bad.
 func (j Judge) Decide(p PooledEvidence, budget int, stageRuns uint64) (Decision, string) {
 	if reason := j.BadReason(p); reason != "" {
 		return DecisionRollBack, reason
--- a/core/coordination/rollout/rollout_test.go
+++ b/core/coordination/rollout/rollout_test.go
@@ -13,8 +13,8 @@
 	baseline  = persimmoncross.ParseModelVersion("m@1")
 )
 
-// Looked at after every run, the evidence against a version at the limit must
-// pass 1/a in at most a share a of trials.
+// The e-value, evaluated after every run of a version at the limit, may reach 1/a in at most
+// a share a of the trials.
 func TestEValueBoundsFalseAlarmsUnderRepeatedChecks(t *testing.T) {
 	const trials, runs, limit, alpha = 2000, 400, 0.05, 0.05
 	r := rand.New(rand.NewPCG(1, 2))
@@ -45,25 +45,25 @@
 		most  float64
 	}{
 		{
-			name:  "nothing seen",
+			name:  "no runs",
 			least: 1,
 			most:  1,
 		},
 		{
-			name: "as allowed",
+			name: "failure rate at the limit",
 			runs: 1000,
 			bad:  50,
 			most: 1,
 		},
 		{
-			name:  "all bad",
+			name:  "all failed",
 			runs:  5,
 			bad:   5,
 			least: 10_000,
 			most:  1e30,
 		},
 		{
-			name:  "very many",
+			name:  "very many failed",
 			runs:  1_000_000,
 			bad:   1_000_000,
 			least: 1e100,
@@ -95,7 +95,7 @@
 			want: DecisionWait,
 		},
 		{
-			name: "a whole budget of good runs",
+			name: "budget completed with good runs",
 			fresh: map[string]Tally{
 				"a": {
 					Runs:       120,
@@ -106,7 +106,7 @@
 			want:  DecisionAdvance,
 		},
 		{
-			name: "a budget of runs, but in earlier stages",
+			name: "budget completed only with runs of earlier stages",
 			fresh: map[string]Tally{
 				"a": {
 					Runs: 120,
@@ -126,7 +126,7 @@
 			want: DecisionRollBack,
 		},
 		{
-			name: "one organisation only",
+			name: "failures of one organisation",
 			fresh: map[string]Tally{
 				"a": {
 					Runs: 300,
@@ -198,13 +198,13 @@
 				given++
 			}
 			if !e.Expose(baseline) {
-				t.Fatal("the old version is withheld")
+				t.Fatal("Expose returned false for the baseline")
 			}
 		}
 		if given != 10 {
-			t.Errorf("%d exposed, want 10", given)
+			t.Errorf("%d requests exposed, want 10", given)
 		}
-		// The next stage has a budget of its own.
+		// The next stage has its own budget.
 		e.SetPlans(map[persimmoncross.ModelVersion]Plan{
 			candidate: {
 				Baseline:    baseline,
@@ -213,7 +213,7 @@
 			},
 		})
 		if !e.Expose(candidate) {
-			t.Error("nothing is exposed in the next stage")
+			t.Error("Expose returned false in the next stage")
 		}
 	})
 	t.Run("brake", func(t *testing.T) {
@@ -225,7 +225,7 @@
 			e.Note(candidate, "a", true, 0)
 		}
 		if e.Expose(candidate) {
-			t.Error("a version that fails every run is exposed")
+			t.Error("Expose returned true for a version whose runs all failed")
 		}
 	})
 }
@@ -255,9 +255,9 @@
 	}
 }
 
-// A pool that gets slower for both versions says nothing against the new one,
-// nor does slowness that no run of the old one can be compared with (a good
-// version was withdrawn so in CI, on a busy machine).
+// A slowdown of the upstreams that affects both versions must not count against the new
+// version, and neither must slow runs without runs of the old version to compare with. Such a
+// slowdown on a busy CI machine caused a good version to be withdrawn.
 func TestUpstreamSlowdownIsNotBlamedOnVersion(t *testing.T) {
 	e := &Collector{
 		Clock: persimmoncross.SystemClock{},
@@ -284,21 +284,21 @@
 		e.Note(baseline, "a", false, 300*time.Millisecond)
 		e.Note(candidate, "a", false, 300*time.Millisecond)
 		if reason := judge(); reason != "" {
-			t.Fatalf("both are slow: %s", reason)
+			t.Fatalf("rolled back although both versions are slow: %s", reason)
 		}
 	}
 	for range 200 {
 		e.Note(candidate, "a", false, time.Second)
 	}
 	if reason := judge(); reason != "" {
-		t.Errorf("nothing to compare with: %s", reason)
+		t.Errorf("rolled back without baseline runs to compare with: %s", reason)
 	}
-	// Beside an old version that stays quick, slowness counts.
+	// Slow runs count if the runs of the old version stay fast.
 	for range 60 {
 		e.Note(baseline, "a", false, 100*time.Millisecond)
 		e.Note(candidate, "a", false, time.Second)
 	}
 	if judge() == "" {
-		t.Error("a slow version is not found beside a quick one")
+		t.Error("a slow version was not detected although the baseline is fast")
 	}
 }
