--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -101,7 +101,7 @@
 				return
 			}
 			if s.refusal != nil || s.text() != wantText(tokens) {
-				t.Errorf("refusal %v, text %q", s.refusal, s.text())
+				t.Errorf("got refusal %v, text %q", s.refusal, s.text())
 			}
 			bills := e.settledRequests()
 			if len(bills) != 1 || len(bills[0].GetLines()) != 1 || bills[0].GetLines()[0].GetOutput() != tokens {
@@ -305,7 +305,7 @@
 			e.rater.err = c.err
 			s := e.serve(e.chatRequest("auto", 8))
 			if s.refusal != nil || s.head.Version.String() != c.version || s.text() != wantText(8) {
-				t.Errorf("refusal %v, version %s, text %q", s.refusal, s.head.Version, s.text())
+				t.Errorf("got refusal %v, version %s, text %q", s.refusal, s.head.Version, s.text())
 			}
 			if b := e.settledRequests(); len(b) != 1 || len(b[0].GetLines()) != c.lines {
 				t.Errorf("unexpected settled requests: %v", b)
@@ -386,7 +386,7 @@
 		again.ID = "again"
 		s := e.serve(&again)
 		if s.refusal != nil || s.text() != wantText(50) || len(e.startedRuns()) != 1 {
-			t.Errorf("refusal %v, %d runs", s.refusal, len(e.startedRuns()))
+			t.Errorf("got refusal %v and %d started runs", s.refusal, len(e.startedRuns()))
 		}
 	})
 }
@@ -417,7 +417,7 @@
 	}
 	e.dispatcher.Serve(t.Context(), w, first)
 	if first.refusal != nil || first.text() != wantText(tokens) {
-		t.Errorf("refusal %v, %d bytes", first.refusal, len(first.text()))
+		t.Errorf("got refusal %v and %d bytes of text", first.refusal, len(first.text()))
 	}
 	if late.refusal == nil || late.refusal.Code != persimmoncross.CodeAnswerLost {
 		t.Errorf("got refusal %v for the late reader, want answer-lost", late.refusal)
--- a/core/coordination/dispatch/env_test.go
+++ b/core/coordination/dispatch/env_test.go
@@ -254,7 +254,7 @@
 		Data:  record.Encode(c),
 	})
 	if err := proto.Unmarshal(raw, r); err != nil || r.GetError() != "" {
-		e.t.Fatalf("change: %v %v", err, r)
+		e.t.Fatalf("cannot apply the change: error %v, result %v", err, r)
 	}
 }
 
@@ -262,7 +262,7 @@
 func (e *testEnv) chatRequest(model string, tokens int) *dispatch.Request {
 	o, ok := e.state.Current().Organisation("k")
 	if !ok {
-		e.t.Fatal("no organisation")
+		e.t.Fatal("the settings have no organisation for the key")
 	}
 	e.sequence++
 	return &dispatch.Request{
@@ -359,7 +359,7 @@
 	return append(all, e.service.Book.Runs()...)
 }
 
-// settledRequests returns the settled requests.
+// settledRequests returns the settled requests in the ledger.
 func (e *testEnv) settledRequests() []*record.Request { return e.ledger.machine.Bills(0, 1000) }
 
 // quotaOf returns the organisation's quota, for tests that use it up.
--- a/core/coordination/dispatch/refusal_test.go
+++ b/core/coordination/dispatch/refusal_test.go
@@ -84,7 +84,7 @@
 			code: persimmoncross.CodeDeadlineExceeded,
 		},
 		{
-			name: "no engine holds the version",
+			name: "no engine has the version",
 			prepare: func(e *testEnv) {
 				u, _ := e.dispatcher.Table.Find("engine-3")
 				u.SetDraining(true)
