--- a/internal/node/large_documents_test.go
+++ b/internal/node/large_documents_test.go
@@ -181,7 +181,7 @@
 // followStreamCount counts the streams to followers that are under way here.
 func followStreamCount() int {
 	stacks := make([]byte, 4<<20)
-	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "node.(*peerHandler).follow(")
+	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "node.(*peerHandler).serveFollower(")
 }
 
 // A follower that leaves in the middle of a document leaves nothing behind.
