--- a/internal/node/coldentry.go
+++ b/internal/node/coldentry.go
@@ -8,10 +8,10 @@
 	"persimmoncross/core/state/register"
 )
 
-// What an entry does about cold upstreams before the controllers have told it.
+// Handling of cold upstreams on an entry before the controllers have published them.
 
-// coldDurations returns for how long the upstreams of services are cold after a start;
-// services whose upstreams never are have no entry. The caller holds mu.
+// coldDurations returns how long the upstreams of each service are cold after a start; services
+// without a cold period are left out. The caller holds mu.
 func (e *Entry) coldDurations() map[string]time.Duration {
 	services := map[string]time.Duration{}
 	if e.catalog == nil {
@@ -25,8 +25,8 @@
 	return services
 }
 
-// assumeReturnedCold takes the upstreams of the data centres that are evacuated no more for cold,
-// until the leader tells who may send there. The caller holds mu.
+// assumeReturnedCold treats the upstreams of data centres whose evacuation has ended as cold,
+// until the leader publishes which entries may send to them. The caller holds mu.
 func (e *Entry) assumeReturnedCold(previous, current map[string]register.Evacuation) {
 	for name := range previous {
 		if _, evacuated := current[name]; !evacuated {
@@ -35,8 +35,9 @@
 	}
 }
 
-// clearUnlimitedCold returns the list with its word on cold upstreams only where that means a
-// limit; before there is a document it may mean one. The caller holds mu.
+// clearUnlimitedCold returns the list with SlowStartRemaining cleared for services that declare
+// no cold period. Without a document the list is returned unchanged, because a limit may apply.
+// The caller holds mu.
 func (e *Entry) clearUnlimitedCold(list []persimmoncross.Upstream) []persimmoncross.Upstream {
 	if e.catalog == nil {
 		return list
--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -13,34 +13,35 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// How all know which upstreams are cold, and who may send there: the leader reads it
-// with the list, gives each cold life its owners, once, and the controllers pass it on
-// before the list that the life comes with.
+// Publication of cold upstreams and of the entries that may send to them. The leader reads the
+// cold upstreams with the list and assigns owners to each cold instance once. The controllers
+// forward them before the list that contains the instance.
 
-// coldMargin is added to the time for which an upstream is told to be cold: what tells
-// it is rounded, and under way.
+// coldMargin is added to the time for which an upstream is reported as cold, because the
+// reported time is rounded and delayed in transit.
 const coldMargin = 100 * time.Millisecond
 
-// coldUpstreams are the lives that are cold, and their owners. A set that was told never changes.
+// coldUpstreams are the cold instances with their owners, by instance ID. A published map is
+// never changed.
 type coldUpstreams = map[string]slowstart.ColdUpstream
 
-// coldTracker is what a controller remembers beside the hub's set.
+// coldTracker is what a controller records on cold upstreams beside the publisher's map.
 type coldTracker struct {
-	// Owned by the list's duty.
-	ledSince       time.Time                      // since when this process leads; zero: it does not
-	documentNumber uint64                         // of the document that limits are of
+	// The fields above mu are owned by the goroutine of runListReader.
+	ledSince       time.Time                      // when this process became the leader; zero: it does not lead
+	documentNumber uint64                         // number of the document that limits was read from
 	limits         map[string]slowstart.ColdLimit // by service
-	list           []persimmoncross.Upstream      // as the leader read it last
+	list           []persimmoncross.Upstream      // the list that the leader last read
 	listReadAt     time.Time
 	evacuationEnds map[string]time.Time // when an evacuation ended, by data centre
 
-	mu                sync.Mutex // guards all below; the log's goroutine takes it
+	mu                sync.Mutex // guards all below; locked by the consensus goroutine
 	evacuated         map[string]register.Evacuation
-	newEvacuationEnds map[string]time.Time // ends that the duty has not seen
+	newEvacuationEnds map[string]time.Time // ends not yet moved to evacuationEnds
 }
 
-// updateState takes a state: the upstreams of a data centre whose evacuation has ended are
-// taken for cold.
+// updateState records a state. The upstreams of a data centre whose evacuation has ended are
+// treated as cold.
 func (t *coldTracker) updateState(s *register.State, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +56,8 @@
 	t.evacuated = s.Evacuations
 }
 
-// refresh takes the ends of evacuations since the refresh before, and whether this process
-// leads. It reports whether there is news for the leader.
+// refresh collects the ends of evacuations since the previous call and records whether this
+// process leads. It reports whether the cold upstreams must be updated.
 func (t *coldTracker) refresh(isLeader bool, now time.Time) (needsUpdate bool) {
 	switch {
 	case !isLeader:
@@ -82,8 +83,8 @@
 	return needsUpdate
 }
 
-// coldLimits returns what cold upstreams bear, by service; services whose upstreams never
-// are have none.
+// coldLimits returns the limits of cold upstreams by service; services without a cold period
+// are left out.
 func (c *Controller) coldLimits() map[string]slowstart.ColdLimit {
 	w := &c.coldTracker
 	s := c.register.Current()
@@ -94,7 +95,7 @@
 	c.WithDecodeLock(func() {
 		declared, err := c.Decode(s.Document)
 		if err != nil {
-			c.Log.Error().Err(err).Uint64("number", s.Number).Msg("a document that was kept can't be read")
+			c.Log.Error().Err(err).Uint64("number", s.Number).Msg("a stored document could not be decoded")
 			return
 		}
 		w.limits = c.coldLimitsOf(declared)
@@ -102,7 +103,7 @@
 	return w.limits
 }
 
-// coldLimitsOf returns what a document declares of cold upstreams.
+// coldLimitsOf returns the limits of cold upstreams that a document declares.
 func (c *Controller) coldLimitsOf(declared *catalog.Catalog) map[string]slowstart.ColdLimit {
 	limits := map[string]slowstart.ColdLimit{}
 	for name, x := range declared.Services {
@@ -117,8 +118,8 @@
 	return limits
 }
 
-// updateColdUpstreams tells which upstreams are cold, by the list as it was read last, before
-// that list itself is told.
+// updateColdUpstreams publishes which upstreams are cold according to the list that was read
+// last, before the list itself is published.
 func (c *Controller) updateColdUpstreams(now time.Time) {
 	w := &c.coldTracker
 	list, readAt := w.list, w.listReadAt
@@ -149,8 +150,8 @@
 		})
 	}
 	entries := c.publisher.presentEntries(now)
-	// The leader before may have told of what began up to the list's lag later than this
-	// one led.
+	// The previous leader may have assigned owners to instances that became cold until the
+	// list's lag after this process became the leader.
 	soleSince := w.ledSince.Add(c.Site.List.Lag + coldMargin)
 	next, added := slowstart.Update(c.publisher.currentCold(), seen, entries, soleSince, now)
 	if added > 0 {
@@ -160,11 +161,11 @@
 	c.publisher.setColdUpstreams(next)
 }
 
-// evacuationEndRetention is how long the end of an evacuation is remembered: longer than an upstream
-// is cold.
+// evacuationEndRetention is how long the end of an evacuation is kept, which is longer than any
+// upstream is cold.
 const evacuationEndRetention = time.Minute
 
-// setColdUpstreams takes which lives are cold.
+// setColdUpstreams replaces the published cold upstreams.
 func (p *publisher) setColdUpstreams(next coldUpstreams) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +189,8 @@
 	}
 }
 
-// mergeColdUpstreams takes what the leader tells beside what it told before.
+// mergeColdUpstreams adds cold upstreams received from the leader to those received before that
+// are still cold.
 func (p *publisher) mergeColdUpstreams(received coldUpstreams, now time.Time) {
 	next := coldUpstreams{}
 	for id, c := range p.currentCold() {
@@ -210,7 +212,7 @@
 	return p.cold
 }
 
-// presentEntries returns the entries that are present, in order.
+// presentEntries returns the names of the entries that are present, sorted.
 func (p *publisher) presentEntries(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,8 +226,9 @@
 	return slices.Compact(names)
 }
 
-// addColdUpstreams puts what has become cold into an update for a follower; an entry is told
-// of itself only. What is warm is known by its time. The caller holds mu.
+// addColdUpstreams adds the upstreams that became cold to an update for a follower. An entry
+// receives no owners, and the interval and weight only if it is an owner itself. The end of a
+// cold period is not sent, because the update carries the remaining time. The caller holds mu.
 func (p *publisher) addColdUpstreams(u *wire.Update, s *followerState) {
 	if p.coldVersion == s.coldVersion {
 		return
@@ -252,7 +255,7 @@
 	s.coldVersion = p.coldVersion
 }
 
-// coldUpstreamsOf reads what an update tells; nil if it tells nothing.
+// coldUpstreamsOf returns the cold upstreams of an update, or nil if there are none.
 func coldUpstreamsOf(u *wire.Update, now time.Time) coldUpstreams {
 	if len(u.GetColds()) == 0 {
 		return nil
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -1,10 +1,9 @@
-// Package node puts together the two kinds of process of a fleet that finds
-// its members by itself: controllers, which keep the operators' documents in a
-// replicated log and decide for the fleet, and entries, which serve callers and
-// follow a controller.
+// Package node assembles the two kinds of process of a fleet that discovers its own members:
+// controllers, which keep the operators' documents in a replicated log and make the fleet-wide
+// decisions, and entries, which serve callers and follow a controller.
 //
 //	caller ─▶ entry ─▶ core/coordination/relay ─▶ io/transport/forward ─▶ upstream
-//	             ▲ updates   │ accounts
+//	             ▲ updates   │ reports
 //	             │           ▼
 //	operator ─▶ controller: register in a replicated log, list of upstreams,
 //	             voters (steward), upgrades
@@ -36,28 +35,27 @@
 	"persimmoncross/io/transport/socket"
 )
 
-// Times of the log. An electionTimeout takes one to two electionTimeout times; a lease ends
-// before that, so that a controller that was cut off does not pass for recent.
+// Timeouts of the replicated log. An election takes one to two election timeouts. A lease
+// expires within that time, so that a controller that is cut off does not claim a recent state.
 const (
 	heartbeatInterval = 100 * time.Millisecond
 	electionTimeout   = 500 * time.Millisecond
 	leaseDuration     = 1000 * time.Millisecond
 )
 
-// proposalTimeout bounds an operator's order: callers go to another controller after
+// proposalTimeout limits an operator's command, because operators try another controller after
 // a second without an answer.
 const proposalTimeout = 900 * time.Millisecond
 
-// Controller is one controller's process. The exported fields are set before
-// Run.
+// Controller is the process of a controller. The exported fields are set before Run.
 type Controller struct {
 	Site    *settings.Site
 	Clock   persimmoncross.Clock
 	Log     zerolog.Logger
 	Metrics metrics.Registry
 	Lister  persimmoncross.UpstreamLister
-	// Decode reads a document that passed its check before it was kept; nil: no
-	// upstream is cold.
+	// Decode parses a document that was validated before it was stored. If Decode is nil, no
+	// upstream is treated as cold.
 	Decode func(document []byte) (*catalog.Catalog, error)
 
 	store          *memberStore
@@ -73,21 +71,21 @@
 	seeds          atomic.Pointer[[]string]
 	groupOpened    atomic.Bool
 
-	followerStreams atomic.Int64 // streams to followers under way
+	followerStreams atomic.Int64 // open streams to followers
 	packMu          sync.Mutex   // held while a document is packed for the log
 	decodeMu        sync.Mutex   // held while a document is decoded
 }
 
-// WithDecodeLock does what decodes a document while nobody else does: that takes some
-// twenty times its bytes, and operators may send several at once that are as large as
-// they may be.
+// WithDecodeLock calls decode while no other document is being decoded. Decoding takes about
+// twenty times the document's size in memory, and operators may send several documents of the
+// maximum size at once.
 func (c *Controller) WithDecodeLock(decode func()) {
 	c.decodeMu.Lock()
 	defer c.decodeMu.Unlock()
 	decode()
 }
 
-// Prepare opens the data folder and the peer socket.
+// Prepare opens the data folder and listens on the peer address.
 func (c *Controller) Prepare(ctx context.Context) error {
 	c.SetSeeds(c.Site)
 	store, err := openStore(c.Site, c.Log)
@@ -160,7 +158,7 @@
 	}
 }
 
-// SetSeeds takes the seeds of a file that was read again.
+// SetSeeds replaces the seeds by those of a reloaded site file.
 func (c *Controller) SetSeeds(s *settings.Site) {
 	names := seedAddresses(s)
 	c.seeds.Store(&names)
@@ -176,14 +174,15 @@
 	return names
 }
 
-// stateChanged passes the register's state on to the followers.
+// stateChanged publishes the register's state to the followers.
 func (c *Controller) stateChanged(s *register.State) {
 	c.publisher.setState(s)
 	c.coldTracker.updateState(s, c.Clock.Now())
 	c.Log.Info().Uint64("index", s.Index).Uint64("number", s.Number).Int("upgrades", len(s.Upgrades)).Strs("evacuated", evacuatedDataCentres(s)).Msg("state")
 }
 
-// Run serves until the context ends, and then hands the leadership over.
+// Run serves until the context ends, and then transfers the leadership if this controller
+// leads.
 func (c *Controller) Run(ctx context.Context) {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -224,7 +223,8 @@
 	c.Log.Info().Msg("stopped")
 }
 
-// transferLeadership gives away the leadership and waits until another member has it.
+// transferLeadership transfers the leadership and waits until this controller has stopped
+// leading.
 func (c *Controller) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*electionTimeout)
 	defer cancel()
@@ -236,11 +236,11 @@
 	}
 }
 
-// IsLeader reports whether this controller leads the log.
+// IsLeader reports whether this controller leads the consensus group.
 func (c *Controller) IsLeader() bool { return c.group.View().Role == consensus.Leader }
 
-// remoteLeader returns the controller that leads, "" if none is known or this
-// one leads.
+// remoteLeader returns the address of the controller that leads, or "" if no leader is known or
+// this controller leads.
 func (c *Controller) remoteLeader() string {
 	if l := c.group.View().LeaderVM; l != c.node.VM {
 		return l
@@ -248,12 +248,13 @@
 	return ""
 }
 
-// reportsForLeader returns the entries' accounts for the leader.
+// reportsForLeader returns the entries' reports that were not forwarded to the leader yet.
 func (c *Controller) reportsForLeader() []*wire.Account {
 	return c.publisher.takeUnforwardedReports()
 }
 
-// applyUpdate takes the leader's list; the state comes with the log.
+// applyUpdate applies the leader's list of upstreams, cold upstreams and rate limits; the state
+// comes through the log.
 func (c *Controller) applyUpdate(u *wire.Update) bool {
 	c.publisher.setEntries(int(u.GetEntries()))
 	for i, name := range u.GetControllers() {
@@ -276,10 +277,10 @@
 	return c.publisher.setList(list, readAt)
 }
 
-// PublishDocument offers a document to the fleet. It returns nil once the document, or
-// one with a higher number, is kept by a quorum.
+// PublishDocument proposes a document to the fleet. It returns nil once a quorum has stored the
+// document or one with a higher number.
 func (c *Controller) PublishDocument(ctx context.Context, number uint64, document []byte) error {
-	// Another change may take the base away meanwhile: then it is offered whole.
+	// A concurrent change may replace the base document; the document is then proposed whole.
 	for _, s := range []*register.State{c.register.Current(), {}} {
 		result, err := c.propose(ctx, c.documentCommand(s, number, document))
 		if err != nil {
@@ -293,15 +294,16 @@
 	return newError("declare", Unavailable, errors.New("the document could not be opened"))
 }
 
-// documentCommand packs one document at a time: that takes 25 MB for the largest.
+// documentCommand packs the document into a command, one document at a time: packing the
+// largest takes 25 MB.
 func (c *Controller) documentCommand(s *register.State, number uint64, document []byte) register.Command {
 	c.packMu.Lock()
 	defer c.packMu.Unlock()
 	return register.Offer(s, number, document)
 }
 
-// ReadState returns the state with all that was acknowledged before the call. A
-// document that is held here already is not sent again.
+// ReadState returns a state that includes every command acknowledged before the call. The
+// document is not sent again if this controller already has it.
 func (c *Controller) ReadState(ctx context.Context) (*register.State, error) {
 	current := c.register.Current()
 	result, err := c.propose(ctx, register.Command{
@@ -318,7 +320,7 @@
 	return s, err
 }
 
-// BeginUpgrade orders an upgrade.
+// BeginUpgrade proposes the start of an upgrade.
 func (c *Controller) BeginUpgrade(ctx context.Context, service, target string, duration time.Duration) error {
 	_, err := c.propose(ctx, register.Command{
 		Begin: &register.Upgrade{
@@ -331,9 +333,9 @@
 	return err
 }
 
-// Evacuate orders that nothing more goes to the upstreams of a data centre, or ends
-// that. It returns nil once the order is kept by a quorum; of a data centre that
-// nobody knows it returns an [Error] of kind [NotFound].
+// Evacuate proposes to send no more requests to the upstreams of a data centre, or to end that
+// evacuation. It returns nil once a quorum has stored the command, and an [Error] of kind
+// [NotFound] for an unknown data centre.
 func (c *Controller) Evacuate(ctx context.Context, dataCentre string, end bool) error {
 	known, sure := c.lookUpDataCentre(dataCentre)
 	switch {
@@ -348,16 +350,16 @@
 			End:        end,
 		},
 	})
-	c.Log.Info().Err(err).Str("datacentre", dataCentre).Bool("end", end).Msg("evacuation ordered")
+	c.Log.Info().Err(err).Str("datacentre", dataCentre).Bool("end", end).Msg("evacuation proposed")
 	return err
 }
 
-// errListNotRead tells that a data centre may have upstreams of which this controller does
-// not know yet.
+// errListNotRead is returned for an unknown data centre while the list of upstreams has not
+// been read, because the data centre may have upstreams on that list.
 var errListNotRead = errors.New("the list of upstreams was not read yet")
 
-// lookUpDataCentre reports whether a data centre is one of the settings', or has upstreams, or is
-// evacuated. It is not sure of one that has none before there is a list.
+// lookUpDataCentre reports whether a data centre is in the settings, has upstreams, or is
+// evacuated. A negative result is certain only once the list of upstreams has been read.
 func (c *Controller) lookUpDataCentre(dataCentre string) (known, certain bool) {
 	if _, ok := c.Site.Regions[dataCentre]; ok || dataCentre == c.Site.DataCentre {
 		return true, true
@@ -380,8 +382,9 @@
 	return result, nil
 }
 
-// consensusSender sends the log's messages; a member that looks for the leader asks the
-// seeds and the voters that it knows of.
+// consensusSender sends the consensus messages. A message without a receiver, as sent by a
+// member that looks for the leader, goes to the seeds and to the voters of the current
+// configuration.
 type consensusSender struct {
 	controller *Controller
 }
--- a/internal/node/controllerstream.go
+++ b/internal/node/controllerstream.go
@@ -10,23 +10,23 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// controllerStream is a controller that answered.
+// controllerStream is a stream of updates from a controller that answered.
 type controllerStream struct {
 	controller      string
 	stream          *peer.Stream
 	leased          bool
 	cancel          context.CancelFunc
-	upstreams       map[string]*wire.Upstream // by life, as this stream has told it
-	listIDs         []string                  // the lives of list, sorted, once it is whole
-	listIncomplete  bool                      // the rest of a list that has begun is still to come
-	listUnapplied   bool                      // list was not taken yet
+	upstreams       map[string]*wire.Upstream // list received on this stream, by instance ID
+	listIDs         []string                  // sorted instance IDs of upstreams, once the list is complete
+	listIncomplete  bool                      // the rest of a list is still to come
+	listUnapplied   bool                      // the complete list was not accepted by ApplyUpdate yet
 	partialDocument partialDocument
-	holds           map[persimmoncross.Digest]persimmoncross.Quarantine // as this stream has told them
+	holds           map[persimmoncross.Digest]persimmoncross.Quarantine // quarantines received on this stream
 }
 
-// handleUpdate hands on an update. The controller sends its list once and then what
-// changes; one that was too old to be taken is handed on again as it was read
-// later.
+// handleUpdate applies an update. The controller sends its whole list once and then only
+// changes. A list that was too old to be accepted is passed again with the next update, whose
+// read time may be later.
 func (c *controllerStream) handleUpdate(f *follower, u *wire.Update) error {
 	f.setControllers(u.GetControllers())
 	f.setDataCentres(u.GetControllers(), u.GetDatacentres())
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// handleDocumentPart takes a part of a document. One that can't be made out asks for the
-// whole the next time.
+// handleDocumentPart adds a part to a document, and applies the document once it is complete.
+// After a part that can't be decoded, the next document is requested whole.
 func (f *follower) handleDocumentPart(d *partialDocument, p *wire.Part) error {
 	source, err := d.addPart(p, func(number uint64) []byte {
 		if held := f.HeldDocument(); held.number == number {
@@ -95,7 +95,7 @@
 	return err
 }
 
-// baseDocument returns the document that what is sent may be packed against.
+// baseDocument returns the document that the controller may use as the base of a delta.
 func (f *follower) baseDocument() document {
 	f.mu.Lock()
 	whole := f.needsWholeDocument
@@ -106,7 +106,7 @@
 	return f.HeldDocument()
 }
 
-// applyList brings the stream's list up to date.
+// applyList applies an update to the list of the stream.
 func (c *controllerStream) applyList(u *wire.Update) {
 	if !u.GetPartial() || c.upstreams == nil {
 		c.upstreams = map[string]*wire.Upstream{}
--- a/internal/node/documents.go
+++ b/internal/node/documents.go
@@ -9,38 +9,39 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// How documents go to entries. An entry's link may be a hundredth of a
-// controller's and carries its callers' bytes too, and a document may have a
-// thousand times the bytes of the change that made it. So what is sent is packed
-// against the document that the entry holds, in parts that show life on the way,
-// and only by the one controller that the entry follows.
+// Transfer of documents to entries. An entry's link may have a hundredth of the capacity of a
+// controller's and also carries the callers' traffic, and a document may be a thousand times as
+// large as the change that made it. A document is therefore packed against the one that the
+// entry holds and sent only by the controller that the entry follows. It is sent in parts, so
+// that the entry keeps receiving data in the meantime.
 const (
-	// maxPartBytes is what a slow link carries in a part of the silence after which a
-	// controller is left: 13 ms of 10 Mbit/s, 0.2 s of a fiftieth of that.
+	// maxPartBytes is the size of a part that a slow link carries in a fraction of
+	// updateTimeout: 13 ms at 10 Mbit/s, 0.2 s at a fiftieth of that.
 	maxPartBytes = 16 << 10
-	// maxKeptDocuments are held as bases. One that was overtaken may be what an entry
-	// holds that was being sent it, or was cut off for some changes.
+	// maxKeptDocuments is how many documents are kept as bases. A document that was replaced
+	// may still be held by an entry that was receiving it, or that was cut off during some
+	// changes.
 	maxKeptDocuments = 4
 )
 
-// document is one numbered document.
+// document is a document with its number and checksum.
 type document struct {
 	number   uint64
 	checksum uint64
 	source   []byte
 }
 
-// documentStore holds the newest document and those before it, packed for followers.
+// documentStore holds the newest documents, and the newest one packed for followers.
 type documentStore struct {
-	packMu sync.Mutex // held while a document is packed: one at a time, and each once
+	packMu sync.Mutex // held while a document is packed: one at a time, and each delta once
 
-	mu           sync.Mutex        // guards all below; never held for long, the log's goroutine takes it
-	documents    []document        // the newest last
-	packedByBase map[uint64][]byte // the newest, by the number that it is packed against; 0: by itself
-	packWhole    func() []byte     // packs the newest by itself
+	mu           sync.Mutex        // guards all below; held only briefly, since the consensus goroutine locks it
+	documents    []document        // oldest first
+	packedByBase map[uint64][]byte // the newest document packed, by the number of the base; 0: without a base
+	packWhole    func() []byte     // packs the newest document without a base
 }
 
-// add takes a newer document.
+// add stores a document that is newer than those stored.
 func (s *documentStore) add(number uint64, source []byte, packWhole func() []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,24 +60,24 @@
 	s.packWhole = packWhole
 }
 
-// documentTransfer is a document on its way to one follower.
+// documentTransfer is a document that is being sent to one follower.
 type documentTransfer struct {
 	document document
 	base     uint64
-	data     []byte // packed; shared and never changed
+	data     []byte // packed; shared, read-only
 	offset   int
 }
 
 // missingDocument is the document that a follower lacks.
 type missingDocument struct {
 	newest    document
-	base      document // its number is 0: the newest is packed by itself
+	base      document // number 0: the newest document is packed without a base
 	packWhole func() []byte
 	packed    []byte // nil: not packed yet
 }
 
-// lookUpMissing returns what a follower lacks that holds the document with the number and
-// sum, and false where that is the newest.
+// lookUpMissing returns what is missing on a follower that holds the document with the number
+// and checksum, and false if that document is the newest.
 func (s *documentStore) lookUpMissing(number, checksum uint64) (missing missingDocument, isMissing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +95,8 @@
 	return missing, true
 }
 
-// newTransfer begins to send the newest document to a follower that holds another,
-// nil where that is the newest itself.
+// newTransfer returns a transfer of the newest document to a follower that holds the document
+// with the number and checksum, or nil if that is the newest.
 func (s *documentStore) newTransfer(number, checksum uint64) *documentTransfer {
 	missing, isMissing := s.lookUpMissing(number, checksum)
 	if isMissing && missing.packed == nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// pack packs a document and keeps it for other followers. The caller holds packing.
+// pack packs a document and keeps the result for other followers. The caller holds packMu.
 func (s *documentStore) pack(missing missingDocument) []byte {
 	var data []byte
 	if missing.base.number == 0 {
@@ -131,7 +132,7 @@
 	return data
 }
 
-// nextPart returns the next nextPart, and whether it is the last.
+// nextPart returns the next part of the document, and whether it is the last.
 func (t *documentTransfer) nextPart() (p *wire.Part, last bool) {
 	end := min(t.offset+maxPartBytes, len(t.data))
 	p = &wire.Part{
@@ -146,17 +147,18 @@
 	return p, end == len(t.data)
 }
 
-// partialDocument is a document of which parts have come.
+// partialDocument is a document of which some parts have arrived.
 type partialDocument struct {
 	number uint64
 	data   []byte
 }
 
-// errInvalidParts tells that the parts of a document don't make one that can be used.
-var errInvalidParts = errors.New("node: a document came in parts that don't fit")
+// errInvalidParts is returned if the parts of a document are out of order, too large, or fail
+// the checksum.
+var errInvalidParts = errors.New("node: the parts of a document are out of order, too large, or do not match its checksum")
 
-// addPart takes a part. It returns the document once it is whole; base returns the
-// one that it was packed against.
+// addPart adds a part. It returns the document once it is complete; baseSource returns the
+// source of the base document by its number.
 func (d *partialDocument) addPart(p *wire.Part, baseSource func(number uint64) []byte) ([]byte, error) {
 	if p.GetOffset() == 0 {
 		d.number = p.GetNumber()
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -25,7 +25,7 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// Entry is one entry's process. The exported fields are set before Run.
+// Entry is the process of an entry. The exported fields are set before Run.
 type Entry struct {
 	Site    *settings.Site
 	Clock   persimmoncross.Clock
@@ -33,7 +33,7 @@
 	Metrics metrics.Registry
 	Lister  persimmoncross.UpstreamLister
 	Codec   persimmoncross.ProxyHeaderCodec
-	// Decode reads a document that passed its check before it was kept.
+	// Decode parses a document that was validated before it was stored.
 	Decode        func(document []byte) (*catalog.Catalog, error)
 	CascadePolicy cascade.EscalationPolicy
 
@@ -44,7 +44,7 @@
 	quarantineRecorder *quarantine.Recorder
 	pool               *relay.Pool
 	node               *peer.Node
-	follower           *follower // from Run on
+	follower           *follower // set by Run
 	view               atomic.Pointer[relay.View]
 	seeds              atomic.Pointer[[]string]
 	stopping           atomic.Bool
@@ -53,19 +53,19 @@
 	stateIndex       uint64
 	state            *register.State // without its document
 	document         document
-	catalog          *catalog.Catalog // of document, or of the last one that could be read
+	catalog          *catalog.Catalog // decoded from document, or from the last one that could be decoded
 	targets          map[string][]*relay.Target
-	listReadAt       time.Time                                           // when the list in force was read; zero: there is none
-	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // never changed
-	quarantinesIndex uint64                                              // index of the state that they are of
-	localKeeper      *quarantine.Store                                   // while no controller judges for all; nil: one does
-	rejoinedAt       time.Time                                           // when a controller judged again, while keeper refuses on; zero: none has
-	leasedAt         time.Time                                           // when a controller last told that its state is recent
+	listReadAt       time.Time                                           // when the list in force was read; zero: there is no list
+	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // quarantines from the controllers; read-only
+	quarantinesIndex uint64                                              // index of the state that holds belongs to
+	localKeeper      *quarantine.Store                                   // set while no controller with a lease evaluates quarantines; nil otherwise
+	rejoinedAt       time.Time                                           // when a controller had a lease again, while localKeeper is still in force; zero: none has
+	leasedAt         time.Time                                           // when an update from a controller with a lease last arrived
 	startedAt        time.Time
 	entries          entryCount
 }
 
-// Prepare makes the parts.
+// Prepare creates the components of the entry.
 func (e *Entry) Prepare() {
 	e.incarnation = uuid.NewString()
 	e.startedAt = e.Clock.Now()
@@ -121,22 +121,22 @@
 	e.node.Prepare()
 }
 
-// upstreamRestarted notes that an upstream is another one under the same name or at the same
-// address: what was known of it is forgotten, and answers that broke off there were
-// its end.
+// upstreamRestarted handles the replacement of an upstream by another instance under the same
+// name or at the same address. The state kept on the previous instance no longer applies, and
+// responses that broke off there are attributed to its crash.
 func (e *Entry) upstreamRestarted(previous, current persimmoncross.Upstream) {
 	metrics.GetOrRegisterCounter("upstreams.again", e.Metrics).Inc(1)
 	blamed := e.quarantineRecorder.InstanceReplaced(previous.InstanceID(), e.Clock.Now())
-	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.StartedAt).Str("by", current.Incarnation).Time("started", current.StartedAt).Str("address", current.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream started again")
+	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.StartedAt).Str("by", current.Incarnation).Time("started", current.StartedAt).Str("address", current.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream replaced by another instance")
 }
 
-// SetSeeds takes the seeds of a file that was read again.
+// SetSeeds replaces the seeds by those of a reloaded site file.
 func (e *Entry) SetSeeds(s *settings.Site) {
 	names := seedAddresses(s)
 	e.seeds.Store(&names)
 }
 
-// Relay returns what serves passages.
+// Relay returns the relay that handles proxied requests.
 func (e *Entry) Relay() *relay.Relay { return e.relay }
 
 // Ready reports whether callers can be served: a document is in force here, there
@@ -154,7 +154,7 @@
 	return false
 }
 
-// Limits returns what callers may send, nil if no document is in force yet.
+// Limits returns the limits of callers' requests, or nil if no document is in force yet.
 func (e *Entry) Limits() *catalog.Limits {
 	if v := e.view.Load(); v != nil && v.Catalog != nil {
 		return &v.Catalog.Limits
@@ -198,9 +198,9 @@
 	loops.Wait()
 }
 
-// applyUpdate brings an update into force. A state that is older than the one here is
-// not taken: it comes from a controller that lags. It returns false if the list
-// in the update is older than the one in force.
+// applyUpdate applies an update. It ignores a state that is older than the one in force,
+// because it comes from a controller that lags behind. It returns false if the list in the
+// update is older than the one in force.
 func (e *Entry) applyUpdate(u *wire.Update) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -242,7 +242,7 @@
 func (e *Entry) applyState(data []byte) bool {
 	s, err := register.Decode(data)
 	if err != nil {
-		e.Log.Error().Err(err).Msg("a state of the controllers can't be read")
+		e.Log.Error().Err(err).Msg("a state from the controllers could not be decoded")
 		return false
 	}
 	if e.state != nil && s.Number < e.state.Number {
@@ -256,19 +256,19 @@
 	return true
 }
 
-// heldDocument returns the document in force here.
+// heldDocument returns the document in force on this entry.
 func (e *Entry) heldDocument() document {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.document
 }
 
-// applyDocument brings a document into force, unless it is older than the one
-// here: it comes from a controller that lags.
+// applyDocument brings a document into force, unless it is older than the one in force, because
+// it then comes from a controller that lags behind.
 func (e *Entry) applyDocument(number uint64, source []byte) {
 	c, err := e.Decode(source)
 	if err != nil {
-		e.Log.Error().Err(err).Uint64("number", number).Msg("a document that was kept can't be read")
+		e.Log.Error().Err(err).Uint64("number", number).Msg("a stored document could not be decoded")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,7 +286,7 @@
 	}
 }
 
-// publishView makes the view that requests are served from.
+// publishView rebuilds the view that requests are served from. The caller holds mu.
 func (e *Entry) publishView() {
 	v := &relay.View{
 		Catalog:    e.catalog,
@@ -315,7 +315,7 @@
 	e.Log.Info().Uint64("index", e.stateIndex).Uint64("number", number).Int("services", len(v.Targets)).Int("entries", v.EntryCount).Int("holds", len(v.Quarantines)).Strs("evacuated", evacuatedDataCentres(e.state)).Msg("view")
 }
 
-// reports returns what this entry saw of upgrades.
+// reports returns this entry's statistics on running upgrades and the sessions to pin.
 func (e *Entry) reports() []*wire.Account {
 	a := &wire.Account{
 		Vm:          e.Site.Name,
@@ -339,8 +339,8 @@
 	return []*wire.Account{a}
 }
 
-// recentSessions returns the sessions that the trials which are prepared must leave
-// where they are.
+// recentSessions returns, for each upgrade in preparation, the sessions that must stay on the
+// old version during the trial.
 func (e *Entry) recentSessions() []*wire.Recent {
 	v := e.view.Load()
 	if v == nil {
@@ -361,7 +361,7 @@
 	return list
 }
 
-// loadReport returns what this entry knows of the upstreams' loadReport.
+// loadReport returns the upstream loads that this entry has observed.
 func (e *Entry) loadReport() []*wire.UpstreamLoad {
 	now := e.Clock.Now()
 	list := []*wire.UpstreamLoad{}
@@ -388,7 +388,7 @@
 	return list
 }
 
-// applyLoads passes on what all entries know.
+// applyLoads applies the upstream loads of the whole fleet.
 func (e *Entry) applyLoads(ids []string, loads []byte) {
 	e.pool.ApplyFleetLoads(decodeLoads(ids, loads))
 }
--- a/internal/node/entrycount.go
+++ b/internal/node/entrycount.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// entryDecreaseDelay is how long a decrease of the number of entries is ignored. A new leader hears
-// from all entries within presentEvery and the time that their messages take.
+// entryDecreaseDelay is how long a decrease of the number of entries is ignored. A new leader
+// receives reports from all entries within keepaliveInterval plus the time that the messages
+// take.
 const entryDecreaseDelay = keepaliveInterval + time.Second
 
-// entryCount is the number of entries that share retries, connections and limits. An
-// increase applies at once, a decrease after countHold: with a number that is too small
-// every entry would take too large a share.
+// entryCount is the number of entries that share retry budgets, connections and rate limits. An
+// increase applies at once, a decrease after entryDecreaseDelay, because with a number that is
+// too small every entry would take too large a share.
 type entryCount struct {
 	count  int
-	seenAt time.Time // when it was at least n last
+	seenAt time.Time // when a number of at least count was last received
 }
 
-// update handles a number that was received, 0 for unknown, and reports whether n changed.
+// update applies a received number, 0 for unknown, and reports whether count changed.
 func (c *entryCount) update(n int, now time.Time) (changed bool) {
 	if n == 0 || n < c.count && now.Sub(c.seenAt) < entryDecreaseDelay {
 		return false
--- a/internal/node/error.go
+++ b/internal/node/error.go
@@ -5,14 +5,14 @@
 // Kind classifies an [Error].
 type Kind uint8
 
-// The kinds of error.
+// Kinds of [Error].
 const (
 	StartFailed Kind = iota + 1 // the process cannot start
 	Unavailable                 // no quorum of controllers answered in time
-	NotFound                    // what the order names is not there
+	NotFound                    // the operation names something that does not exist
 )
 
-// Error is what the package's operations return.
+// Error is the error that operations of this package return.
 type Error struct {
 	Operation string
 	Kind      Kind
--- a/internal/node/evacuation.go
+++ b/internal/node/evacuation.go
@@ -9,7 +9,7 @@
 	"persimmoncross/core/state/register"
 )
 
-// evacuatedDataCentres returns the data centres that are evacuatedDataCentres, in order.
+// evacuatedDataCentres returns the evacuated data centres, sorted.
 func evacuatedDataCentres(s *register.State) []string {
 	if s == nil {
 		return nil
@@ -17,7 +17,8 @@
 	return slices.Sorted(maps.Keys(s.Evacuations))
 }
 
-// availableUpstreams returns the upstreams that may get requests.
+// availableUpstreams returns the upstreams outside evacuated data centres, which may receive
+// requests.
 func availableUpstreams(upstreams []persimmoncross.Upstream, evacuations map[string]register.Evacuation) []persimmoncross.Upstream {
 	if len(evacuations) == 0 {
 		return upstreams
@@ -28,8 +29,9 @@
 	})
 }
 
-// availableTargets returns the targets that may get requests. A service that has none
-// left keeps its name: it is known, and refused at once.
+// availableTargets returns the targets outside evacuated data centres, which may receive
+// requests. A service without any such target stays in the map, so that it remains known and
+// its requests are refused at once.
 func availableTargets(targets map[string][]*relay.Target, evacuations map[string]register.Evacuation) map[string][]*relay.Target {
 	if len(evacuations) == 0 {
 		return targets
--- a/internal/node/fallbacklist.go
+++ b/internal/node/fallbacklist.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Times of an entry that reads the list itself.
+// Limits and intervals of an entry that reads the list of upstreams itself.
 const (
-	// fallbackAgeFraction is the age, as a part of the drain time, at which the list
-	// that the controllers send is not trusted to be fresh any more;
-	// ownListLater is that where their state is recent: then their leader is about
-	// to read it, and would find the calls used up by the entries.
+	// fallbackAgeFraction is the age of the list, as a fraction of the drain time, from which
+	// an entry no longer relies on the controllers for a fresh list. leasedFallbackAgeFraction
+	// is the fraction while the controller has a lease: the leader is then about to read the
+	// list, and entries that read it too would use up the calls allowed.
 	fallbackAgeFraction       = 0.33
 	leasedFallbackAgeFraction = 0.6
-	// minFallbackInterval to ownListMost is the pause between two readings. It doubles
-	// after each that failed: all entries together share the calls allowed.
+	// minFallbackInterval and maxFallbackInterval bound the interval between two reads. The
+	// interval doubles after each failed read, because all entries together share the calls
+	// allowed.
 	minFallbackInterval = time.Second
 	maxFallbackInterval = 16 * time.Second
 	fallbackReadTimeout = 800 * time.Millisecond
-	// fallbackRateFraction of the calls allowed is what all entries together take where the
-	// list is too long for all of them to read it in the drain time: the rest is left
-	// to the controllers, whose one reading serves all.
+	// fallbackRateFraction is the fraction of the calls allowed that all entries together use
+	// if the list is too long for every entry to read it within the drain time. The rest is
+	// left to the controllers, whose single read serves the whole fleet.
 	fallbackRateFraction = 0.25
-	// listPageSize is how many upstreams a call returns; more only make the pauses
-	// longer than they need to be.
+	// listPageSize is the assumed number of upstreams that a call returns. If a call returns
+	// more, the intervals are only longer than necessary.
 	listPageSize = 50
 )
 
-// fallbackReadInterval returns the least pause between two readings of one of so many entries,
-// by the calls that all may make a second. Where all of them can read the list in the
-// drain time it is none: then each is as good as its own reading. Beyond, entries that
-// find the list old use up the calls, the leader's reading starves, and the list gets
-// older still: of 293 entries before 2,997 upstreams 268 readings in 43 s failed, each
-// with up to 60 calls, and none came to its end.
+// fallbackReadInterval returns the minimum interval between two reads of the list by one entry,
+// given the rate of calls that all VMs may make together. It is 0 if all entries can read the
+// list within the drain time. Otherwise entries with an old list would use up the calls, the
+// leader's reads would starve, and the list would get older still: with 293 entries and 2,997
+// upstreams, 268 reads in 43 s failed, each after up to 60 calls, and none completed.
 func fallbackReadInterval(entries, upstreams int, rate float64, drain time.Duration) time.Duration {
 	calls := float64(entries * max((upstreams+listPageSize-1)/listPageSize, 1))
 	if rate <= 0 || calls <= rate*drain.Seconds() {
@@ -42,11 +42,12 @@
 	return time.Duration(calls / (fallbackRateFraction * rate) * float64(time.Second))
 }
 
-// runFallbackListReader reads the list while what the controllers send is too old.
+// runFallbackListReader reads the list from the platform while the one from the controllers is
+// too old.
 func (e *Entry) runFallbackListReader(ctx context.Context) {
 	pause := minFallbackInterval
 	for {
-		// The entries of a fleet start together and must not ask together.
+		// The entries of a fleet may start together; random jitter spreads their reads.
 		pause = max(pause, e.fallbackReadInterval())
 		spread := time.Duration(rand.Int64N(int64(pause)))
 		select {
@@ -67,7 +68,8 @@
 	}
 }
 
-// fallbackReadInterval returns it for this entry, as far as it knows the fleet.
+// fallbackReadInterval returns the minimum interval between two reads by this entry, from the
+// number of entries and upstreams that it has received.
 func (e *Entry) fallbackReadInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,13 +80,14 @@
 	return fallbackReadInterval(e.entries.count, upstreams, e.Site.List.Rate, e.Site.Bounds.Drain)
 }
 
-// readFallbackList brings the platform's list into force, unless a later one is.
+// readFallbackList reads the platform's list and brings it into force, unless a list that was
+// read later is in force. It reports whether the read succeeded.
 func (e *Entry) readFallbackList(ctx context.Context, startedAt time.Time) bool {
 	readCtx, cancel := context.WithTimeout(ctx, fallbackReadTimeout)
 	defer cancel()
 	list, err := e.Lister.ListUpstreams(readCtx)
 	if err != nil {
-		e.Log.Warn().Err(err).Msg("the list of upstreams was not read")
+		e.Log.Warn().Err(err).Msg("failed to read the list of upstreams")
 		return false
 	}
 	e.mu.Lock()
@@ -97,8 +100,8 @@
 	return true
 }
 
-// isListStale reports whether the list in force is too old to rely on the
-// controllers for it.
+// isListStale reports whether the list in force is too old to keep relying on the controllers
+// for it.
 func (e *Entry) isListStale(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -20,67 +20,67 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// Pauses of a follower.
+// Intervals and timeouts of a follower.
 const (
-	findRetryInterval = 100 * time.Millisecond // before the next controller is asked
-	// staleTimeout is how long a controller without a lease is followed before
-	// another one is tried.
+	findRetryInterval = 100 * time.Millisecond // before the next search for a controller
+	// staleTimeout is how long a follower stays with a controller that has no lease before it
+	// tries another controller.
 	staleTimeout = 300 * time.Millisecond
-	// queryStagger is the pause before the next controller is asked beside the
-	// one that has not answered yet; findWait ends the search.
+	// queryStagger is the interval after which the next controller is queried while earlier
+	// ones have not answered yet. findTimeout ends the wait for a controller with a lease.
 	queryStagger = 200 * time.Millisecond
 	findTimeout  = 1200 * time.Millisecond
 )
 
-// follower keeps a stream of updates from some controller. The exported fields
-// are set before Run.
+// follower receives a stream of updates from a controller. The exported fields are set before
+// Run.
 type follower struct {
-	Name  string // of this VM, as controllers know it
+	Name  string // name of this VM in its reports to controllers
 	Entry bool
-	// DataCentre is that of this VM. Controllers there are followed before others; "":
-	// any.
+	// DataCentre is the data centre of this VM. Controllers in the same data centre are
+	// preferred; if DataCentre is "", none are.
 	DataCentre     string
 	Node           *peer.Node
 	Clock          persimmoncross.Clock
 	Log            zerolog.Logger
 	Metrics        metrics.Registry
 	Seeds          func() []string
-	OnlyController func() string // the one controller to follow; nil: any
+	OnlyController func() string // the only controller to follow; nil: any controller
 	Reports        func() []*wire.Account
-	// LoadReport returns what the follower knows of the upstreams' loads.
+	// LoadReport returns the upstream loads that this VM reports.
 	LoadReport func() []*wire.UpstreamLoad
-	// ApplyLoads takes the loads that the controller knows of: loadBytes for each
-	// of the lives.
+	// ApplyLoads applies the upstream loads from the controller: loads has loadRecordBytes for
+	// each of the instance IDs.
 	ApplyLoads func(lives []string, loads []byte)
-	// Incarnation tells this process from those before it; "" where that says
-	// nothing.
+	// Incarnation distinguishes this process from earlier ones of the same VM; it is "" where
+	// that does not matter.
 	Incarnation string
-	// CasesSince returns what changed of the cases that the follower knows of since a
-	// count of news, 0 for all, and the count now; may be nil.
+	// CasesSince returns the cases that changed after a version, 0 for all, and the current
+	// version. It may be nil.
 	CasesSince func(since uint64) ([]*wire.Case, uint64)
-	// Limits are those that the follower knows of.
+	// Limits are the rate limits of upstreams that this VM has received or observed.
 	Limits *ratelimit.Store
-	// ApplyQuarantines brings the holds of the state with the index into force; nil where
-	// they come with the log.
+	// ApplyQuarantines applies the quarantines of the state with the index held. It is nil
+	// where they come through the log.
 	ApplyQuarantines func(held uint64, holds map[persimmoncross.Digest]persimmoncross.Quarantine)
-	// HeldDocument returns the document that is held here, TakeDocument brings another into
-	// force; nil where documents come with the log.
+	// HeldDocument returns the document in force on this VM, and ApplyDocument replaces it.
+	// Both are nil where documents come through the log.
 	HeldDocument  func() document
 	ApplyDocument func(number uint64, source []byte)
-	// ApplyUpdate brings an update into force. It returns false if the update's list is
-	// older than the one in force; the list then comes again with the next update.
+	// ApplyUpdate applies an update. It returns false if the update's list is older than the
+	// one in force; the list is then passed again with the next update.
 	ApplyUpdate func(u *wire.Update) bool
 
 	mu                 sync.Mutex // guards all below
 	controllers        []string
 	dataCentres        dataCentreByController
-	receivedList       map[string]*wire.Upstream // the list, as some stream told it; never changed
+	receivedList       map[string]*wire.Upstream // the list last received on any stream, by instance ID; read-only
 	followedController string
-	failedController   string // the one that was followed last
-	needsWholeDocument bool   // the document held is no base: it is asked for whole
+	failedController   string // the controller that was followed last
+	needsWholeDocument bool   // the held document can't serve as a base; the next one is requested whole
 }
 
-// run follows until the context ends.
+// run follows controllers until the context ends.
 func (f *follower) run(ctx context.Context) {
 	var current *controllerStream
 	for ctx.Err() == nil {
@@ -91,7 +91,7 @@
 			next, err := f.follow(ctx, current)
 			reason := endReason(err)
 			f.incrementCounter("follow.left." + reason)
-			f.Log.Info().Err(err).Str("controller", current.controller).Str("why", reason).Int64("bytes", current.stream.Received()).Msg("not following any more")
+			f.Log.Info().Err(err).Str("controller", current.controller).Str("why", reason).Int64("bytes", current.stream.Received()).Msg("stopped following the controller")
 			if current = next; current != nil {
 				continue
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-// endReason returns the reason for which a following ended, as it is counted.
+// endReason returns why a follower left its controller, as the suffix of a counter's name.
 func endReason(err error) string {
 	switch {
 	case err == nil:
@@ -122,9 +122,9 @@
 	metrics.GetOrRegisterCounter(name, f.Metrics).Inc(1)
 }
 
-// candidates returns the controllers to ask: those of this VM's data centre first, in an
-// order of this VM's own, so that the followers spread over all; the one that failed
-// last comes last.
+// candidates returns the controllers to query. Those of this VM's data centre come first, and
+// the controller that failed last comes last. The rest of the order is a hash that differs
+// between VMs, so that the followers spread over all controllers.
 func (f *follower) candidates() []string {
 	if f.OnlyController != nil {
 		if only := f.OnlyController(); only != "" {
@@ -166,17 +166,17 @@
 	return names
 }
 
-// findController asks the controllers one after the other, without waiting long for any,
-// and returns the first whose state is recent; failing that, any that answers.
-// A controller that was cut off does not answer for seconds, and a change must
-// be in force here sooner than that.
+// findController queries the controllers one after the other, with a short wait for each, and
+// returns the first one that has a lease; failing that, any that answers. A controller that is
+// cut off does not answer for seconds, and a change must be in force on this VM sooner than
+// that.
 func (f *follower) findController(ctx context.Context) *controllerStream {
 	candidates := f.candidates()
 	if len(candidates) == 0 {
-		return nil // as long as no leader is known
+		return nil // no leader is known yet
 	}
 	answers := make(chan *controllerStream, len(candidates))
-	acceptUnleased := &atomic.Bool{} // those that wait for a lease answer with what they have
+	acceptUnleased := &atomic.Bool{} // set: queries that wait for a lease return without one
 	acceptTimer := f.Clock.After(findTimeout)
 	deadline := f.Clock.After(findTimeout + updateTimeout)
 	next := f.Clock.After(0)
@@ -210,8 +210,8 @@
 	return best
 }
 
-// preferred keeps the one whose state is recent, of two such the near one, and ends the
-// other.
+// preferred returns the better of two streams and cancels the other. A stream with a lease is
+// better; between equals, one to a controller in this data centre.
 func (f *follower) preferred(a, b *controllerStream) *controllerStream {
 	switch {
 	case b == nil:
@@ -226,7 +226,7 @@
 	return a
 }
 
-// closeLateStreams ends the answers that come too late.
+// closeLateStreams cancels the streams of answers that arrive after the search.
 func closeLateStreams(answers <-chan *controllerStream, outstanding int) {
 	for range outstanding {
 		if a := <-answers; a != nil {
@@ -235,8 +235,9 @@
 	}
 }
 
-// query opens a stream and takes updates from it until the controller's state is
-// recent, as after a start of all of them, or the search is over.
+// query opens a stream to the controller and handles its updates until the controller has a
+// lease, which takes a while after all controllers have started, or until acceptUnleased is
+// set.
 func (f *follower) query(ctx context.Context, controller string, acceptUnleased *atomic.Bool, answers chan<- *controllerStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	base, list := f.baseDocument(), f.lastReceivedList()
@@ -288,8 +289,9 @@
 	answers <- a
 }
 
-// follow takes updates until they stay away, their state is not recent, or a nearer
-// controller has answered, which it returns.
+// follow handles updates until they stop, the controller has been without a lease for too long,
+// or another controller leads. It also ends when a controller in this data centre has answered,
+// and then returns that controller's stream.
 func (f *follower) follow(ctx context.Context, current *controllerStream) (next *controllerStream, err error) {
 	defer current.cancel()
 	defer func() { f.setFailed(current.controller) }()
@@ -304,7 +306,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go f.sendReports(ctx, current.stream)
-	unleasedSince := time.Time{} // without a lease
+	unleasedSince := time.Time{} // since when the controller has had no lease; zero: it has one
 	current.stream.Silence(updateTimeout)
 	for {
 		u := &wire.Update{}
@@ -333,21 +335,21 @@
 	}
 }
 
-// lastReceivedList returns the list that this VM was told last, by life.
+// lastReceivedList returns the list that this VM last received, by instance ID.
 func (f *follower) lastReceivedList() map[string]*wire.Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.receivedList
 }
 
-// setReceivedList keeps it.
+// setReceivedList records a copy of the received list.
 func (f *follower) setReceivedList(list map[string]*wire.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.receivedList = maps.Clone(list)
 }
 
-// setFollowed notes which controller is followed, "" for none.
+// setFollowed records which controller is followed, "" for none.
 func (f *follower) setFollowed(controller string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -360,10 +362,12 @@
 	f.failedController = controller
 }
 
-// errLocalAnswered ends following a controller for one in this VM's data centre.
+// errLocalAnswered ends following a controller in another data centre because one in this VM's
+// data centre has answered.
 var errLocalAnswered = newError("follow", Unavailable, errors.New("a controller in this data centre has answered"))
 
-// errStaleController ends following a controller whose state may be old.
+// errStaleController ends following a controller that has no lease, because its state may be
+// outdated.
 var errStaleController = newError("follow", Unavailable, context.DeadlineExceeded)
 
 func (f *follower) setControllers(controllers []string) {
@@ -382,10 +386,11 @@
 	}
 }
 
-// sendReports tells the controller what this VM saw.
+// sendReports sends reports, loads, cases and rate limits to the followed controller until the
+// stream fails or the context ends.
 func (f *follower) sendReports(ctx context.Context, s *peer.Stream) {
 	lastReportSent, lastReportCheck := time.Time{}, time.Time{}
-	lastLoadsEmpty := false // the account of loads before was empty
+	lastLoadsEmpty := false // the previous load report was empty
 	sent := sentCanaryStats{}
 	casesVersion, limitsVersion := uint64(0), uint64(0)
 	for {
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -14,23 +14,23 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// How requests that end upstreams are known everywhere: entries tell their
-// controller the cases of their books as they change, controllers tell the leader,
-// which judges; the holds go through the log, so that they outlive it, and from
-// each controller to its entries.
+// Quarantine of requests that crash upstreams. Entries report the changed cases of their
+// quarantine recorders to their controllers, the controllers forward them to the leader, and
+// the leader decides. The quarantines are stored in the replicated log, so that they survive a
+// change of leader, and are sent by each controller to its entries.
 
-// Of holds and cases.
+// Limits and intervals of quarantines and cases.
 const (
 	judgeInterval            = 100 * time.Millisecond
-	idleJudgeInterval        = time.Second // where nothing new was told
-	maxCasesPerReport        = 128         // in an account: 10 KB with an end or two each
-	maxQuarantinesPerMessage = 64          // in an update or a command: 4 KB
-	maxCasesPerReporter      = 1024        // that a controller keeps of each
-	maxJudgedCases           = 4096        // that are judged: 1 MB
+	idleJudgeInterval        = time.Second // while no case has changed
+	maxCasesPerReport        = 128         // per report: 10 KB with one or two crashes per case
+	maxQuarantinesPerMessage = 64          // per update or command: 4 KB
+	maxCasesPerReporter      = 1024        // stored per reporter
+	maxJudgedCases           = 4096        // evaluated at once: 1 MB
 )
 
-// caseAggregator keeps what the followers of a controller saw. What an entry told that
-// is gone counts on.
+// caseAggregator stores the cases that a controller's followers report. Cases of an entry that
+// no longer reports still count.
 type caseAggregator struct {
 	clock persimmoncross.Clock
 
@@ -39,13 +39,13 @@
 	version    uint64
 }
 
-// versionedCase is a case with the count of news that it came with.
+// versionedCase is a case with the aggregator's version at which it arrived.
 type versionedCase struct {
 	quarantine.Record
 	version uint64
 }
 
-// receive keeps cases of a sender; each replaces the one before of its digest.
+// receive stores cases from a reporter; each replaces the previous case with the same digest.
 func (a *caseAggregator) receive(reporter string, cases []*wire.Case) {
 	if len(cases) == 0 {
 		return
@@ -72,14 +72,14 @@
 	}
 }
 
-// hasChangedSince reports whether anything came since the count of news.
+// hasChangedSince reports whether cases have arrived since the version.
 func (a *caseAggregator) hasChangedSince(since uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.version != since
 }
 
-// removeStale drops what counts no more. The caller holds mu.
+// removeStale removes cases that are too old to count. The caller holds mu.
 func (a *caseAggregator) removeStale(now time.Time) {
 	for reporter, cases := range a.byReporter {
 		for d, c := range cases {
@@ -93,8 +93,8 @@
 	}
 }
 
-// mergedSince returns what all senders saw, of the digests that came with news since the
-// count, and the count now.
+// mergedSince returns the merged cases of all reporters, for the digests with a change since
+// the version, and the current version.
 func (a *caseAggregator) mergedSince(since uint64, now time.Time) ([]quarantine.Record, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,11 +120,11 @@
 	return quarantine.Merge(lists, maxJudgedCases), a.version
 }
 
-// quarantineTracker remembers since when this process has known of each hold. One goroutine
-// owns it.
+// quarantineTracker records when this process first saw each quarantine. It is owned by one
+// goroutine.
 type quarantineTracker map[persimmoncross.Digest]quarantine.TrackedQuarantine
 
-// update takes the holds in force.
+// update records the quarantines in force.
 func (t quarantineTracker) update(s *register.State, now time.Time) {
 	for d := range t {
 		if _, ok := s.Holds[d]; !ok {
@@ -143,7 +143,8 @@
 	}
 }
 
-// hasIsolated reports whether a request is watched: time alone may prove it.
+// hasIsolated reports whether a request is isolated. Such requests must be evaluated again
+// without new cases, because the passing of time may change their stage.
 func (t quarantineTracker) hasIsolated() bool {
 	for _, h := range t {
 		if h.Stage == persimmoncross.QuarantineIsolate {
@@ -153,7 +154,8 @@
 	return false
 }
 
-// runQuarantineJudge judges, while this controller leads, which requests end upstreams.
+// runQuarantineJudge decides, while this controller leads with a lease, which requests to
+// quarantine because they crash upstreams.
 func (c *Controller) runQuarantineJudge(ctx context.Context) {
 	tracker := quarantineTracker{}
 	judgedVersion, judgedAt := uint64(0), time.Time{}
@@ -177,7 +179,7 @@
 	}
 }
 
-// proposeQuarantines brings changes into force.
+// proposeQuarantines proposes the changes to the consensus group and logs them.
 func (c *Controller) proposeQuarantines(ctx context.Context, changes []quarantine.Change, now time.Time) {
 	command := register.Command{}
 	for _, x := range changes {
@@ -190,28 +192,30 @@
 	quarantine.LogChanges(c.Log, changes, now, err)
 }
 
-// casesForLeader returns what changed of this controller's part, for the leader.
+// casesForLeader returns the cases of this controller's followers that changed since the
+// version, and the current version.
 func (c *Controller) casesForLeader(since uint64) ([]*wire.Case, uint64) {
 	now := c.Clock.Now()
 	cases, version := c.cases.mergedSince(since, now)
 	return wire.FromCases(cases, now), version
 }
 
-// changedCases returns what changed in this entry's book.
+// changedCases returns the cases of this entry's recorder that changed since the version, and
+// the current version.
 func (e *Entry) changedCases(since uint64) ([]*wire.Case, uint64) {
 	now := e.Clock.Now()
 	cases, version := e.quarantineRecorder.Records(since, now)
 	return wire.FromCases(cases, now), version
 }
 
-// sentQuarantines is what of the holds one follower has got.
+// sentQuarantines records which quarantines were sent to one follower.
 type sentQuarantines struct {
 	sent       map[persimmoncross.Digest]persimmoncross.Quarantine
-	stateIndex uint64 // index of the state that told is of, once it is whole
+	stateIndex uint64 // index of the state that sent matches, once it is complete
 }
 
-// addChanges puts into the update what the follower lacks, and reports whether that is
-// all.
+// addChanges adds quarantines that the follower lacks to the update, and reports whether none
+// are left.
 func (x *sentQuarantines) addChanges(u *wire.Update, s *register.State) bool {
 	if s == nil || s.Held == x.stateIndex {
 		return true
@@ -248,7 +252,8 @@
 	return true
 }
 
-// applyQuarantines takes changes of the holds, and returns all of them once they are whole.
+// applyQuarantines applies an update's changes of quarantines to the stream, and returns all of
+// them once they are complete.
 func (c *controllerStream) applyQuarantines(u *wire.Update) map[persimmoncross.Digest]persimmoncross.Quarantine {
 	if c.holds == nil {
 		c.holds = map[persimmoncross.Digest]persimmoncross.Quarantine{}
@@ -266,8 +271,8 @@
 	return maps.Clone(c.holds)
 }
 
-// applyQuarantines brings the holds of a state into force, unless they are older than
-// those here: they come from a controller that lags.
+// applyQuarantines brings the quarantines of a state into force, unless the state is older than
+// that of the quarantines in force, because it then comes from a controller that lags behind.
 func (e *Entry) applyQuarantines(index uint64, holds map[persimmoncross.Digest]persimmoncross.Quarantine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -280,14 +285,16 @@
 	e.publishView()
 }
 
-// localJudgeTimeout is how long no controller's state was recent before an entry judges by
-// what it saw itself: longer than an election, and shorter than the time in which all
-// have to know. For as long at most it refuses on what it found, once a controller
-// judges again.
+// localJudgeTimeout is how long an entry goes without an update from a controller with a lease
+// before it decides on quarantines from its own records alone. The timeout is longer than an
+// election and shorter than the time within which all entries must have a quarantine. It also
+// limits how long the entry keeps its own quarantines in force once a controller has a lease
+// again.
 const localJudgeTimeout = 2 * time.Second
 
-// runLocalJudge judges while no controller does for all: cut off from them, an entry goes
-// on serving, and what ends upstreams goes on coming.
+// runLocalJudge decides on quarantines while no controller with a lease is reachable. An entry
+// that is cut off from the controllers continues to serve, and keeps receiving the requests
+// that crash upstreams.
 func (e *Entry) runLocalJudge(ctx context.Context) {
 	for {
 		select {
@@ -329,9 +336,10 @@
 	}
 }
 
-// areLocalRefusalsShared reports whether what this entry refuses by itself is refused by all. It
-// goes on refusing it until then: what it found is told to the leader, who judges anew.
-// The caller holds mu.
+// areLocalRefusalsShared reports whether all requests that this entry refuses by its own
+// decision are also refused by the controllers' quarantines. Until then its own refusals stay
+// in force, while its records go to the leader, which evaluates them again. The caller holds
+// mu.
 func (e *Entry) areLocalRefusalsShared() bool {
 	for _, h := range e.localKeeper.Holds() {
 		if h.Stage == persimmoncross.QuarantineRefuse && e.holds[h.Digest].Stage != persimmoncross.QuarantineRefuse {
@@ -341,7 +349,8 @@
 	return true
 }
 
-// effectiveQuarantines returns the holds in force here. The caller holds mu.
+// effectiveQuarantines returns the quarantines in force on this entry: those of the controllers
+// combined with its own. The caller holds mu.
 func (e *Entry) effectiveQuarantines() map[persimmoncross.Digest]persimmoncross.Quarantine {
 	if e.localKeeper == nil {
 		return e.holds
--- a/internal/node/leaderloops.go
+++ b/internal/node/leaderloops.go
@@ -14,29 +14,30 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Times of the leader's duties.
+// Intervals and timeouts of the leader's loops.
 const (
 	loopInterval = 200 * time.Millisecond
-	// listReadsPerDrain is the part of the drain time after which the list is read again:
-	// with the list's own lag and the way to the entries it leaves half unused.
+	// listReadsPerDrain is how often the list is read within the drain time. Together with the
+	// list's lag and the delay to the entries, this leaves half of the drain time unused.
 	listReadsPerDrain     = 6
 	minListReadInterval   = 250 * time.Millisecond
-	listReadTimeout       = 3 * time.Second // thousands of upstreams are on tens of pages
-	minListIntervalFactor = 2               // times as long as a reading took it is not begun again
+	listReadTimeout       = 3 * time.Second // a list of thousands of upstreams has tens of pages
+	minListIntervalFactor = 2               // least time between the starts of two reads, in durations of the last read
 	listCheckInterval     = 100 * time.Millisecond
-	// voterSilenceTimeout is the silence after which a voter that has a successor is
-	// removed: several elections, well within the time a new disk has to count.
+	// voterSilenceTimeout is the time without contact after which a voter that has a
+	// replacement is removed. It spans several elections, and is well within the time in which
+	// a controller with a new disk must become a voter.
 	voterSilenceTimeout = 1500 * time.Millisecond
 	voterChangeTimeout  = 2 * time.Second
 )
 
-// listReadInterval returns the pause between two readings of the list of upstreams.
+// listReadInterval returns the interval between two reads of the list of upstreams.
 func (c *Controller) listReadInterval() time.Duration {
 	return max(c.Site.Bounds.Drain/listReadsPerDrain, minListReadInterval)
 }
 
-// runListReader reads the list while this controller leads, and at once where it is
-// older than it should be, as after an election.
+// runListReader reads the list while this controller leads with a lease, and at once if the
+// list is older than it should be, for example after an election.
 func (c *Controller) runListReader(ctx context.Context) {
 	minInterval := time.Duration(0)
 	for {
@@ -49,7 +50,7 @@
 		startedAt := c.Clock.Now()
 		isLeader := c.isLeaderWithLease()
 		if needsUpdate := c.coldTracker.refresh(isLeader, startedAt); needsUpdate && isLeader {
-			c.updateColdUpstreams(startedAt) // whether the list can be read or not
+			c.updateColdUpstreams(startedAt) // even if the list can't be read
 		}
 		if isLeader && startedAt.Sub(readAt) >= max(c.listReadInterval(), minInterval) {
 			c.readList(ctx)
@@ -65,7 +66,7 @@
 	list, err := c.Lister.ListUpstreams(ctx)
 	if err != nil {
 		c.incrementCounter("list.failed")
-		c.Log.Warn().Err(err).Msg("the list of upstreams was not read")
+		c.Log.Warn().Err(err).Msg("failed to read the list of upstreams")
 		return
 	}
 	c.coldTracker.list, c.coldTracker.listReadAt = list, startedAt
@@ -73,7 +74,8 @@
 	c.publisher.setList(list, startedAt)
 }
 
-// runVoterChanges keeps the set of voters whole while this controller leads.
+// runVoterChanges keeps the number of voters at its target while this controller leads with a
+// lease.
 func (c *Controller) runVoterChanges(ctx context.Context) {
 	for {
 		select {
@@ -103,7 +105,7 @@
 			continue
 		}
 		if member.TimeSinceContact > voterSilenceTimeout {
-			continue // it may never come back
+			continue // it may be lost for good
 		}
 		facts.Learners = append(facts.Learners, steward.Learner{
 			Member:   member.Member,
@@ -123,27 +125,28 @@
 	c.Log.Info().Err(err).Str("add", change.Add.VM).Uint64("remove", uint64(change.Remove)).Str("reason", change.Reason).Msg("voters")
 }
 
-// upgradeTracker remembers when this process first saw each upgrade. One goroutine
-// owns it.
+// upgradeTracker records when this process first saw each upgrade. It is owned by one
+// goroutine.
 type upgradeTracker struct {
 	seen           map[uint64]seenUpgrade
-	hasFollowedLog bool // this process has followed the log without a gap since the look before
+	hasFollowedLog bool // the log was followed without a gap since the previous poll
 }
 
 type seenUpgrade struct {
 	seenAt  time.Time
-	elapsed time.Duration // at that moment
+	elapsed time.Duration // at seenAt
 }
 
-// maxSeenDelay is how long after its order an upgrade may first be seen here while
-// the log is followed: a look, and the way of the order through the log.
+// maxSeenDelay is the longest time between the command that begins an upgrade and the poll that
+// finds the upgrade while the log is followed: one poll interval, and the delay of the command
+// through the log.
 const maxSeenDelay = 2 * loopInterval
 
-// elapsed returns for how long the upgrade has been under way. What comes while
-// the log is followed has begun within watchLag; the time of day, which may jump,
-// is asked for that part of it, and for what was found after a start or a gap as
-// far as it is plausible. A completion that counts from the look is 0.1 s later on
-// average: the operator saw it too late on 14 of 102 plays of one day.
+// elapsed returns for how long the upgrade has been running. An upgrade that appears while the
+// log is followed began at most maxSeenDelay ago; the wall clock, which may jump, is used only
+// for that part. For an upgrade found after a start or a gap, the wall clock is used as far as
+// its result is plausible. Counting from the poll alone made completion 0.1 s late on average:
+// operators saw it too late in 14 of 102 runs in one day.
 func (w *upgradeTracker) elapsed(u register.Upgrade, now time.Time) time.Duration {
 	if w.seen == nil {
 		w.seen = map[uint64]seenUpgrade{}
@@ -163,7 +166,7 @@
 	return s.elapsed + now.Sub(s.seenAt)
 }
 
-// runUpgrades moves upgrades on while this controller leads.
+// runUpgrades advances upgrades while this controller leads with a lease.
 func (c *Controller) runUpgrades(ctx context.Context) {
 	for {
 		select {
@@ -203,7 +206,7 @@
 	c.Log.Info().Err(err).Str("service", u.Service).Str("target", u.Target).Str("stage", string(stage)).Dur("elapsed", elapsed).Str("why", reason).Msg("upgrade")
 }
 
-// exposure returns what an unproven version may get.
+// exposure returns the exposure limit of an unproven version.
 func (c *Controller) exposure() upgrade.ExposureLimit {
 	return upgrade.ExposureLimit{
 		Share:         c.Site.Bounds.ExposureShare,
@@ -211,7 +214,8 @@
 	}
 }
 
-// keptSessions adds up the sessions that stay on the old version during a trial.
+// keptSessions returns the union of the sessions that the entries report to stay on the old
+// version during a trial.
 func keptSessions(u register.Upgrade, stage register.Stage, reports []*wire.Account) []uint64 {
 	if stage != register.Trial {
 		return nil
@@ -228,8 +232,8 @@
 	return slices.Compact(sessions)
 }
 
-// isTargetReady reports whether there are as many upstreams of the new version as of
-// all others, so that it can take all requests.
+// isTargetReady reports whether there are about as many upstreams of the new version as of all
+// others, so that the new version can take all requests.
 func isTargetReady(u register.Upgrade, list []persimmoncross.Upstream) bool {
 	updated, others := 0, 0
 	for _, x := range list {
@@ -244,7 +248,7 @@
 	return updated > 0 && 4*updated >= 3*others
 }
 
-// sumCanaryStats adds up the accounts on one upgrade.
+// sumCanaryStats adds up the reported canary statistics of one upgrade.
 func sumCanaryStats(u register.Upgrade, reports []*wire.Account) upgrade.Evidence {
 	total := upgrade.Evidence{
 		New: map[string]upgrade.AnswerStats{},
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -8,15 +8,15 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// Limits that upstreams name are replicated to all entries: the entry that observes one
-// reports it to the controller that it follows, and controllers forward it to their
+// Rate limits that upstreams announce are replicated to all entries: the entry that observes a
+// limit reports it to the controller that it follows, and controllers forward it to their
 // followers and to the leader, each without waiting for the next regular message. The latest
 // observation wins, so neither order nor repetition matters, and no leader is needed.
 
-// maxLimitsPerMessage bounds the limits in one message to some KB.
+// maxLimitsPerMessage limits the rate limits in one message, so that its size stays at some KB.
 const maxLimitsPerMessage = 100
 
-// mergeLimits adds observations, and wakes the streams to followers if a limit changed.
+// mergeLimits merges observations, and wakes the streams to followers if a rate limit changed.
 func (p *publisher) mergeLimits(list []ratelimit.Observation) {
 	if len(list) == 0 || len(p.limits.Merge(list, p.clock.Now())) == 0 {
 		return
@@ -26,14 +26,14 @@
 	p.notify()
 }
 
-// addLimits puts the limits that have changed into an update for a follower.
+// addLimits adds the rate limits that have changed to an update for a follower.
 func (p *publisher) addLimits(u *wire.Update, s *followerState) {
 	var changes []ratelimit.Observation
 	changes, s.limitsVersion, s.hasMoreLimits = p.limits.ChangesSince(s.limitsVersion, maxLimitsPerMessage)
 	u.Limits = toWireLimits(changes, p.clock.Now())
 }
 
-// sendLimits sends the followed controller the limits that have changed since the version,
+// sendLimits sends the followed controller the rate limits that have changed since the version,
 // and returns the version after them.
 func (f *follower) sendLimits(s *peer.Stream, version uint64) (uint64, error) {
 	for more := true; more; {
--- a/internal/node/listchecksums.go
+++ b/internal/node/listchecksums.go
@@ -10,17 +10,19 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// How a follower that holds a list gets another controller's: it tells sums of the
-// parts of its own, and is sent the parts that differ. Without it each follower that
-// goes to another controller is sent a list of thousands, which is the same.
+// Transfer of the list to a follower that already holds one from another controller. The
+// follower sends a checksum of each partition of its list, and receives only the partitions
+// that differ. Without the checksums, each follower that changes to another controller would
+// receive thousands of upstreams that it already has.
 
-// listPartitionCount is into how many parts lives fall: 47 upstreams each of 3,000.
+// listPartitionCount is the number of partitions that instance IDs are hashed into: 47
+// upstreams in each for a list of 3,000.
 const listPartitionCount = 64
 
-// listPartition returns the part of the list that a life falls into.
+// listPartition returns the partition of the list that an instance ID belongs to.
 func listPartition(id string) uint32 { return uint32(xxhash.Sum64String(id) % listPartitionCount) }
 
-// partitionChecksums returns the sums of a list's parts, nil for none.
+// partitionChecksums returns the checksums of a list's partitions, nil for an empty list.
 func partitionChecksums(list map[string]*wire.Upstream) []uint64 {
 	if len(list) == 0 {
 		return nil
@@ -32,7 +34,7 @@
 	return checksums
 }
 
-// upstreamChecksum tells facts of an upstream apart.
+// upstreamChecksum returns a hash of an upstream's ID and listed fields.
 func upstreamChecksum(id string, x *wire.Upstream) uint64 {
 	return xxhash.Sum64String(strings.Join([]string{
 		id,
@@ -46,14 +48,14 @@
 	}, "\x00"))
 }
 
-// checksummedList is the list by life with the sums of its parts, made once for all followers
-// that come. It never changes.
+// checksummedList is the list by instance ID with the checksums of its partitions. It is
+// computed once for all followers that connect, and never changes.
 type checksummedList struct {
 	byID      map[string]*wire.Upstream
 	checksums []uint64
 }
 
-// listWithChecksums returns it. The caller holds mu.
+// listWithChecksums returns the current list with its checksums. The caller holds mu.
 func (p *publisher) listWithChecksums() *checksummedList {
 	if p.checksummed == nil {
 		list := make(map[string]*wire.Upstream, len(p.list))
@@ -68,8 +70,9 @@
 	return p.checksummed
 }
 
-// listDeltaFromChecksums returns what of the list a follower lacks that holds one with the sums. The
-// caller holds mu.
+// listDeltaFromChecksums returns the partitions of the list that differ from those of a
+// follower with the checksums, or the whole list if the checksums can't be used. The caller
+// holds mu.
 func (p *publisher) listDeltaFromChecksums(checksums []uint64) *wire.Update {
 	if len(checksums) != listPartitionCount || len(p.list) == 0 {
 		return p.listDeltaSince(0)
@@ -91,7 +94,7 @@
 	return u
 }
 
-// removePartitions takes parts out of a list that are about to be replaced.
+// removePartitions removes partitions that are about to be replaced from a list.
 func removePartitions(list map[string]*wire.Upstream, partitions []uint32) {
 	if len(partitions) == 0 {
 		return
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -14,22 +14,23 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// How the list of upstreams goes to followers: whole once, and then what changes,
-// in parts.
+// Transfer of the list of upstreams to followers: the whole list once and then deltas, both in
+// parts.
 
-// listDelta is what one change of the list was: a list of thousands changes by
-// a few.
+// listDelta is one change of the list. A list of thousands of upstreams changes by a few at a
+// time.
 type listDelta struct {
-	version uint64 // the count after it
+	version uint64 // list version after the change
 	changed []persimmoncross.Upstream
 	removed []string
 }
 
-// maxRecentDeltas bounds the changes that a follower may lag behind before it is sent
-// the whole list.
+// maxRecentDeltas is how many versions a follower's list may lag behind before the follower is
+// sent the whole list.
 const maxRecentDeltas = 32
 
-// diffLists returns how a list became another.
+// diffLists returns the upstreams that were added or changed between two lists, and the IDs of
+// those that were removed.
 func diffLists(from, to []persimmoncross.Upstream) (changed []persimmoncross.Upstream, removed []string) {
 	previous := make(map[string]persimmoncross.Upstream, len(from))
 	for _, u := range from {
@@ -49,7 +50,8 @@
 	return changed, removed
 }
 
-// setList takes the list as it was at the time, unless a later one is held.
+// setList stores the list that was read at the time, and returns false if a list that was read
+// later is stored.
 func (p *publisher) setList(list []persimmoncross.Upstream, readAt time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,8 +91,8 @@
 		a.Version == b.Version && a.Slots == b.Slots && a.Draining == b.Draining && slices.Equal(a.Models, b.Models)
 }
 
-// maxUpstreamsPerUpdate and maxRemovedPerUpdate bound an update of a list of thousands: 10 KB
-// of upstreams, and 7 KB of the lives that are over.
+// maxUpstreamsPerUpdate and maxRemovedPerUpdate bound the part of a long list in one update: 10
+// KB of upstreams, and 7 KB of removed instance IDs.
 const (
 	maxUpstreamsPerUpdate = 128
 	maxRemovedPerUpdate   = 512
@@ -123,13 +125,13 @@
 	s.listIDs = s.pendingListIDs
 }
 
-// maxUpstreamsPerPackedPart bounds a packed part of a whole list: 12 KB of upstreams that look like
-// each other.
+// maxUpstreamsPerPackedPart bounds a packed part of a whole list: 12 KB if the upstreams are
+// similar.
 const maxUpstreamsPerPackedPart = 4 * maxUpstreamsPerUpdate
 
-// packedParts returns the upstreams of a part of the list in packed parts, a quarter of
-// the bytes or less, made once for all followers that had the same count of changes.
-// One that had none has its own parts. The caller holds mu.
+// packedParts returns the upstreams of a list or delta in packed parts, which take a quarter of
+// the bytes or less. They are packed once for all followers with the same list version. A delta
+// from checksums is packed for its follower alone. The caller holds mu.
 func (p *publisher) packedParts(since uint64, u *wire.Update) [][]byte {
 	if since == 0 && u.GetPartial() {
 		return packUpstreams(u.GetUpstreams())
@@ -149,15 +151,15 @@
 			Upstreams: part,
 		})
 		if err != nil {
-			panic("node: " + err.Error()) // the fields are checked when they are read
+			panic("node: " + err.Error()) // the fields are validated when the list is read
 		}
 		parts = append(parts, packed.Whole(data))
 	}
 	return parts
 }
 
-// setPendingPacked lets the upstreams of the list that is to be sent go in packed parts, after what
-// else there is to tell of it.
+// setPendingPacked schedules the upstreams of the pending list to be sent as packed parts,
+// after the other changes of that list.
 func (s *followerState) setPendingPacked(parts [][]byte) {
 	s.pendingPacked = parts
 	s.listStarted = s.pendingList.GetPartial()
@@ -179,7 +181,7 @@
 	}
 }
 
-// unpackUpstreams puts the packed upstreams of an update among the others.
+// unpackUpstreams appends the packed upstreams of an update to its other upstreams.
 func unpackUpstreams(u *wire.Update) error {
 	if len(u.GetPacked()) == 0 {
 		return nil
@@ -196,9 +198,9 @@
 	return nil
 }
 
-// encodeRemovedBitmap replaces the names of removed lives by a bitmap over the list that the
-// follower holds, where that is shorter: hundreds of lives end at once when a data centre
-// is lost.
+// encodeRemovedBitmap replaces the removed instance IDs of the pending list by a bitmap over
+// the follower's list if the bitmap is shorter: hundreds of instances are removed at once when
+// a data centre is lost.
 func (s *followerState) encodeRemovedBitmap() {
 	removed := s.pendingList.GetGone()
 	idBytes := 0
@@ -212,7 +214,7 @@
 	for _, id := range removed {
 		i, found := slices.BinarySearch(s.listIDs, id)
 		if !found {
-			return // the follower does not hold it
+			return // the follower's list lacks this instance
 		}
 		bitmap[i/8] |= 1 << (i % 8)
 	}
@@ -220,7 +222,7 @@
 	s.pendingList.Removed = bitmap
 }
 
-// applyRemovedBitmap removes the lives of an update's bitmap from the list.
+// applyRemovedBitmap removes the instances in an update's bitmap from the list.
 func (c *controllerStream) applyRemovedBitmap(u *wire.Update) error {
 	bitmap := u.GetRemoved()
 	if len(bitmap) == 0 {
@@ -237,11 +239,11 @@
 	return nil
 }
 
-var errBitmapLength = errors.New("a bitmap over a list of another length")
+var errBitmapLength = errors.New("the length of the bitmap of removed upstreams does not match the list")
 
-// listDeltaSince returns the list as a follower with the count lacks it: what
-// changed, or all of it where that is not known any more. It is made once for all of
-// them; a follower's own copy shares what it holds. The caller holds mu.
+// listDeltaSince returns the changes of the list since the version, or the whole list if those
+// changes are no longer kept. The result is computed once for all followers with that version;
+// each gets its own message that shares the slices. The caller holds mu.
 func (p *publisher) listDeltaSince(since uint64) *wire.Update {
 	u := p.deltaSince[since]
 	if u == nil {
@@ -314,8 +316,7 @@
 	}
 }
 
-// upstreamsOf returns the list of an update; an address that can't be read is
-// left out.
+// upstreamsOf returns the list of an update, without upstreams whose address can't be parsed.
 func upstreamsOf(m *wire.Update) []persimmoncross.Upstream {
 	var list []persimmoncross.Upstream
 	for _, x := range m.GetUpstreams() {
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -12,54 +12,55 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Of the loads that controllers send to entries.
+// Encoding and limits of the loads that controllers send to entries.
 const (
-	loadRecordBytes = 6 // for each upstream: silence, age, running, waiting, work, doubters
+	loadRecordBytes = 6 // per upstream: silence, report age, running, waiting, prefill time, suspecting entries
 	unknownLoad     = 255
 	maxLoadValue    = 254
-	loadTimeUnit    = 20 * time.Millisecond // of ages and work
-	// maxLoadAge is how long an upstream's word, or a sender's account of its work,
-	// is used.
+	loadTimeUnit    = 20 * time.Millisecond // unit of durations in a record
+	// maxLoadAge is how long a load reported by an upstream, or a reporter's prefill times, are
+	// used.
 	maxLoadAge = 1500 * time.Millisecond
-	// maxLoadBytesPerSecond bounds the bytes a second of loads to one follower; with thousands
-	// of upstreams they are sent less often.
+	// maxLoadBytesPerSecond limits the bytes of loads sent to one follower; with thousands of
+	// upstreams the loads are sent less often.
 	maxLoadBytesPerSecond = 10_000
-	// minLoadIntervalPerUpstream is the pause for each upstream: a follower goes through all of them, a
-	// percent of an entry's core with thousands.
+	// minLoadIntervalPerUpstream is the minimum interval between loads, per upstream in the
+	// list. A follower processes every record, which takes one percent of an entry's core with
+	// thousands of upstreams.
 	minLoadIntervalPerUpstream = 300 * time.Microsecond
 )
 
-// loadAggregator adds up what the entries know of the upstreams' loads. One of many
-// entries hears an upstream seldom and makes a small part of its work; together
-// they know all of it. The leader's board has the whole; the others send it their
-// entries' part, and pass on what it sends.
+// loadAggregator merges the upstream loads that the entries report. One of many entries rarely
+// receives a response from a given upstream and causes a small part of its load, so only the
+// reports of all entries together give its load. The leader's aggregator combines all reports.
+// The other controllers send the leader their entries' part, and forward the leader's result.
 type loadAggregator struct {
 	clock persimmoncross.Clock
 
 	mu             sync.Mutex // guards all below
 	reported       map[string]reportedLoad
-	received       map[string]lastReceived // when bytes came from an upstream
-	workByReporter map[string]reporterWork // by sender
-	fleetWork      map[string]upstreamWork // by upstream, as the leader sent it
-	fleetWorkAt    time.Time               // of whole
+	received       map[string]lastReceived // when bytes last arrived from an upstream, by instance ID
+	workByReporter map[string]reporterWork // by entry or controller
+	fleetWork      map[string]upstreamWork // by instance ID, as received from the leader
+	fleetWorkAt    time.Time               // when fleetWork arrived
 	cached         encodedLoads
 }
 
-// encodedLoads are the loads as followers of one list are told of them.
+// encodedLoads are the loads encoded for the followers that have the same list.
 type encodedLoads struct {
-	ids       []string // the list's, shared by all who have it
+	ids       []string // instance IDs of the list, shared by those followers
 	encodedAt time.Time
 	dense     []byte
 	sparse    []byte
 }
 
-// maxEncodedAgePerUpstream is for how long followers are told the same, for each upstream: with thousands
-// it takes longer to put together than to send to hundreds, and with a hundred each is
-// told what is newest.
+// maxEncodedAgePerUpstream is how long encoded loads are reused, per upstream in the list. With
+// thousands of upstreams, encoding the loads takes longer than sending them to hundreds of
+// followers; with a hundred upstreams, each follower gets the newest loads.
 const maxEncodedAgePerUpstream = 30 * time.Microsecond
 
-// encoded returns the loads of the upstreams for followers that have the list, of all and
-// of those of which anything is known. They are shared and never changed.
+// encoded returns the loads for followers that have the list, as records of all upstreams and
+// as records of only those with a known load. The results are shared and read-only.
 func (a *loadAggregator) encoded(ids []string) (dense, sparse []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,34 +78,34 @@
 	return a.cached.dense, a.cached.sparse
 }
 
-// reportedLoad is what an upstream told of itself.
+// reportedLoad is the load that an upstream reported.
 type reportedLoad struct {
 	running     byte
 	waiting     byte
 	reportedAt  time.Time
-	unforwarded bool // came from an entry and was not relayed yet
+	unforwarded bool // reported by a follower and not forwarded to the leader yet
 }
 
-// lastReceived tells when bytes came from an upstream.
+// lastReceived is when bytes last arrived from an upstream.
 type lastReceived struct {
 	receivedAt  time.Time
-	unforwarded bool // came from an entry and was not relayed yet
+	unforwarded bool // reported by a follower and not forwarded to the leader yet
 }
 
-// upstreamWork is what one sender, or all, have to tell of an upstream.
+// upstreamWork is the load of an upstream caused by one reporter or by all reporters.
 type upstreamWork struct {
-	work              time.Duration // the reading that is awaited
-	suspectingEntries int           // entries
+	work              time.Duration // prefill time of prompts without a first token yet
+	suspectingEntries int           // entries that suspect the upstream
 }
 
-// reporterWork is what one sender has to tell, by upstream.
+// reporterWork is what one entry or controller reported, by instance ID.
 type reporterWork struct {
 	byUpstream map[string]upstreamWork
 	receivedAt time.Time
 }
 
-// receive keeps an account of an entry, or of another controller. It replaces the
-// one before.
+// receive stores a load report of an entry or of another controller. It replaces the reporter's
+// previous one.
 func (a *loadAggregator) receive(reporter string, loads []*wire.UpstreamLoad) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,7 +142,7 @@
 	a.workByReporter[reporter] = w
 }
 
-// updateReported takes a word that is newer than the one kept.
+// updateReported stores a reported load if it is newer than the stored one.
 func (a *loadAggregator) updateReported(id string, w reportedLoad) {
 	if a.reported == nil {
 		a.reported = map[string]reportedLoad{}
@@ -151,7 +152,7 @@
 	}
 }
 
-// updateReceived takes a sign of life that is later than the one kept.
+// updateReceived stores the time of received bytes if it is later than the stored one.
 func (a *loadAggregator) updateReceived(id string, h lastReceived) {
 	if a.received == nil {
 		a.received = map[string]lastReceived{}
@@ -161,7 +162,7 @@
 	}
 }
 
-// applyFleetLoads takes the loads that the leader sent.
+// applyFleetLoads stores the loads that the leader sent.
 func (a *loadAggregator) applyFleetLoads(ids []string, loads []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -187,8 +188,8 @@
 	}
 }
 
-// sumWork adds up what the senders tell, and forgets those that are silent. The
-// caller holds mu.
+// sumWork adds up the reporters' work by instance ID, and removes reporters that no longer
+// report. The caller holds mu.
 func (a *loadAggregator) sumWork(now time.Time) map[string]upstreamWork {
 	sum := map[string]upstreamWork{}
 	for reporter, w := range a.workByReporter {
@@ -206,8 +207,8 @@
 	return sum
 }
 
-// report returns this controller's part for the leader: what its entries tell,
-// and the upstreams' words that came since the call before.
+// report returns this controller's part of the loads for the leader: the sum over its entries,
+// and the loads that upstreams reported since the previous call.
 func (a *loadAggregator) report() []*wire.UpstreamLoad {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -257,11 +258,11 @@
 	return slices.Collect(maps.Values(loads))
 }
 
-// encodeDense returns the loads of the upstreams. The caller holds mu.
+// encodeDense returns the records of all upstreams. The caller holds mu.
 func (a *loadAggregator) encodeDense(ids []string, now time.Time) []byte {
 	work := a.fleetWork
 	if now.Sub(a.fleetWorkAt) > maxLoadAge {
-		work = a.sumWork(now) // there is no leader but this controller
+		work = a.sumWork(now) // this controller leads, or the leader's loads are too old
 	}
 	encoded := make([]byte, 0, loadRecordBytes*len(ids))
 	for _, id := range ids {
@@ -280,11 +281,11 @@
 	return encoded
 }
 
-// unknownLoadRecord are the bytes of an upstream of which nothing is known.
+// unknownLoadRecord is the record of an upstream without a known load.
 var unknownLoadRecord = []byte{unknownLoad, unknownLoad, 0, 0, 0, 0}
 
-// encodeSparse leaves the upstreams out of which nothing is known: of thousands most are, where
-// callers are few.
+// encodeSparse leaves out the records of upstreams without a known load, which are most of
+// thousands if there are few callers.
 func encodeSparse(loads []byte) []byte {
 	n := len(loads) / loadRecordBytes
 	encoded := make([]byte, (n+7)/8, (n+7)/8+len(loads))
@@ -298,7 +299,8 @@
 	return encoded
 }
 
-// decodeSparse returns the loads of so many upstreams, nil if they are of another number.
+// decodeSparse returns the records of n upstreams, or nil if the encoding does not match that
+// number.
 func decodeSparse(encoded []byte, n int) []byte {
 	bitmapSize := (n + 7) / 8
 	if n == 0 || len(encoded) < bitmapSize {
@@ -323,7 +325,8 @@
 	return loads
 }
 
-// encodeDuration returns a duration as a byte: loadUnknown only for what is no less.
+// encodeDuration returns a duration in units of loadTimeUnit, rounded to the nearest. It
+// returns unknownLoad only for durations of at least that many units.
 func encodeDuration(d time.Duration) byte {
 	if d >= unknownLoad*loadTimeUnit {
 		return unknownLoad
@@ -331,12 +334,13 @@
 	return byte(max(d+loadTimeUnit/2, 0) / loadTimeUnit)
 }
 
-// loadSendInterval returns the pause after so many bytes of loads of so many upstreams.
+// loadSendInterval returns the interval until the next loads, after sending that many bytes of
+// loads of that many upstreams.
 func loadSendInterval(sentBytes, upstreams int) time.Duration {
 	return max(loadInterval, time.Duration(sentBytes)*time.Second/maxLoadBytesPerSecond, time.Duration(upstreams)*minLoadIntervalPerUpstream)
 }
 
-// decodeLoads returns what an update says of the upstreams.
+// decodeLoads decodes the records of the instance IDs.
 func decodeLoads(ids []string, loads []byte) []relay.FleetLoad {
 	list := make([]relay.FleetLoad, 0, len(ids))
 	for i, id := range ids {
--- a/internal/node/localprobe.go
+++ b/internal/node/localprobe.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// How a follower finds a controller in its own data centre: what controllers send to
-// entries is most of the bytes between data centres, and links within one are free.
+// Search for a controller in the follower's own data centre. What controllers send to entries
+// is most of the traffic between data centres, and links within a data centre are free.
 
-// Of a follower that follows a controller elsewhere.
+// Intervals of a follower whose controller is in another data centre.
 const (
-	// localProbeInterval is the pause between two questions to a near controller, half of it by
-	// chance: a controller that is back is not asked by all at once.
+	// localProbeInterval is the maximum interval between two probes of local controllers. Half
+	// of it is jitter, so that a controller that comes back is not probed by all followers at
+	// once.
 	localProbeInterval = 4 * time.Second
-	// maxFirstProbeDelay bounds the pause before the first: who has just found a controller that
-	// has a lease is served by it meanwhile.
+	// maxFirstProbeDelay limits the random delay before the first probe. Until then, the
+	// controller with a lease that was just found serves the follower.
 	maxFirstProbeDelay = 500 * time.Millisecond
 )
 
-// dataCentreByController are the data centres of controllers, by address.
+// dataCentreByController maps the addresses of controllers to their data centres.
 type dataCentreByController map[string]string
 
-// setDataCentres takes where the controllers are.
+// setDataCentres records the data centres of the controllers.
 func (f *follower) setDataCentres(controllers, dataCentres []string) {
 	if len(controllers) != len(dataCentres) {
 		return
@@ -43,25 +44,25 @@
 	f.dataCentres = next
 }
 
-// isLocal reports whether the controller stands in this VM's data centre.
+// isLocal reports whether the controller is in this VM's data centre.
 func (f *follower) isLocal(controller string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.DataCentre != "" && f.dataCentres[controller] == f.DataCentre
 }
 
-// localProber asks a near controller now and then while one elsewhere is followed, and
-// returns it once its state is recent.
+// localProber probes local controllers from time to time while a controller in another data
+// centre is followed, and returns the stream of one that has a lease.
 type localProber struct {
 	follower    *follower
-	streamCtx   context.Context // of what it returns
-	nextProbeAt time.Time       // of the next question; zero: none was planned yet
-	probes      int             // questions
+	streamCtx   context.Context // context of the returned streams
+	nextProbeAt time.Time       // when the next probe is due; zero: none is planned yet
+	probes      int             // number of probes sent
 	answer      chan *controllerStream
 }
 
-// poll returns a near controller that has answered, nil if none has. It is called at
-// each update.
+// poll returns the stream of a local controller that has answered with a lease, or nil if there
+// is none. It is called at each update.
 func (p *localProber) poll(followed string, now time.Time) *controllerStream {
 	f := p.follower
 	if p.answer != nil {
@@ -96,13 +97,13 @@
 	acceptUnleased := &atomic.Bool{}
 	acceptUnleased.Store(true)
 	f.incrementCounter("follow.asked-near")
-	// It answers with what it has, a lease or not, as soon as it can.
+	// The controller answers at once, with or without a lease.
 	go f.query(p.streamCtx, controller, acceptUnleased, p.answer)
 	return nil
 }
 
-// nextController returns the near controller to ask, "" if none is known: each in its turn, as one
-// may be gone for good.
+// nextController returns the local controller to probe, "" if none is known. It rotates through
+// them, since one of them may be gone for good.
 func (p *localProber) nextController() string {
 	f := p.follower
 	controllers := slices.DeleteFunc(f.candidates(), func(name string) bool { return !f.isLocal(name) })
@@ -113,7 +114,7 @@
 	return controllers[p.probes%len(controllers)]
 }
 
-// stop ends a question that is under way.
+// stop cancels a probe that is in flight.
 func (p *localProber) stop() {
 	if p.answer != nil {
 		go closeLateStreams(p.answer, 1)
--- a/internal/node/memberstore.go
+++ b/internal/node/memberstore.go
@@ -19,10 +19,10 @@
 const (
 	identityFile = "member"
 	groupName    = "fleet"
-	initialIndex = 1 // the founders' logs begin behind a snapshot that holds only the voters
+	initialIndex = 1 // index and term of the snapshot at the start of an initial voter's log, which holds only the voters
 )
 
-// identity is the file that makes a data folder somebody's.
+// identity is the content of the file that assigns a data folder to a member.
 type identity struct {
 	Member persimmoncross.MemberID `json:"member"`
 }
@@ -34,18 +34,18 @@
 	member persimmoncross.MemberID
 }
 
-// openStore opens the data folder. An empty one becomes a founder's if the
-// fleet starts for the first time and this VM is a seed, else a new member's,
-// which follows until it is given a vote. So an empty disk never votes as the
-// member that it once was. A damaged folder is emptied first: what it had
-// promised is the other voters' to keep.
+// openStore opens the data folder. An empty folder is initialized for an initial voter if the
+// fleet starts for the first time and this VM is a seed, and otherwise for a new member, which
+// is a learner until it is made a voter. An empty disk therefore never votes as the member that
+// it belonged to before. A damaged folder is emptied first and initialized for a new member:
+// the log entries and votes that the old member had acknowledged remain with the other voters.
 func openStore(s *settings.Site, log zerolog.Logger) (*memberStore, error) {
 	store, err := openStoreOnce(s)
 	var damaged *disk.Error
 	if err == nil || !errors.As(err, &damaged) || damaged.Kind != disk.Damaged {
 		return store, err
 	}
-	log.Error().Err(err).Msg("the data folder is damaged: it is emptied, and this VM joins as a new member")
+	log.Error().Err(err).Msg("the data folder is damaged; emptying it and joining as a new member")
 	if err := emptyFolder(s.Data); err != nil {
 		return nil, newError("empty data folder", StartFailed, err)
 	}
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// initialize makes a new member. Its identity is written last: a folder without one
-// has promised nothing and is begun again.
+// initialize creates a new member. The identity file is written last: a folder without it has
+// not acknowledged anything and is initialized again.
 func (st *memberStore) initialize(s *settings.Site) error {
 	var err error
 	if err = emptyFolder(filepath.Join(s.Data, groupName)); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -158,7 +158,7 @@
 	return st.folder.WriteFile(identityFile, data)
 }
 
-// initialVoters returns the first voters: every seed works out the same set.
+// initialVoters returns the initial voter configuration; every seed computes the same one.
 func initialVoters(s *settings.Site) persimmoncross.Config {
 	voters := persimmoncross.Config{}
 	for _, a := range s.Seeds {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,13 +14,13 @@
 	"persimmoncross/io/transport/socket"
 )
 
-// percentiles are shown of each histogram.
+// percentiles are the percentiles reported of each histogram.
 var percentiles = []float64{0.5, 0.95, 0.99}
 
 // MetricsPath is where a process serves its metrics.
 const MetricsPath = "/metrics"
 
-// WriteMetrics writes a line for each figure: its name, a space, its value.
+// WriteMetrics writes one line per metric: the name, a space and the value.
 func WriteMetrics(w io.Writer, registry metrics.Registry) {
 	var lines []string
 	add := func(name string, value any) { lines = append(lines, fmt.Sprintf("%s %v", name, value)) }
@@ -42,25 +42,25 @@
 	io.WriteString(w, strings.Join(lines, "\n")+"\n")
 }
 
-// ServeMetrics serves the registry until the context ends, where the site file
-// names an address for it. What can't be served costs no request.
+// ServeMetrics serves the registry until the context ends, if the site file sets an address for
+// it. A failure is logged and does not affect requests.
 func (e *Entry) ServeMetrics(ctx context.Context) {
 	if e.Site.Metrics == nil {
 		return
 	}
 	if err := serveMetrics(ctx, e.Site.Metrics.String(), e.Metrics); err != nil {
-		e.Log.Error().Err(err).Msg("metrics are not served")
+		e.Log.Error().Err(err).Msg("failed to serve metrics")
 	}
 }
 
-// ServeMetrics serves the registry until the context ends, where the site file
-// names an address for it.
+// ServeMetrics serves the registry until the context ends, if the site file sets an address
+// for it.
 func (c *Controller) ServeMetrics(ctx context.Context) {
 	if c.Site.Metrics == nil {
 		return
 	}
 	if err := serveMetrics(ctx, c.Site.Metrics.String(), c.Metrics); err != nil {
-		c.Log.Error().Err(err).Msg("metrics are not served")
+		c.Log.Error().Err(err).Msg("failed to serve metrics")
 	}
 }
 
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// CountRefusal counts a refusal by its code, and by whether anything ran.
+// CountRefusal counts a refusal by its code, and by whether anything was executed.
 func (e *Entry) CountRefusal(r *persimmoncross.Refusal) {
 	metrics.GetOrRegisterCounter("refused."+string(r.Code)+"."+string(r.Run), e.Metrics).Inc(1)
 }
--- a/internal/node/peerhandler.go
+++ b/internal/node/peerhandler.go
@@ -11,13 +11,14 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// peerHandler answers the other VMs. It implements [peer.Handler].
+// peerHandler handles messages and calls from other VMs. It implements [peer.Handler].
 type peerHandler struct {
 	controller *Controller
 }
 
-// Receive implements [peer.Handler]. A member that looks for the leader is
-// passed on to it once: it may know only VMs that do not lead.
+// Receive implements [peer.Handler]. A controller that does not lead forwards a learner's join
+// message to the leader, but only once, because the learner may have only the addresses of VMs
+// that do not lead.
 func (h *peerHandler) Receive(m persimmoncross.Message) {
 	c := h.controller
 	if m.Group != groupName || !c.groupOpened.Load() {
@@ -25,7 +26,7 @@
 	}
 	if m.Kind == persimmoncross.MessageLearnerJoin && !c.IsLeader() {
 		if leader := c.remoteLeader(); leader != "" && !m.LeadershipTransfer {
-			m.LeadershipTransfer = true // passed on
+			m.LeadershipTransfer = true // marks the message as forwarded
 			m.ToVM = leader
 			c.node.Pass(m)
 		}
@@ -44,8 +45,8 @@
 	}
 }
 
-// serveFollower sends updates until the stream fails, and takes accounts. The first
-// account tells that this controller was chosen.
+// serveFollower sends updates until the stream fails, and receives reports. The first report
+// means that the follower has chosen this controller.
 func (h *peerHandler) serveFollower(ctx context.Context, call *wire.Follow, s *peer.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -57,9 +58,9 @@
 	defer c.followerStreams.Add(-1)
 	selected := make(chan struct{})
 	go func() {
-		// Whoever sends may wait for room on the way to a follower who has gone; with
-		// what waits there, a controller's memory would grow at every follower that
-		// leaves.
+		// The sending loop may be blocked on flow control towards a follower that is gone.
+		// Closing the stream unblocks the loop; otherwise each such follower would leave its
+		// unsent data in the controller's memory.
 		defer s.Close()
 		defer cancel()
 		h.receiveReports(call.GetVm(), s, selected)
@@ -99,7 +100,7 @@
 	}
 }
 
-// addLoads puts the loads into an update, and returns the pause until the next.
+// addLoads adds the loads to an update, and returns the interval until the next ones.
 func (c *Controller) addLoads(u *wire.Update, s *followerState) time.Duration {
 	dense, sparse := c.loads.encoded(s.listIDs)
 	if !s.acceptsPacked {
@@ -110,8 +111,8 @@
 	return loadSendInterval(len(sparse), len(s.listIDs))
 }
 
-// receiveReports takes a follower's accounts until the stream fails. It closes
-// chosen at the first.
+// receiveReports receives a follower's reports until the stream fails. It closes selected at
+// the first report.
 func (h *peerHandler) receiveReports(vm string, s *peer.Stream, selected chan<- struct{}) {
 	for first := true; ; first = false {
 		a := &wire.Account{}
@@ -136,7 +137,7 @@
 	}
 }
 
-// hasLease reports whether this controller's state is known to be recent.
+// hasLease reports whether this controller has a lease, so that its state is recent.
 func (c *Controller) hasLease() bool {
 	return c.group.HasLease()
 }
@@ -150,7 +151,7 @@
 	return names
 }
 
-// isLeaderWithLease reports whether this controller leads and holds a quorum.
+// isLeaderWithLease reports whether this controller leads and holds a lease from a quorum.
 func (c *Controller) isLeaderWithLease() bool {
 	return c.IsLeader() && c.group.HasLease()
 }
--- a/internal/node/publisher.go
+++ b/internal/node/publisher.go
@@ -10,27 +10,30 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Times of the stream to followers.
+// Intervals and timeouts of the streams to followers.
 const (
-	// updateInterval is the pause between updates in which nothing changed.
+	// updateInterval is the interval between updates while nothing changes.
 	updateInterval = 250 * time.Millisecond
-	// updateTimeout ends a follower's wait: two updates are missing, and another
-	// controller is found before a change has to be in force.
+	// updateTimeout is the silence after which a follower leaves its controller. By then two
+	// updates are missing, and there is time to find another controller before a change must be
+	// in force.
 	updateTimeout = 700 * time.Millisecond
-	// reportInterval is the pause between a follower's accounts while there is
-	// something to tell, presentEvery where it only tells that it is there.
+	// reportInterval is the interval between a follower's reports while their statistics
+	// change. keepaliveInterval is the interval while they only show that the follower is
+	// present.
 	reportInterval    = loadInterval
 	keepaliveInterval = 2 * time.Second
-	// loadInterval is the pause between accounts of the upstreams' loads: less than
-	// a long prompt takes to be read.
+	// loadInterval is the interval between reports of upstream loads. It is shorter than the
+	// prefill of a long prompt.
 	loadInterval = 250 * time.Millisecond
-	// presenceTimeout is how long an account counts its entry as present.
+	// presenceTimeout is how long after its last report an entry counts as present.
 	presenceTimeout = 7 * time.Second
-	// canaryStatsRetention is how long the counts of an entry that is gone are kept.
+	// canaryStatsRetention is how long the canary statistics of an entry that no longer reports
+	// are kept.
 	canaryStatsRetention = 2 * time.Minute
 )
 
-// publisher holds what a controller tells its followers, and what they told it.
+// publisher holds what a controller sends to its followers, and the reports received from them.
 type publisher struct {
 	clock     persimmoncross.Clock
 	documents documentStore
@@ -40,27 +43,27 @@
 	state         *register.State
 	encodedState  []byte // state without its document, encoded
 	list          []persimmoncross.Upstream
-	listVersion   uint64                  // counts the changes of list
-	fullList      []*wire.Upstream        // list, as it is sent to those who lack it; shared and never changed
-	checksummed   *checksummedList        // of list; nil: not made yet
-	packedSince   map[uint64][][]byte     // what followers with a count of listed lack, in packed parts
-	deltaSince    map[uint64]*wire.Update // the same as it is; shared and never changed
-	listIDs       []string                // the lives of list, sorted; shared and never changed
+	listVersion   uint64                  // number of changes of list
+	fullList      []*wire.Upstream        // list encoded for followers that have none; shared, read-only
+	checksummed   *checksummedList        // of list; nil: not computed yet
+	packedSince   map[uint64][][]byte     // packed parts of the delta, by the list version of the follower
+	deltaSince    map[uint64]*wire.Update // the same delta unpacked; shared, read-only
+	listIDs       []string                // instance IDs of list, sorted; shared, read-only
 	recentDeltas  []listDelta
 	cold          coldUpstreams
-	coldVersion   uint64            // counts the changes of colds
-	coldChangedAt map[string]uint64 // by life, at which count it changed last
+	coldVersion   uint64            // number of changes of cold
+	coldChangedAt map[string]uint64 // by instance ID, the coldVersion of the last change
 	dataCentres   dataCentreByController
 	listReadAt    time.Time
 	entries       entryCount
-	changed       chan struct{} // closed at each change, and replaced
+	changed       chan struct{} // closed and replaced at each change
 	reports       map[string]receivedReport
 }
 
 type receivedReport struct {
 	message     *wire.Account
 	receivedAt  time.Time
-	unforwarded bool // not relayed yet
+	unforwarded bool // not forwarded to the leader yet
 }
 
 func newPublisher(clock persimmoncross.Clock) *publisher {
@@ -76,7 +79,7 @@
 	p.changed = make(chan struct{})
 }
 
-// setState takes the register's latest state.
+// setState publishes the register's latest state.
 func (p *publisher) setState(s *register.State) {
 	encoded := register.EncodeHead(s)
 	if len(s.Document) > 0 {
@@ -89,7 +92,7 @@
 	p.notify()
 }
 
-// upstreams returns the list and when it was read.
+// upstreams returns the list of upstreams and when it was read.
 func (p *publisher) upstreams() ([]persimmoncross.Upstream, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +105,8 @@
 	p.entries.update(n, p.clock.Now())
 }
 
-// receiveReport keeps a follower's account, which has the counts that changed.
+// receiveReport stores a follower's report. The report carries only the canary statistics that
+// changed, so they are merged with the stored ones.
 func (p *publisher) receiveReport(a *wire.Account) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,8 +122,8 @@
 	}
 }
 
-// currentReports returns the accounts, and how many are of entries that are present.
-// Counts of an entry that is gone stay valid for as long as its upgrade runs.
+// currentReports returns the reports and the number of entries that are present. Canary
+// statistics of an entry that no longer reports stay in use for canaryStatsRetention.
 func (p *publisher) currentReports(now time.Time) (reports []*wire.Account, entries int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +141,7 @@
 	return reports, entries
 }
 
-// takeUnforwardedReports returns the accounts that came since the call before.
+// takeUnforwardedReports returns the reports that arrived since the previous call.
 func (p *publisher) takeUnforwardedReports() []*wire.Account {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,40 +156,40 @@
 	return reports
 }
 
-// followerState is what one follower has got.
+// followerState is what was sent to one follower and what is still to be sent.
 type followerState struct {
-	probing       bool   // it has not chosen this controller: it gets no list and no document
-	entry         bool   // it needs documents
-	vm            string // the follower's name
+	probing       bool   // the follower has not chosen this controller yet: it gets no list and no document
+	entry         bool   // the follower is an entry, which needs documents
+	vm            string // name of the follower
 	coldVersion   uint64
-	limitsVersion uint64 // the version of the limits
-	// hasMoreLimits tells that not all changes of limits fitted into the last update.
+	limitsVersion uint64 // version of the rate limits that were sent
+	// hasMoreLimits is set if the changed rate limits did not all fit into the last update.
 	hasMoreLimits      bool
 	state              *register.State
 	listVersion        uint64
-	initialChecksums   []uint64     // of the list that it had before
-	acceptsPacked      bool         // it reads packed upstreams
-	acceptsBitmaps     bool         // it reads by bitmaps which lives left the list
-	pendingPacked      [][]byte     // parts of the list that are still to be sent, after list
-	listStarted        bool         // what is sent goes on with a list
-	listIDs            []string     // the lives of the list, sorted
-	nextLoadsAt        time.Time    // when the loads are sent next
-	pendingList        *wire.Update // the list of which parts are still to be sent, nil: none
-	pendingListIDs     []string     // order, once list is sent
-	documentNumber     uint64       // of the document
-	documentChecksum   uint64       // of the document
+	initialChecksums   []uint64     // partition checksums of the list that the follower had at first
+	acceptsPacked      bool         // the follower decodes packed upstreams
+	acceptsBitmaps     bool         // the follower decodes bitmaps of removed instance IDs
+	pendingPacked      [][]byte     // packed parts of the list still to be sent, after pendingList
+	listStarted        bool         // the next packed part adds to the follower's list instead of replacing it
+	listIDs            []string     // instance IDs of the list that the follower has, sorted
+	nextLoadsAt        time.Time    // when loads are sent next
+	pendingList        *wire.Update // the rest of the list that is still to be sent; nil: none
+	pendingListIDs     []string     // listIDs once the pending list is sent
+	documentNumber     uint64       // of the document that the follower has
+	documentChecksum   uint64       // of the document that the follower has
 	holds              sentQuarantines
-	hasMoreQuarantines bool              // there are more holds to send
-	documentTransfer   *documentTransfer // the document of which parts are still to be sent
+	hasMoreQuarantines bool              // more quarantines are to be sent
+	documentTransfer   *documentTransfer // the document being sent; nil: none
 }
 
-// hasPending reports whether there is more to send at once.
+// hasPending reports whether more data is to be sent without waiting.
 func (s *followerState) hasPending() bool {
 	return s.pendingList != nil || len(s.pendingPacked) > 0 || s.documentTransfer != nil || s.hasMoreQuarantines || s.hasMoreLimits
 }
 
-// nextUpdate returns the update for a follower, and the channel that is closed at
-// the nextUpdate change.
+// nextUpdate returns the next update for a follower, and the channel that is closed at the next
+// change.
 func (p *publisher) nextUpdate(s *followerState, leased bool, controllers []string) (*wire.Update, <-chan struct{}) {
 	u := &wire.Update{
 		Age:         -1,
@@ -210,7 +214,7 @@
 	if s.entry {
 		s.hasMoreQuarantines = !s.holds.addChanges(u, p.state)
 	}
-	p.addColdUpstreams(u, s) // before the list that cold lives come with
+	p.addColdUpstreams(u, s) // must precede the list that contains the cold upstreams
 	p.addLimits(u, s)
 	if s.pendingList == nil && len(s.pendingPacked) == 0 && p.listVersion != s.listVersion {
 		if s.listVersion == 0 {
@@ -231,14 +235,14 @@
 	case len(s.pendingPacked) > 0:
 		s.addPackedPart(u)
 	}
-	// The age is that of a list which the follower has whole.
+	// The age is sent only once the follower has the whole list.
 	if s.pendingList == nil && len(s.pendingPacked) == 0 && p.listVersion == s.listVersion && !p.listReadAt.IsZero() {
 		u.Age = int64(p.clock.Now().Sub(p.listReadAt))
 	}
 	return u, p.changed
 }
 
-// setDataCentre notes in which data centre a controller stands.
+// setDataCentre records the data centre of a controller.
 func (p *publisher) setDataCentre(controller, dataCentre string) {
 	if dataCentre == "" {
 		return
@@ -251,7 +255,7 @@
 	p.dataCentres[controller] = dataCentre
 }
 
-// dataCentresOf returns the data centres of the controllers.
+// dataCentresOf returns the data centres of the controllers, "" where unknown.
 func (p *publisher) dataCentresOf(controllers []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,9 +266,9 @@
 	return dataCentres
 }
 
-// nextDocumentPart returns the next part of the document that the follower lacks, nil
-// if it lacks none. A document that is under way is sent to its end first: so
-// each follower gets on however often documents change.
+// nextDocumentPart returns the next part of the document that the follower lacks, or nil if it
+// lacks none. A transfer that has begun is completed before a newer document is sent, so that
+// each follower makes progress however often documents change.
 func (p *publisher) nextDocumentPart(s *followerState) *wire.Part {
 	if s.documentTransfer == nil {
 		s.documentTransfer = p.documents.newTransfer(s.documentNumber, s.documentChecksum)
@@ -276,7 +280,7 @@
 	if last {
 		s.documentNumber = s.documentTransfer.document.number
 		s.documentChecksum = s.documentTransfer.document.checksum
-		// A newer one may be there: what is pending is sent at once.
+		// A newer document may exist by now; its transfer starts at once.
 		s.documentTransfer = p.documents.newTransfer(s.documentNumber, s.documentChecksum)
 	}
 	return part
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -9,17 +9,17 @@
 	"persimmoncross/io/transport/socket"
 )
 
-// Times of serving and of a planned stop.
+// Timeouts and limits of serving and of a planned stop.
 const (
-	// readinessNoticePeriod is how long a stopping entry serves on: the balancer asks once
-	// a second and needs two answers that are not good.
+	// readinessNoticePeriod is how long a stopping entry keeps accepting requests: the load
+	// balancer checks readiness once a second and needs two failed checks.
 	readinessNoticePeriod = 2300 * time.Millisecond
-	// shutdownMargin is left of the grace for the last writes, and stopWait for the
-	// duties to end.
+	// shutdownMargin is the part of the grace period that is reserved for the last writes.
+	// loopStopTimeout limits the wait for the loops to end.
 	shutdownMargin  = 700 * time.Millisecond
 	loopStopTimeout = 200 * time.Millisecond
 	headerTimeout   = 10 * time.Second
-	// idleTimeout is well over what callers are promised by any document.
+	// idleTimeout is well above the timeouts that documents promise to callers.
 	idleTimeout    = 90 * time.Second
 	maxHeaderBytes = 64 << 10
 )
@@ -27,8 +27,8 @@
 // IsStopping reports whether the process is stopping.
 func (e *Entry) IsStopping() bool { return e.stopping.Load() }
 
-// Serve serves callers and readiness until the context ends, and then stops
-// without cutting what can still end within the grace.
+// Serve serves callers and the readiness endpoint until the context ends. It then stops without
+// cutting off requests that can complete within the grace period.
 func (e *Entry) Serve(ctx context.Context, callers, ready http.Handler) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -60,7 +60,7 @@
 	stop()
 	select {
 	case <-done:
-	case <-e.Clock.After(loopStopTimeout): // what is left only waits for peers
+	case <-e.Clock.After(loopStopTimeout): // the remaining goroutines only wait for peers
 	}
 	e.Log.Info().Err(err).Msg("stopped")
 	return nil
@@ -82,8 +82,8 @@
 	return server, nil
 }
 
-// ServeOperators serves operators until the context ends, and then stops. A call
-// that does not end is no reason to fail.
+// ServeOperators serves operators until the context ends, and then stops. An operator's request
+// that does not complete is not reported as an error.
 func (c *Controller) ServeOperators(ctx context.Context, h http.Handler) error {
 	listener, err := socket.Listen().Listen(ctx, "tcp", c.Site.Operator.String())
 	if err != nil {
@@ -98,14 +98,14 @@
 	closed := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		// Calls that are under way are answered while the leadership is handed over.
+		// Requests in flight are answered while the leadership is transferred.
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposalTimeout+shutdownMargin)
 		defer cancel()
 		closed <- server.Shutdown(shutdownCtx)
 	}()
 	c.Run(ctx)
 	if err := <-closed; err != nil {
-		c.Log.Warn().Err(err).Msg("an operator's call is cut off")
+		c.Log.Warn().Err(err).Msg("shutdown cut off an operator's request")
 		server.Close()
 	}
 	return nil
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -10,7 +10,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// canaryKey names what a count of an account counts.
+// canaryKey identifies one entry of the canary statistics in a report.
 type canaryKey struct {
 	service string
 	version string
@@ -27,12 +27,13 @@
 	}
 }
 
-// sentCanaryStats is what a stream has been told: counts by the account's VM and
-// incarnation. While an upgrade runs, an account of all routes twice a second
-// would cost 60 bytes for each of thousands, of which some tens had answers.
+// sentCanaryStats are the canary statistics that were sent on a stream, by the report's VM and
+// incarnation. Only changes are sent: while an upgrade runs, a report of all routes twice a
+// second would take 60 bytes for each of thousands of routes, of which only some tens had
+// responses.
 type sentCanaryStats map[string]map[canaryKey]*wire.Trial
 
-// delta returns the account with the counts that the stream lacks.
+// delta returns the report with only the statistics that changed since the previous call.
 func (s sentCanaryStats) delta(a *wire.Account) *wire.Account {
 	id := reporterID(a)
 	sent := s[id]
@@ -45,25 +46,26 @@
 			changed = append(changed, t)
 		}
 	}
-	s[id] = current // what the sender has forgotten is forgotten here
+	s[id] = current // statistics that the reporter dropped are dropped here too
 	if len(current) == 0 {
 		delete(s, id)
 	}
 	return withCanaryStats(a, changed)
 }
 
-// mergeCanaryStats puts the counts of an account over those that were told before, but for
-// those of upgrades that are over.
+// mergeCanaryStats merges the statistics of a report with those received before, without those
+// of upgrades that have ended.
 func mergeCanaryStats(previous, latest *wire.Account, upgrades map[string]register.Upgrade) *wire.Account {
 	merged := map[canaryKey]*wire.Trial{}
 	for _, report := range []*wire.Account{previous, latest} {
 		for _, t := range report.GetTrials() {
-			// An entry may know of an upgrade sooner than this controller.
+			// An entry may receive the state of an upgrade before this controller does.
 			u := upgrades[t.GetService()]
 			if u.Order > t.GetOrder() || u.Order == t.GetOrder() && u.Stage.Ended() {
 				continue
 			}
-			// Counts only grow; one that was told on another way may come late.
+			// Counts only grow; a report that took another path may arrive late with lower
+			// ones.
 			key := canaryKeyOf(t)
 			if old := merged[key]; old == nil || t.GetRuns() >= old.GetRuns() && t.GetTimed() >= old.GetTimed() {
 				merged[key] = t
@@ -73,8 +75,8 @@
 	return withCanaryStats(latest, slices.Collect(maps.Values(merged)))
 }
 
-// withCanaryStats returns the account with other counts: accounts are shared and
-// never changed.
+// withCanaryStats returns a copy of the report with other statistics, because reports are
+// shared and never changed.
 func withCanaryStats(a *wire.Account, trials []*wire.Trial) *wire.Account {
 	return &wire.Account{
 		Vm:          a.GetVm(),
