--- a/internal/node/coldentry.go
+++ b/internal/node/coldentry.go
@@ -8,7 +8,7 @@
 	"persimmoncross/core/state/register"
 )
 
-// Handling of cold upstreams on an entry before the controllers have published them.
+// This file handles cold upstreams on an entry before the controllers have published them.
 
 // coldDurations returns how long the upstreams of each service are cold after a start; services
 // without a cold period are left out. The caller holds mu.
--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -13,9 +13,9 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Publication of cold upstreams and of the entries that may send to them. The leader reads the
-// cold upstreams with the list and assigns owners to each cold instance once. The controllers
-// forward them before the list that contains the instance.
+// This file publishes the cold upstreams and the entries that may send to them. The leader
+// reads the cold upstreams with the list and assigns owners to each cold instance once. The
+// controllers forward them before the list that contains the instance.
 
 // coldMargin is added to the time for which an upstream is reported as cold, because the
 // reported time is rounded and delayed in transit.
--- a/internal/node/documents.go
+++ b/internal/node/documents.go
@@ -9,9 +9,9 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Transfer of documents to entries. An entry's link may have a hundredth of the capacity of a
-// controller's and also carries the callers' traffic, and a document may be a thousand times as
-// large as the change that made it. A document is therefore packed against the one that the
+// This file sends documents to entries. An entry's link may have a hundredth of the capacity of
+// a controller's and also carries the callers' traffic, and a document may be a thousand times
+// as large as the change that made it. A document is therefore packed against the one that the
 // entry holds and sent only by the controller that the entry follows. It is sent in parts, so
 // that the entry keeps receiving data in the meantime.
 const (
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -53,14 +53,14 @@
 	stateIndex       uint64
 	state            *register.State // without its document
 	document         document
-	catalog          *catalog.Catalog // decoded from document, or from the last one that could be decoded
+	catalog          *catalog.Catalog // of the last document that could be decoded
 	targets          map[string][]*relay.Target
-	listReadAt       time.Time                                           // when the list in force was read; zero: there is no list
-	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // quarantines from the controllers; read-only
-	quarantinesIndex uint64                                              // index of the state that holds belongs to
-	localKeeper      *quarantine.Store                                   // set while no controller with a lease evaluates quarantines; nil otherwise
-	rejoinedAt       time.Time                                           // when a controller had a lease again, while localKeeper is still in force; zero: none has
-	leasedAt         time.Time                                           // when an update from a controller with a lease last arrived
+	listReadAt       time.Time                                           // read time of the list in force; zero: none
+	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // from the controllers; read-only
+	quarantinesIndex uint64                                              // state index of the controllers' quarantines
+	localKeeper      *quarantine.Store                                   // this entry's own decisions; nil: a controller decides
+	rejoinedAt       time.Time                                           // when a controller had a lease again; zero: not yet
+	leasedAt         time.Time                                           // when an update with a lease last arrived
 	startedAt        time.Time
 	entries          entryCount
 }
--- a/internal/node/holds.go
+++ b/internal/node/holds.go
@@ -14,10 +14,10 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Quarantine of requests that crash upstreams. Entries report the changed cases of their
-// quarantine recorders to their controllers, the controllers forward them to the leader, and
-// the leader decides. The quarantines are stored in the replicated log, so that they survive a
-// change of leader, and are sent by each controller to its entries.
+// This file quarantines requests that crash upstreams. Entries report the changed cases of
+// their quarantine recorders to their controllers, the controllers forward them to the leader,
+// and the leader decides. The quarantines are stored in the replicated log, so that they
+// survive a change of leader, and are sent by each controller to its entries.
 
 // Limits and intervals of quarantines and cases.
 const (
--- a/internal/node/leaderloops.go
+++ b/internal/node/leaderloops.go
@@ -19,10 +19,12 @@
 	loopInterval = 200 * time.Millisecond
 	// listReadsPerDrain is how often the list is read within the drain time. Together with the
 	// list's lag and the delay to the entries, this leaves half of the drain time unused.
-	listReadsPerDrain     = 6
-	minListReadInterval   = 250 * time.Millisecond
-	listReadTimeout       = 3 * time.Second // a list of thousands of upstreams has tens of pages
-	minListIntervalFactor = 2               // least time between the starts of two reads, in durations of the last read
+	listReadsPerDrain   = 6
+	minListReadInterval = 250 * time.Millisecond
+	listReadTimeout     = 3 * time.Second // a list of thousands of upstreams has tens of pages
+	// minListIntervalFactor is the minimum time between the starts of two reads of the list, as a
+	// multiple of the duration of the last read.
+	minListIntervalFactor = 2
 	listCheckInterval     = 100 * time.Millisecond
 	// voterSilenceTimeout is the time without contact after which a voter that has a
 	// replacement is removed. It spans several elections, and is well within the time in which
--- a/internal/node/listchecksums.go
+++ b/internal/node/listchecksums.go
@@ -10,7 +10,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Transfer of the list to a follower that already holds one from another controller. The
+// This file sends the list to a follower that already holds one from another controller. The
 // follower sends a checksum of each partition of its list, and receives only the partitions
 // that differ. Without the checksums, each follower that changes to another controller would
 // receive thousands of upstreams that it already has.
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -14,8 +14,8 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Transfer of the list of upstreams to followers: the whole list once and then deltas, both in
-// parts.
+// This file sends the list of upstreams to followers: the whole list once and then deltas, both
+// in parts.
 
 // listDelta is one change of the list. A list of thousands of upstreams changes by a few at a
 // time.
--- a/internal/node/localprobe.go
+++ b/internal/node/localprobe.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Search for a controller in the follower's own data centre. What controllers send to entries
-// is most of the traffic between data centres, and links within a data centre are free.
+// This file searches for a controller in the follower's own data centre. What controllers send
+// to entries is most of the traffic between data centres, and links within a data centre are
+// free.
 
 // Intervals of a follower whose controller is in another data centre.
 const (
--- a/internal/node/memberstore.go
+++ b/internal/node/memberstore.go
@@ -19,7 +19,9 @@
 const (
 	identityFile = "member"
 	groupName    = "fleet"
-	initialIndex = 1 // index and term of the snapshot at the start of an initial voter's log, which holds only the voters
+	// initialIndex is the index and term of the snapshot at the start of an initial voter's log,
+	// which holds only the voters.
+	initialIndex = 1
 )
 
 // identity is the content of the file that assigns a data folder to a member.
