--- a/internal/node/accounts_test.go
+++ b/internal/node/accounts_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// Of thousands of routes those that had answers are told, and the controller
-// knows the counts of all; a new stream is told all of them.
+// TestAccountsSendOnlyChanges checks that a report contains the canary statistics only of
+// those routes, out of thousands, that had responses since the report before, that the controller
+// has the statistics of all routes, and that a new stream is sent all of them.
 func TestAccountsSendOnlyChanges(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	counts := map[string]uint64{}
@@ -47,12 +48,12 @@
 		counts["r9"] += 2
 		a := stream.delta(newAccount())
 		if size := proto.Size(a); len(a.GetTrials()) != 2 || size > 100 {
-			t.Errorf("account %d: %d counts, %d bytes", n, len(a.GetTrials()), size)
+			t.Errorf("report %d: %d routes, %d bytes; want 2 routes and at most 100 bytes", n, len(a.GetTrials()), size)
 		}
 		h.receiveReport(a)
 	}
 	if a := stream.delta(newAccount()); len(a.GetTrials()) != 0 {
-		t.Errorf("%d counts without an answer", len(a.GetTrials()))
+		t.Errorf("%d routes reported although no route had a response", len(a.GetTrials()))
 	}
 	accounts, _ := h.currentReports(h.clock.Now())
 	p := sumCanaryStats(register.Upgrade{
@@ -74,24 +75,24 @@
 		Target:  "v2",
 		Order:   4,
 	}, accounts).New["r7"].Answers != 6 {
-		t.Error("a count that came late took the place of a later one")
+		t.Error("an outdated count replaced a newer one")
 	}
 	relayed := h.takeUnforwardedReports()
 	if len(relayed) != 1 || len(sentCanaryStats{}.delta(relayed[0]).GetTrials()) != manyRoutes {
-		t.Errorf("a new stream is not told all")
+		t.Errorf("a new stream is not sent the statistics of all routes")
 	}
 	if again, _ := h.currentReports(h.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
-		t.Error("what was relayed has changed here")
+		t.Error("forwarding a report changed the stored report")
 	}
-	counts = nil // the upgrade is over
+	counts = nil // the upgrade has ended
 	stream.delta(newAccount())
 	if len(stream) != 0 {
-		t.Error("counts that are over are kept by the stream")
+		t.Error("the stream keeps the statistics of an upgrade that has ended")
 	}
 }
 
-// Counts of upgrades that are over go, and those of one that this controller
-// does not know yet stay.
+// TestCountsOfEndedUpgradesAreDropped checks that canary statistics of upgrades that have ended
+// are dropped, and that those of an upgrade that this controller has not received yet are kept.
 func TestCountsOfEndedUpgradesAreDropped(t *testing.T) {
 	previous := &wire.Account{
 		Trials: []*wire.Trial{testTrial("r", 3, 1), testTrial("r", 5, 1), testTrial("r", 9, 1)},
@@ -118,11 +119,11 @@
 			keptOrders[x.GetOrder()] = true
 		}
 		if len(keptOrders) != len(tt.want) {
-			t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
+			t.Errorf("order %d, %s: kept %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
 		}
 		for _, n := range tt.want {
 			if !keptOrders[n] {
-				t.Errorf("order %d, %s: left %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
+				t.Errorf("order %d, %s: kept %v, want %v", tt.order, tt.stage, keptOrders, tt.want)
 			}
 		}
 	}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -12,8 +12,8 @@
 	"persimmoncross/core/state/register"
 )
 
-// BenchmarkList is what the list of upstreams costs: whole to a follower that
-// starts, and a change of one upstream to one that holds it.
+// BenchmarkList measures the encoding of the list of upstreams: the whole list for a follower
+// that starts, and the change of one upstream for a follower that has the list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1_000, 4_100} {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkEncodeHead is what each step of an upgrade costs a follower, by the sessions
-// that its trial leaves where they are.
+// BenchmarkEncodeHead measures the encoding of the state that followers receive at each step of
+// an upgrade, by the number of sessions that stay on the old version during the trial.
 func BenchmarkEncodeHead(b *testing.B) {
 	for _, n := range []int{50, 1_100, 10_000} {
 		b.Run(fmt.Sprint("sessions=", n), func(b *testing.B) {
--- a/internal/node/colds_test.go
+++ b/internal/node/colds_test.go
@@ -18,8 +18,9 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// What is cold comes to a follower no later than the list that it is on; an entry is
-// told of its own part only.
+// TestColdUpstreamsPrecedeTheList checks that a follower receives the slow start of a cold
+// upstream no later than the list with this upstream, and that an entry receives neither the
+// owners nor the intervals of other entries.
 func TestColdUpstreamsPrecedeTheList(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	var list []persimmoncross.Upstream
@@ -64,21 +65,21 @@
 				got, _ := fromWireUpstream(x)
 				c, ok := known[got.InstanceID()]
 				if !ok || c.Interval != tt.pause || !slices.Equal(c.Owners, tt.owners) || c.ColdUntil.Sub(until).Abs() > time.Second {
-					t.Fatalf("%s: %s is %+v, %v", tt.vm, got.Incarnation, c, ok)
+					t.Fatalf("%s: slow start of %s is %+v, received %v", tt.vm, got.Incarnation, c, ok)
 				}
 			}
 		}
 		if len(known) != len(list) {
-			t.Errorf("%s: %d of %d", tt.vm, len(known), len(list))
+			t.Errorf("%s: received %d of %d cold upstreams", tt.vm, len(known), len(list))
 		}
 		if u, _ := h.nextUpdate(s, true, nil); len(u.GetColds()) > 0 {
-			t.Errorf("%s: told twice", tt.vm)
+			t.Errorf("%s: cold upstreams were sent twice", tt.vm)
 		}
 	}
 }
 
-// An entry that learns that an evacuation has ended takes the upstreams there for cold
-// until it is told who may send to them.
+// TestUpstreamsAreColdAfterEvacuation checks that an entry treats the upstreams of a data centre
+// as cold from the end of its evacuation until the entry receives their owners.
 func TestUpstreamsAreColdAfterEvacuation(t *testing.T) {
 	e := newFleet(t, 77).stoppedEntry()
 	e.catalog = &catalog.Catalog{
@@ -109,7 +110,7 @@
 	})
 	a.handleUpdate(f, newUpdate(1, `"a":{"order":1}`))
 	if n := len(e.view.Load().Targets["s"]); n != 1 {
-		t.Fatalf("%d upstreams are left", n)
+		t.Fatalf("%d upstreams are left during the evacuation, want 1", n)
 	}
 	a.handleUpdate(f, newUpdate(2, ""))
 	accepting := map[string]bool{}
@@ -117,12 +118,13 @@
 		accepting[u.Incarnation] = u.IsAvailable(e.Clock.Now())
 	}
 	if len(accepting) != 2 || accepting["u1"] || !accepting["u2"] {
-		t.Errorf("taking requests: %v", accepting)
+		t.Errorf("available upstreams: %v, want only u2", accepting)
 	}
 }
 
-// The leader gives owners to what became cold while it leads, by the list or by the end
-// of an evacuation, and only where the document says what a cold one bears.
+// TestLeaderAssignsOwners checks that the leader assigns owners to upstreams that become cold
+// during its leadership, by the list or by the end of an evacuation, and only to those of
+// services for which the document limits cold upstreams.
 func TestLeaderAssignsOwners(t *testing.T) {
 	f := newFleet(t, 78)
 	f.lister.setUpstreams()
@@ -168,7 +170,8 @@
 		}
 		return len(x.Owners)
 	}
-	// What was cold before this one led alone gets no owners: that is another matter.
+	// Upstreams that were cold before this controller was the only leader get no owners. This
+	// test doesn't check them, so it waits until that time is over.
 	firstRead := time.Time{}
 	f.waitFor("the leader has led for a while", func() bool {
 		if _, read := c.publisher.upstreams(); firstRead.IsZero() {
@@ -178,30 +181,30 @@
 	})
 	cold, warm, otherService, evacuated := newUpstream("cold", "s", "b", 5*time.Second), newUpstream("warm", "s", "b", 0), newUpstream("other", "t", "b", 5*time.Second), newUpstream("away", "s", "a", 0)
 	f.lister.setUpstreams(cold, warm, otherService, evacuated)
-	f.waitFor("the cold one has owners", func() bool { return ownerCount(cold) == 8 })
+	f.waitFor("the cold upstream has owners", func() bool { return ownerCount(cold) == 8 })
 	if ownerCount(warm) != -1 || ownerCount(otherService) != -1 || ownerCount(evacuated) != -1 {
-		t.Errorf("cold: %v", c.publisher.currentCold())
+		t.Errorf("owners were assigned to upstreams that are not cold or not limited: %v", c.publisher.currentCold())
 	}
 	f.evacuate(c, "a", false)
 	f.evacuate(c, "a", true)
-	f.waitFor("what was taken back has owners", func() bool { return ownerCount(evacuated) == 8 })
-	f.waitFor("it is warm again", func() bool {
+	f.waitFor("the upstream of the reinstated data centre has owners", func() bool { return ownerCount(evacuated) == 8 })
+	f.waitFor("its slow start is over", func() bool {
 		x, ok := c.publisher.currentCold()[evacuated.InstanceID()]
 		return !ok || !x.ColdUntil.After(time.Now())
 	})
-	// While the list is away the end of an evacuation is news all the same: an entry that
-	// started after it took all of the data centre for warm, and sent 28 requests in a
-	// second to an upstream that bears 11.
+	// The end of an evacuation also makes upstreams cold while the list can't be read. Otherwise
+	// an entry that started after it treated all upstreams of the data centre as warm, and sent
+	// 28 requests in a second to an upstream that handles 11.
 	f.lister.setFailing(true)
 	f.evacuate(c, "a", false)
 	f.evacuate(c, "a", true)
-	f.waitFor("what was taken back while the list is away has owners", func() bool {
+	f.waitFor("the upstream of the reinstated data centre has owners while the list can't be read", func() bool {
 		x := c.publisher.currentCold()[evacuated.InstanceID()]
 		return x.ColdUntil.After(time.Now()) && len(x.Owners) == 8
 	})
 }
 
-// startControllerWith starts a controller whose site is changed before.
+// startControllerWith starts a controller after configure has changed its fields.
 func (f *fleet) startControllerWith(n int, configure func(c *Controller)) *Controller {
 	f.t.Helper()
 	c := &Controller{
@@ -215,9 +218,10 @@
 	return f.runController(c)
 }
 
-// An entry that reads the list itself before it has a document can't tell whether cold
-// upstreams bear little: it takes the list's word. One that started while there was no
-// leader sent 25 requests in a second to an upstream that bears 11 (soak seed 60119).
+// TestOwnListWithoutDocument checks that an entry which reads the list itself before it has a
+// document treats all upstreams as cold that the list reports as cold, because only the document
+// says whether cold upstreams are limited. Otherwise an entry that started while there was no
+// leader sent 25 requests in a second to an upstream that handles 11 (soak seed 60119).
 func TestOwnListWithoutDocument(t *testing.T) {
 	e := newFleet(t, 85).stoppedEntry()
 	list := testUpstreams(2)
@@ -231,7 +235,7 @@
 		return accepting
 	}
 	if n := acceptingCount(); n != 1 {
-		t.Errorf("without a document %d of 2 take requests", n)
+		t.Errorf("without a document %d of 2 upstreams are available, want 1", n)
 	}
 	e.catalog = &catalog.Catalog{
 		Services: map[string]*catalog.Service{
@@ -242,6 +246,6 @@
 		Clock: e.Clock,
 	}
 	if n := acceptingCount(); n != 2 {
-		t.Errorf("where nothing is limited %d of 2 take requests", n)
+		t.Errorf("without a limit for cold upstreams %d of 2 are available, want 2", n)
 	}
 }
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -17,8 +17,8 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// A document that the entry holds and that is no base any more is asked for
-// whole, and what can't be made out is never in force.
+// TestDocumentsInParts checks that a document is sent whole when the entry's document is no base
+// of the controller any more, and that parts which can't be assembled yield no document.
 func TestDocumentsInParts(t *testing.T) {
 	base, next := testDocument(1, 300), testDocument(2, 301)
 	parts := func(t *documentTransfer) []*wire.Part {
@@ -36,12 +36,12 @@
 	}
 	put(1, base)
 	put(2, next)
-	put(1, base) // late
+	put(1, base) // an older document is ignored
 	if s.newTransfer(2, packed.Sum(next)) != nil || s.newTransfer(3, 0) != nil {
-		t.Error("a document is sent to who holds it, or a later one")
+		t.Error("a document is sent to a follower that has it or a later one")
 	}
 	if got := s.newTransfer(1, packed.Sum(base)+1); got.base != 0 {
-		t.Error("packed against a document that the entry does not hold")
+		t.Error("packed against a document that the entry does not have")
 	}
 	whole, delta := parts(s.newTransfer(0, 0)), parts(s.newTransfer(1, packed.Sum(base)))
 	large := &documentTransfer{
@@ -63,16 +63,16 @@
 		ok    bool
 	}{
 		{"whole", whole, nil, true},
-		{"what differs", delta, base, true},
-		{"what differs, without the base", delta, nil, false},
-		{"what differs, of another base", delta, testDocument(1, 299), false},
-		{"another sum", []*wire.Part{damaged}, base, false},
+		{"the difference", delta, base, true},
+		{"the difference, without the base", delta, nil, false},
+		{"the difference, with another base", delta, testDocument(1, 299), false},
+		{"another checksum", []*wire.Part{damaged}, base, false},
 		{"a part is missing", append(largeParts[:1:1], largeParts[2:]...), nil, false},
 		{"a part comes twice", append(largeParts[:1:1], largeParts...), nil, false},
-		{"begun anew", append(largeParts[:2:2], whole...), nil, true},
-		{"not from the beginning", largeParts[1:], nil, false},
+		{"started again", append(largeParts[:2:2], whole...), nil, true},
+		{"without the first part", largeParts[1:], nil, false},
 		{"larger than any document", []*wire.Part{oversized}, base, false},
-		{"what follows is no document", largeParts, nil, false},
+		{"trailing bytes after the document", largeParts, nil, false},
 	} {
 		assembly := &partialDocument{}
 		var got []byte
@@ -90,12 +90,12 @@
 		put(3+number, testDocument(3+number, 300))
 	}
 	if got := s.newTransfer(1, packed.Sum(base)); got.base != 0 || len(s.documents) != maxKeptDocuments {
-		t.Errorf("base %d, %d documents kept", got.base, len(s.documents))
+		t.Errorf("packed against document %d, want none; %d documents are kept", got.base, len(s.documents))
 	}
 }
 
-// An entry whose document is no base that controllers know of gets the next one
-// all the same.
+// TestDamagedDocumentIsFetchedWhole checks that an entry whose document matches no base of the
+// controllers still receives the next document.
 func TestDamagedDocumentIsFetchedWhole(t *testing.T) {
 	f := newFleet(t, 83)
 	var controllers []*Controller
@@ -106,16 +106,17 @@
 	e := f.startEntry(6)
 	f.waitForDocument(e, 1)
 	e.mu.Lock()
-	e.document.source = testDocument(1, 99) // what is held is not what its sum says
+	e.document.source = testDocument(1, 99) // the source no longer matches the checksum
 	e.mu.Unlock()
 	f.declareDocument(controllers[0], 2, testDocument(2, 101))
 	f.waitForDocument(e, 2)
 	if n := metrics.GetOrRegisterCounter("follow.document.damaged", e.Metrics).Count(); n == 0 {
-		t.Error("nothing was counted")
+		t.Error("the damaged document was not counted")
 	}
 }
 
-// Lists of thousands go in parts, and only the whole of one comes into force.
+// TestLongListsInParts checks that a list of thousands of upstreams is sent in parts, and that it
+// is applied only once it is complete.
 func TestLongListsInParts(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	newList := func(n int, leaving bool) []persimmoncross.Upstream {
@@ -148,17 +149,17 @@
 		for first := true; first || s.hasPending(); first = false {
 			u, _ := h.nextUpdate(s, true, nil)
 			if n := proto.Size(u); n > 20<<10 {
-				t.Errorf("an update of %d bytes", n)
+				t.Errorf("an update of %d bytes, want at most 20 KiB", n)
 			}
 			if s.hasPending() && u.GetAge() >= 0 {
-				t.Error("the age of a list that has not come")
+				t.Error("an update has the age of a list that is not complete yet")
 			}
 			if err := a.handleUpdate(f, u); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if applied != 1 || !slices.EqualFunc(got, want, equalUpstream) {
-			t.Fatalf("%d upstreams after %d takings, want %d", len(got), applied, len(want))
+			t.Fatalf("%d upstreams after the list was applied %d times, want %d after one", len(got), applied, len(want))
 		}
 	}
 	searcher := &followerState{
@@ -167,12 +168,13 @@
 	}
 	h.setList(newList(4_100, false), time.Now())
 	if u, _ := h.nextUpdate(searcher, true, nil); u.GetListed() || u.GetAge() >= 0 || searcher.hasPending() {
-		t.Error("a follower that only asks is sent the list")
+		t.Error("a follower that only probes is sent the list")
 	}
 }
 
-// While a document is packed, a later one is taken and the log is not held up; who
-// waits for the earlier one gets it, and it is not kept for others.
+// TestPackingDoesNotBlock checks that a newer document can be added while an older one is being
+// packed, so that the log is not blocked. A follower that waits for the older document receives
+// it, and its packed form is not kept for other followers.
 func TestPackingDoesNotBlock(t *testing.T) {
 	s := &documentStore{}
 	first, second := testDocument(1, 50), testDocument(2, 51)
@@ -188,7 +190,7 @@
 	got := make([]*documentTransfer, 3)
 	group.Go(func() { got[0] = s.newTransfer(0, 0) })
 	<-started
-	s.add(2, second, func() []byte { return packed.Whole(second) }) // would wait for ever
+	s.add(2, second, func() []byte { return packed.Whole(second) }) // must not wait for the first packing
 	group.Go(func() { got[1] = s.newTransfer(0, 0) })
 	group.Go(func() { got[2] = s.newTransfer(1, packed.Sum(first)) })
 	close(proceed)
@@ -203,13 +205,13 @@
 		}
 		unpacked, err := packed.Open(got[i].data, base)
 		if err != nil || got[i].document.number != want.number || got[i].base != want.base || !bytes.Equal(unpacked, want.source) {
-			t.Errorf("%d: document %d against %d, %v", i, got[i].document.number, got[i].base, err)
+			t.Errorf("%d: document %d packed against %d, %v", i, got[i].document.number, got[i].base, err)
 		}
 	}
 	if packCount != 1 || !bytes.Equal(s.packedByBase[0], packed.Whole(second)) {
-		t.Errorf("packed %d times; kept is not the newest", packCount)
+		t.Errorf("packed %d times, want once, or the packed document that was kept is not the newest", packCount)
 	}
 	if again := s.newTransfer(0, 0); &again.data[0] != &s.packedByBase[0][0] {
-		t.Error("the newest is packed for each follower")
+		t.Error("the newest document is packed again for each follower")
 	}
 }
--- a/internal/node/entrycount_test.go
+++ b/internal/node/entrycount_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A controller that begins to lead has heard few entries yet: each of these takes the number
-// for all, and its share of retries, connections and limits for that much larger.
+// TestEntryCountDuringElection checks that a new leader, which has received reports from only a
+// few entries, does not publish their number as the entry count. With a count that is too small
+// each entry takes too large a share of retries, connections and limits.
 func TestEntryCountDuringElection(t *testing.T) {
 	f, _, entries := newRunningFleet(t, 88, 4)
 	for n := 7; n <= 9; n++ {
@@ -20,7 +21,7 @@
 		}
 		return true
 	}
-	f.waitFor("all know their number", allKnowCount)
+	f.waitFor("all entries have the full entry count", allKnowCount)
 	for _, name := range []string{"vm1", "vm2", "vm3"} {
 		if f.processes[name].controller.IsLeader() {
 			f.stop(name)
@@ -34,11 +35,12 @@
 		}
 	}
 	if lowest < len(entries) {
-		t.Errorf("an entry took %d entries for all of %d", lowest, len(entries))
+		t.Errorf("an entry had an entry count of %d, want %d", lowest, len(entries))
 	}
 }
 
-// A number counts at once if it is larger, after a while if it is smaller.
+// TestEntryCount checks that an increase applies at once, and a decrease after
+// entryDecreaseDelay.
 func TestEntryCount(t *testing.T) {
 	start := time.Unix(100, 0)
 	c := &entryCount{}
@@ -57,7 +59,7 @@
 		{5, 4*time.Second + entryDecreaseDelay, 5},
 	} {
 		if c.update(tt.n, start.Add(tt.at)); c.count != tt.want {
-			t.Errorf("step %d: %d, want %d", i, c.count, tt.want)
+			t.Errorf("step %d: entry count %d, want %d", i, c.count, tt.want)
 		}
 	}
 }
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -11,7 +11,7 @@
 	"persimmoncross/core/state/register"
 )
 
-// retryUntilAcknowledged gives an retryUntilAcknowledged until it is acknowledged.
+// retryUntilAcknowledged repeats the operation until it is acknowledged.
 func (f *fleet) retryUntilAcknowledged(description string, operation func() error) {
 	f.t.Helper()
 	f.waitFor(description, func() bool { return operation() == nil })
@@ -19,12 +19,12 @@
 
 func (f *fleet) evacuate(c *Controller, dataCentre string, end bool) {
 	f.t.Helper()
-	f.retryUntilAcknowledged(fmt.Sprint("the evacuation of ", dataCentre, ", end ", end, ", is kept"), func() error {
+	f.retryUntilAcknowledged(fmt.Sprint("the evacuation of ", dataCentre, ", end ", end, ", is acknowledged"), func() error {
 		return c.Evacuate(context.Background(), dataCentre, end)
 	})
 }
 
-// targets returns how many upstreams of the data centre the entry sends to.
+// targetCountIn returns how many upstreams of the data centre the entry sends to.
 func (e *Entry) targetCountIn(dataCentre string) (n int) {
 	for _, t := range e.view.Load().Targets["s"] {
 		if t.DataCentre == dataCentre {
@@ -34,7 +34,8 @@
 	return n
 }
 
-// checkServedIn sends requests and looks at where they went.
+// checkServedIn sends requests and checks that all are served, and only by upstreams of the data
+// centre.
 func checkServedIn(t *testing.T, upstreams *fakeUpstreamSet, entries []*Entry, dataCentre string) {
 	t.Helper()
 	start := time.Now()
@@ -48,18 +49,18 @@
 	defer upstreams.mu.Unlock()
 	for _, r := range upstreams.requests {
 		if r.at.After(start) && r.dataCentre != dataCentre {
-			t.Errorf("a request reached %s", r.dataCentre)
+			t.Errorf("a request reached data centre %s", r.dataCentre)
 		}
 	}
 }
 
-// Nothing goes to an evacuated data centre: neither from entries that follow, nor from
-// one that starts, also after the leader has gone and all controllers have started
-// again. What was running there comes to its end.
+// TestEvacuation checks that no request goes to an evacuated data centre, neither from running
+// entries nor from an entry that starts, also after the leader was lost and all controllers were
+// restarted. Requests that are in flight there complete.
 func TestEvacuation(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 48, 8)
 	var leader *Controller
-	f.waitFor("a leader", func() bool {
+	f.waitFor("a controller leads with a lease", func() bool {
 		for n := 1; n <= 3; n++ {
 			if c := f.processes[fmt.Sprint("vm", n)].controller; c.isLeaderWithLease() {
 				leader = c
@@ -73,17 +74,17 @@
 	results := make(chan *persimmoncross.Refusal, 16)
 	for i := range cap(results) {
 		go func() {
-			_, refusal := sendRequest(entries[i%len(entries)], "stream", fmt.Sprint("under way ", i))
+			_, refusal := sendRequest(entries[i%len(entries)], "stream", fmt.Sprint("in flight ", i))
 			results <- refusal
 		}()
 	}
-	f.waitFor("streams are under way in both", func() bool {
+	f.waitFor("streams are in flight in both data centres", func() bool {
 		upstreams.mu.Lock()
 		defer upstreams.mu.Unlock()
 		return len(upstreams.requests) == cap(results)
 	})
 	f.evacuate(leader, "a", false)
-	f.evacuate(leader, "a", false) // sent again
+	f.evacuate(leader, "a", false) // a repeated evacuation is acknowledged too
 	haveTargets := func(entries []*Entry, a, b int) func() bool {
 		return func() bool {
 			for _, e := range entries {
@@ -94,10 +95,10 @@
 			return true
 		}
 	}
-	f.waitFor("all entries keep away", haveTargets(entries, 0, 4))
+	f.waitFor("no entry sends to the evacuated data centre", haveTargets(entries, 0, 4))
 	for range cap(results) {
 		if refusal := <-results; refusal != nil {
-			t.Errorf("what was under way was cut: %v", refusal)
+			t.Errorf("a request in flight failed: %v", refusal)
 		}
 	}
 	upstreams.mu.Lock()
@@ -107,9 +108,9 @@
 
 	f.stop(leader.Site.Name)
 	newEntry := f.startEntry(7)
-	f.waitFor("the entry that starts is ready", newEntry.Ready)
+	f.waitFor("the new entry is ready", newEntry.Ready)
 	entries = append(entries, newEntry)
-	f.waitFor("it keeps away", haveTargets(entries, 0, 4))
+	f.waitFor("the new entry does not send to the evacuated data centre", haveTargets(entries, 0, 4))
 	checkServedIn(t, upstreams, entries, "b")
 	for n := 1; n <= 3; n++ {
 		if name := fmt.Sprint("vm", n); f.processes[name] != nil {
@@ -119,36 +120,37 @@
 	for n := 1; n <= 3; n++ {
 		leader = f.startController(n, false)
 	}
-	f.waitFor("the state is back", func() bool { return len(leader.register.Current().Evacuations) == 1 })
+	f.waitFor("the evacuation is restored", func() bool { return len(leader.register.Current().Evacuations) == 1 })
 	checkServedIn(t, upstreams, entries, "b")
 
 	f.declare(leader, 2)
 	f.retryUntilAcknowledged("an upgrade begins", func() error { return leader.BeginUpgrade(context.Background(), "s", "v2", time.Minute) })
 	f.evacuate(leader, "b", false)
 	f.evacuate(leader, "a", true)
-	f.waitFor("the other one is left", haveTargets(entries, 4, 0))
+	f.waitFor("only the other data centre has targets", haveTargets(entries, 4, 0))
 	checkServedIn(t, upstreams, entries, "a")
 	f.evacuate(leader, "b", true)
 	f.evacuate(leader, "b", false)
 	f.evacuate(leader, "b", true)
-	f.waitFor("both serve", haveTargets(entries, 4, 4))
+	f.waitFor("both data centres have targets", haveTargets(entries, 4, 4))
 	if s := leader.register.Current(); s.Number != 2 || s.Upgrades["s"].Target != "v2" {
-		t.Errorf("beside the orders: %+v", s)
+		t.Errorf("the evacuations changed the document or the upgrade: %+v", s)
 	}
 }
 
-// With all data centres evacuated callers are told at once that nothing ran, and the
-// entry goes on taking them; an order on one that nobody knows is refused.
+// TestAllDataCentresEvacuated checks that with all data centres evacuated requests are refused at
+// once as not run while the entry stays ready, and that the evacuation of an unknown data centre
+// is refused.
 func TestAllDataCentresEvacuated(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 49, 4)
 	c := f.processes["vm1"].controller
 	var unknown *Error
 	if err := c.Evacuate(context.Background(), "nowhere", false); !errors.As(err, &unknown) || unknown.Kind != NotFound {
-		t.Errorf("an unknown data centre: %v", err)
+		t.Errorf("evacuation of an unknown data centre: %v, want NotFound", err)
 	}
 	f.evacuate(c, "a", false)
 	f.evacuate(c, "b", false)
-	f.waitFor("no upstream is left", func() bool {
+	f.waitFor("no entry has targets", func() bool {
 		for _, e := range entries {
 			if len(e.view.Load().Targets["s"]) > 0 {
 				return false
@@ -166,12 +168,12 @@
 	received := len(upstreams.requests)
 	upstreams.mu.Unlock()
 	if received > 0 {
-		t.Errorf("%d requests reached upstreams", received)
+		t.Errorf("%d requests reached upstreams of evacuated data centres", received)
 	}
 }
 
-// What is ready of a new version counts without the evacuated: traffic is not moved to
-// upstreams that may get none.
+// TestUpgradeIgnoresEvacuatedUpstreams checks that upstreams of evacuated data centres don't make
+// a new version ready, because they must not get requests.
 func TestUpgradeIgnoresEvacuatedUpstreams(t *testing.T) {
 	newUpstream := func(dataCentre, version string) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
@@ -186,25 +188,26 @@
 	}
 	list := []persimmoncross.Upstream{newUpstream("a", "v2"), newUpstream("a", "v2"), newUpstream("b", "v1"), newUpstream("b", "v1")}
 	if !isTargetReady(u, list) {
-		t.Error("as many new as old ones are not ready")
+		t.Error("the target is not ready with as many new as old upstreams")
 	}
 	if isTargetReady(u, availableUpstreams(list, map[string]register.Evacuation{"a": {}})) {
-		t.Error("ready without any that may get requests")
+		t.Error("the target is ready although all of its upstreams are evacuated")
 	}
 }
 
-// A controller that has read no list yet can't tell an unknown data centre from one that
-// it has not heard of: the order may be given again.
+// TestEvacuateBeforeFirstList checks that a controller without a list refuses an evacuation with
+// Unavailable, so that the operator may retry: without the list the controller can't decide
+// whether the data centre exists.
 func TestEvacuateBeforeFirstList(t *testing.T) {
 	f := newFleet(t, 84)
 	c := f.prepareController(1, true)
 	var e *Error
 	if err := c.Evacuate(context.Background(), "a", false); !errors.As(err, &e) || e.Kind != Unavailable {
-		t.Errorf("before the list: %v", err)
+		t.Errorf("before the first list: %v, want Unavailable", err)
 	}
 	c.publisher.setList(testUpstreams(1), time.Now())
 	if err := c.Evacuate(context.Background(), "a", false); !errors.As(err, &e) || e.Kind != NotFound {
-		t.Errorf("a data centre that is not on it: %v", err)
+		t.Errorf("a data centre that is not in the list: %v, want NotFound", err)
 	}
 	c.store.log.Close()
 	c.store.folder.Close()
--- a/internal/node/fake_upstream_test.go
+++ b/internal/node/fake_upstream_test.go
@@ -19,14 +19,14 @@
 	"persimmoncross"
 )
 
-// Of the upstreams that end.
+// Parameters of upstreams that crash.
 const (
-	crashBodyPrefix = "poison " // how a body begins that ends its upstream
+	crashBodyPrefix = "poison " // prefix of request bodies that crash the upstream
 	restartDelay    = 400 * time.Millisecond
-	crashDelay      = 20 * time.Millisecond // from a run's beginning to the end of the upstream
+	crashDelay      = 20 * time.Millisecond // from the start of an execution to the crash
 )
 
-// testCodec is a codec for the stand-ins below.
+// testCodec is a codec for the fake upstreams below.
 type testCodec struct{}
 
 func (testCodec) Encode(h http.Header, a *persimmoncross.ProxyAttempt, _ time.Duration) {
@@ -57,50 +57,51 @@
 	dataCentre string
 }
 
-// fakeUpstreamSet is a number of upstreams that some requests end. Each is back after a
-// while, with another name at its address.
+// fakeUpstreamSet is a set of upstreams that some requests crash. An upstream that has crashed
+// restarts at its address after restartDelay, with another incarnation.
 type fakeUpstreamSet struct {
 	lister          *fakeLister
-	eventsPerStream int // of a stream
+	eventsPerStream int
 	eventInterval   time.Duration
 
 	mu              sync.Mutex // guards all below
 	all             []*fakeUpstream
 	requests        []receivedRequest
-	crashTimes      map[string][]time.Time // of upstreams, by the body that ended them
+	crashTimes      map[string][]time.Time // crash times of upstreams, by the body that crashed them
 	lastIncarnation int
 	closed          bool
-	// abortPercent is which part of the answers abortPercent off though the upstream lives on,
-	// in hundredths.
+	// abortPercent is the percentage of responses that are aborted while the upstream keeps
+	// running.
 	abortPercent int
-	// listDelay is how much later than an upstream is back the list tells so.
+	// listDelay is the time from the restart of an upstream to the update of the list.
 	listDelay time.Duration
-	// proxied tells that something before the upstreams goes on taking connections
-	// while they are down, and closes them.
+	// proxied puts a proxy in front of each upstream. While the upstream is down, the proxy
+	// accepts connections and closes them.
 	proxied bool
 }
 
-// fakeUpstream is one place of a farm.
+// fakeUpstream is one address of the set, at which an upstream runs and is restarted.
 type fakeUpstream struct {
 	set         *fakeUpstreamSet
 	address     netip.AddrPort
 	dataCentre  string  // "a" and "b" in turn
-	rateLimit   float64 // that its answers name, 0: none; guarded by farm.mu
+	rateLimit   float64 // announced in the responses, 0: none; guarded by set.mu
 	incarnation string
 	server      *http.Server
 	proxy       *fakeProxy // nil: the upstream itself listens
 }
 
-// fakeProxy takes connections for an upstream, and closes them while that is down. It is
-// the listener of one life at a time.
+// fakeProxy accepts connections for an upstream, and closes them while the upstream is down. It
+// serves one instance of the upstream at a time.
 type fakeProxy struct {
 	net.Listener
 	set          *fakeUpstreamSet
 	accepted     chan net.Conn
-	upstreamDown bool // guarded by farm.mu
+	upstreamDown bool // guarded by set.mu
 }
 
-// acceptLoop hands connections on until the listener is closed.
+// acceptLoop accepts connections and passes them to the current instance until the listener is
+// closed.
 func (p *fakeProxy) acceptLoop() {
 	for {
 		c, err := p.Listener.Accept()
@@ -118,7 +119,8 @@
 	}
 }
 
-// proxyListener is a front as one life's server knows it: closing that ends the life only.
+// proxyListener is the listener of one instance behind a fakeProxy. Closing it leaves the proxy's
+// listener open for the next instance.
 type proxyListener struct {
 	*fakeProxy
 	closed    chan struct{}
@@ -144,7 +146,8 @@
 	return newFakeUpstreamsWithProxies(t, lister, size, false)
 }
 
-// newFakeUpstreamsWithProxies returns a farm with fronts before its upstreams, or without.
+// newFakeUpstreamsWithProxies returns a set of upstreams, with proxies in front of them if proxied
+// is set.
 func newFakeUpstreamsWithProxies(t *testing.T, lister *fakeLister, size int, proxied bool) *fakeUpstreamSet {
 	t.Helper()
 	set := &fakeUpstreamSet{
@@ -193,7 +196,7 @@
 	return set
 }
 
-// start starts a life. The caller holds mu.
+// start starts an instance of the upstream. The caller holds set.mu.
 func (u *fakeUpstream) start(listener net.Listener) {
 	if u.proxy != nil {
 		u.proxy.upstreamDown = false
@@ -210,7 +213,8 @@
 	go u.server.Serve(listener)
 }
 
-// publishList sets the list: upstreams that have ended are on it until they are back.
+// publishList sets the list. An upstream that has crashed stays in it with its old incarnation
+// until it is restarted.
 func (s *fakeUpstreamSet) publishList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,8 +232,8 @@
 	s.lister.setUpstreams(list...)
 }
 
-// crash ends the upstream's process, with all its connections, and starts another
-// after a while.
+// crash stops the upstream's server with all its connections, and restarts it after restartDelay.
+// It records the crash for the body unless the body is empty.
 func (u *fakeUpstream) crash(body string) {
 	set := u.set
 	set.mu.Lock()
@@ -249,7 +253,7 @@
 	time.AfterFunc(restartDelay, u.restart)
 }
 
-// restart starts the next life at the address.
+// restart starts the next instance at the address.
 func (u *fakeUpstream) restart() {
 	set := u.set
 	for range 500 {
@@ -275,7 +279,7 @@
 	}
 }
 
-// handler is one handler's handler.
+// handler returns the handler of one instance.
 func (u *fakeUpstream) handler(incarnation string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		text, err := io.ReadAll(r.Body)
@@ -311,7 +315,7 @@
 		if strings.HasPrefix(body, crashBodyPrefix) {
 			time.Sleep(crashDelay)
 			u.crash(body)
-			panic(http.ErrAbortHandler) // also where another has just ended the upstream
+			panic(http.ErrAbortHandler) // also if another request has just crashed the upstream
 		}
 		lastEvent, _ := strconv.Atoi(r.Header.Get("After"))
 		for n := lastEvent + 1; isStream && n <= set.eventsPerStream; n++ {
@@ -332,7 +336,7 @@
 	}
 }
 
-// requestCount counts the arrivals of a body after the time.
+// requestCount returns how many requests with the body arrived after the time.
 func (s *fakeUpstreamSet) requestCount(body string, after time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -344,7 +348,7 @@
 	return n
 }
 
-// lastRequestTime returns when the body came last, the zero time if it never did.
+// lastRequestTime returns when the last request with the body arrived, the zero time if none did.
 func (s *fakeUpstreamSet) lastRequestTime(body string) (last time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -356,7 +360,7 @@
 	return last
 }
 
-// nthCrashTime returns when the body had nthCrashTime so many upstreams, false if it has not.
+// nthCrashTime returns when the body crashed the n-th upstream, false if it crashed fewer.
 func (s *fakeUpstreamSet) nthCrashTime(body string, n int) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -368,7 +372,7 @@
 	return times[n-1], true
 }
 
-// responseRecorder takes an answer.
+// responseRecorder records a response.
 type responseRecorder struct {
 	status int
 	body   bytes.Buffer
@@ -391,7 +395,8 @@
 	last int
 }
 
-// sendRequest sends a request at an entry, under an id of its own, and returns what came.
+// sendRequest sends a request with a new ID to an entry, and returns the response and the
+// refusal, nil for none.
 func sendRequest(e *Entry, route, body string) (*responseRecorder, *persimmoncross.Refusal) {
 	requestIDs.mu.Lock()
 	requestIDs.last++
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -20,8 +20,8 @@
 	"persimmoncross/core/state/settings"
 )
 
-// fleet runs controllers and entries on loopback addresses of their own: as on
-// VMs, all have the same peer port.
+// fleet runs controllers and entries, each on its own loopback address. As on VMs, all have the
+// same peer port.
 type fleet struct {
 	t         *testing.T
 	peerPort  uint16
@@ -39,7 +39,7 @@
 	done       chan struct{}
 }
 
-// fakeLister is a stand-in for the platform's list.
+// fakeLister is a fake of the platform's list of upstreams.
 type fakeLister struct {
 	mu        sync.Mutex // guards all below
 	upstreams []persimmoncross.Upstream
@@ -52,7 +52,7 @@
 	defer l.mu.Unlock()
 	l.calls++
 	if l.failing {
-		return nil, errors.New("the list is away")
+		return nil, errors.New("the list of upstreams is unavailable")
 	}
 	return l.upstreams, nil
 }
@@ -122,7 +122,7 @@
 	}
 }
 
-// prepareController returns the controller with the number, before its Run.
+// prepareController returns the controller with the number, prepared but not running.
 func (f *fleet) prepareController(n int, founding bool) *Controller {
 	f.t.Helper()
 	c := &Controller{
@@ -138,13 +138,13 @@
 	return c
 }
 
-// startController starts the startController with the number.
+// startController starts the controller with the number.
 func (f *fleet) startController(n int, founding bool) *Controller {
 	f.t.Helper()
 	return f.runController(f.prepareController(n, founding))
 }
 
-// runController runs a controller; one that is not prepared yet is.
+// runController runs a controller, and prepares it first if that has not been done.
 func (f *fleet) runController(c *Controller) *Controller {
 	f.t.Helper()
 	if c.store == nil {
@@ -166,17 +166,19 @@
 	return c
 }
 
-// startEntry starts an startEntry.
+// startEntry starts the entry with the number.
 func (f *fleet) startEntry(n int) *Entry { return f.startEntryVia(n, nil) }
 
-// startEntryVia starts an entry that reaches controllers by other addresses.
+// startEntryVia starts an entry that connects to controllers at the addresses in via, keyed by
+// the controller's own address.
 func (f *fleet) startEntryVia(n int, via map[string]netip.AddrPort) *Entry {
 	site := f.siteSettings(n, true)
 	site.Via = via
 	return f.startEntryAtSite(site)
 }
 
-// decodeTestCatalog is what a document declares: its number, and the same routes always.
+// decodeTestCatalog decodes a document into a catalog with the number at the start of the document.
+// The routes are the same for every document.
 func decodeTestCatalog(document []byte) (*catalog.Catalog, error) {
 	c := &catalog.Catalog{
 		Routes: testRoutes(),
@@ -191,7 +193,7 @@
 	return c, err
 }
 
-// startEntryAtSite starts an entry of the site.
+// startEntryAtSite starts an entry with the site settings.
 func (f *fleet) startEntryAtSite(site *settings.Site) *Entry {
 	e := &Entry{
 		Site:    site,
@@ -217,8 +219,8 @@
 	return e
 }
 
-// testRoutes are those of every document: streams that go on elsewhere, and answers
-// that may be repeated or not.
+// testRoutes returns the routes of every document: streams that are resumed at another upstream,
+// and requests that may be retried or not.
 func testRoutes() []*catalog.Route {
 	var list []*catalog.Route
 	for _, r := range []struct {
@@ -257,15 +259,15 @@
 	<-p.done
 }
 
-// deleteData loses the disk of a stopped VM.
+// deleteData deletes the data folder of a stopped VM, like the loss of its disk.
 func (f *fleet) deleteData(n int) {
 	if err := os.RemoveAll(f.siteSettings(n, false).Data); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// waitFor waits until the condition holds; what it waits for has no bound in time
-// that a busy machine could break.
+// waitFor waits until the condition holds, for at least a minute, so that a busy machine does not
+// fail the test.
 func (f *fleet) waitFor(description string, condition func() bool) {
 	f.t.Helper()
 	for range 6000 {
@@ -274,18 +276,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatalf("never: %s", description)
+	f.t.Fatalf("timed out; never happened: %s", description)
 }
 
-// declare offers a document until it is acknowledged.
+// declare publishes a document, and retries until it is acknowledged.
 func (f *fleet) declare(c *Controller, number uint64) {
 	f.t.Helper()
-	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
+	f.waitFor(fmt.Sprint("document ", number, " is acknowledged"), func() bool {
 		return c.PublishDocument(context.Background(), number, []byte(fmt.Sprint(number))) == nil
 	})
 }
 
-// readDocumentNumber returns the number in force.
+// readDocumentNumber returns the number of the document in force, read through the controller.
 func (f *fleet) readDocumentNumber(c *Controller) uint64 {
 	f.t.Helper()
 	number := uint64(0)
@@ -299,7 +301,7 @@
 	return number
 }
 
-// waitForVoters waits until so many members vote, none of them of a lost identity.
+// waitForVoters waits until the voter configuration has n voters.
 func (f *fleet) waitForVoters(c *Controller, n int) {
 	f.t.Helper()
 	f.waitFor(fmt.Sprint(n, " voters"), func() bool { return len(c.group.View().Config.Voters) == n })
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -15,10 +15,10 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// leaselessController is a controller that has no lease at its first updates, as all have
-// after a start of the whole fleet.
+// leaselessController is a controller whose first updates carry no lease, like those of all
+// controllers after a start of the whole fleet.
 type leaselessController struct {
-	updatesBeforeLease int // updates before the lease; negative: it never comes
+	updatesBeforeLease int // number of updates without the lease; negative: it never gets one
 	sentUpdates        atomic.Int64
 }
 
@@ -30,7 +30,7 @@
 			Age:    -1,
 			Leased: h.updatesBeforeLease >= 0 && n >= h.updatesBeforeLease,
 		}
-		// Before it is sent: who has it must not find it uncounted.
+		// The update is counted before it is sent, so that no follower has it uncounted.
 		h.sentUpdates.Add(1)
 		if s.Send(u) != nil {
 			return
@@ -42,7 +42,7 @@
 	}
 }
 
-// newTestFollower returns a follower that knows a controller with the handler.
+// newTestFollower returns a follower whose only seed is a controller with the handler.
 func newTestFollower(t *testing.T, h peer.Handler) *follower {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,8 +79,8 @@
 	}
 }
 
-// findController repeats the findController until a controller is found, as a follower does: its
-// own node may not run yet.
+// findController repeats the search until a controller is found, as a follower does, because the
+// follower's own node may not run yet.
 func findController(t *testing.T, f *follower) *controllerStream {
 	for t.Context().Err() == nil {
 		if got := f.findController(t.Context()); got != nil {
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// A controller whose lease comes during the search is followed from then on.
+// TestSearchWaitsForLease checks that a controller which obtains the lease during the search is
+// followed from then on.
 func TestSearchWaitsForLease(t *testing.T) {
 	h := &leaselessController{
 		updatesBeforeLease: 5,
@@ -99,12 +100,12 @@
 	got := findController(t, f)
 	defer got.cancel()
 	if !got.leased || h.sentUpdates.Load() <= 5 {
-		t.Errorf("leased %v after %d updates", got.leased, h.sentUpdates.Load())
+		t.Errorf("leased %v after %d updates, want the lease after more than 5", got.leased, h.sentUpdates.Load())
 	}
 }
 
-// One whose lease never comes is followed when the search is over: better an
-// old state than none.
+// TestSearchEndsWithoutLease checks that a controller which never obtains the lease is followed
+// when the search ends, because an old state is better than none.
 func TestSearchEndsWithoutLease(t *testing.T) {
 	f := newTestFollower(t, &leaselessController{
 		updatesBeforeLease: -1,
@@ -112,6 +113,6 @@
 	got := findController(t, f)
 	defer got.cancel()
 	if got.leased {
-		t.Error("a lease was told that nobody has")
+		t.Error("the stream is leased although no controller has the lease")
 	}
 }
--- a/internal/node/holds_test.go
+++ b/internal/node/holds_test.go
@@ -14,8 +14,9 @@
 
 func testDigest(n int) persimmoncross.Digest { return persimmoncross.Digest{byte(n), byte(n >> 8), 1} }
 
-// However holds change while they are sent, a follower comes to have what is in
-// force, in parts of a bounded size, and is told nothing where nothing changes.
+// TestQuarantinesReachFollowers checks that after each change a follower has the quarantines in
+// force, that these are sent in updates of a bounded size, and that nothing is sent without a
+// change.
 func TestQuarantinesReachFollowers(t *testing.T) {
 	s := &register.State{}
 	sender, receiver := &sentQuarantines{}, &controllerStream{}
@@ -25,7 +26,7 @@
 			u := &wire.Update{}
 			complete := sender.addChanges(u, s)
 			if len(u.GetHolds()) > maxQuarantinesPerMessage {
-				t.Fatalf("%d holds in an update", len(u.GetHolds()))
+				t.Fatalf("%d quarantines in an update", len(u.GetHolds()))
 			}
 			if received := receiver.applyQuarantines(u); received != nil {
 				got = received
@@ -34,7 +35,7 @@
 				return
 			}
 		}
-		t.Fatal("there is no end")
+		t.Fatal("the quarantines are not complete after 100 updates")
 	}
 	for step, n := range []int{1, 300, 299, 5, 0, 64, 128} {
 		holds := map[persimmoncross.Digest]persimmoncross.Quarantine{}
@@ -53,7 +54,7 @@
 		}
 		send()
 		if !maps.Equal(got, holds) {
-			t.Fatalf("step %d: %d holds instead of %d", step, len(got), len(holds))
+			t.Fatalf("step %d: the follower has %d quarantines, want %d", step, len(got), len(holds))
 		}
 	}
 	u := &wire.Update{}
@@ -62,8 +63,9 @@
 	}
 }
 
-// A board adds up what entries saw, also of one that is gone, and forgets it after a
-// while; what one sender tells is bounded.
+// TestCaseBoard checks that an aggregator merges the records of all reporters, also of those that
+// are gone, that it drops records once they are stale, and that it bounds the records of one
+// reporter.
 func TestCaseBoard(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := &settableClock{
@@ -87,27 +89,27 @@
 	for i, sender := range []string{"a#1", "a#2", "b#1"} {
 		report(sender, 1, fmt.Sprint("life", i))
 	}
-	report("c#1", 1, "life0") // the same end, seen by another
+	report("c#1", 1, "life0") // the same crash, reported by another entry
 	cases, version := b.mergedSince(0, now)
 	if len(cases) != 1 || len(cases[0].Crashes) != 3 || cases[0].Digest != testDigest(1) {
 		t.Fatalf("%+v", cases)
 	}
 	if more, _ := b.mergedSince(version, now); len(more) != 0 {
-		t.Errorf("told again: %+v", more)
+		t.Errorf("records without changes were returned again: %+v", more)
 	}
 	for n := range 2 * maxCasesPerReporter {
 		report("d#1", n+10, "x")
 	}
 	if n := len(b.byReporter["d#1"]); n != maxCasesPerReporter {
-		t.Errorf("%d cases of one sender", n)
+		t.Errorf("%d records of one reporter", n)
 	}
 	clock.now = now.Add(time.Hour)
 	if cases, _ := b.mergedSince(0, clock.now); len(cases) != 0 || len(b.byReporter) != 0 {
-		t.Errorf("after an hour: %d cases", len(cases))
+		t.Errorf("after an hour %d records are left, want none", len(cases))
 	}
 }
 
-// settableClock is a clock that moves only when it is set.
+// settableClock is a clock that moves only when now is set.
 type settableClock struct{ now time.Time }
 
 func (c *settableClock) Now() time.Time                       { return c.now }
--- a/internal/node/large_documents_test.go
+++ b/internal/node/large_documents_test.go
@@ -23,30 +23,27 @@
 	"persimmoncross/io/transport/peer"
 )
 
-// What users saw: a change that added 1,400 routes was acknowledged, and so was
-// the next one; entries went on with the document before them for as long as
-// anybody looked, and answered late or not at all. Every controller was ended for
-// its memory, again and again.
+// The tests in this file guard against large documents that never reach the entries. A change
+// that added 1,400 routes was acknowledged, and so was the next one, but entries kept the
+// document before these changes, and responded late or not at all. Every controller repeatedly
+// exceeded its memory limit and was killed.
 //
-// Order of events: the document grew from 3 KB to 0.4 MB. Each change, and each
-// step of an upgrade, sent all of it to every entry as one message, over links
-// of 10 Mbit/s on which callers' bytes go too. A message that took longer than
-// the silence after which a controller is left made the entry leave, and ask all
-// controllers side by side: each sent all of it again. What was left in the
-// middle stayed: the controller's stream waited for a reader who had gone, with
-// the encoded document, and the entry kept what had come.
+// The document grew from 3 KB to 0.4 MB. Each change, and each step of an upgrade, sent the whole
+// document to every entry in one message, over links of 10 Mbit/s that carry callers' traffic
+// too. An entry that waited for this message longer than the timeout of its stream left the
+// controller and asked all controllers in parallel, and each sent the whole document again.
+// Streams that were left were not released: the controller's side waited, with the encoded
+// document, for a reader that was gone, and the entry kept the bytes that it had received.
 //
-// Cause: the bytes of a message, of a search and of a stream that was left grew
-// with the document; the time, the link and the memory that they had did not.
-//
-// Evidence: links to entries that were full with nothing but this, while 71 of 74
-// entries left their controllers for silence and none had the new document;
-// controllers' memory that grew by 20 MB a second to its limit. The first two tests
-// below failed on that code, each for one part of the cause. The whole record is in
-// docs/incidents/large-documents.md.
+// The cause was that the bytes of a message, of a search and of a stream that was left grew with
+// the document, but the timeout, the bandwidth and the memory available for them did not. The
+// links to entries were saturated with documents while 71 of 74 entries left their controllers
+// by timeout and none had the new document; the memory of controllers grew by 20 MB a second to
+// its limit. The first two tests below each reproduce one part of the cause. The incident is
+// described in docs/incidents/large-documents.md.
 
-// testDocument returns a document with so many routes. The first ones are the
-// same in every document.
+// testDocument returns a document with the given number and count of routes. Routes at the same
+// position are the same in every document.
 func testDocument(number uint64, routes int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	b := &strings.Builder{}
@@ -59,23 +56,23 @@
 	return []byte(b.String())
 }
 
-// Routes of documents: as many as were added at once, and as many as a document
-// of the most bytes that callers' bodies may have holds.
+// Numbers of routes in a document: manyRoutes were added at once in the incident, and maxRoutes
+// fill a document of the largest size that a caller's body may have.
 const (
 	manyRoutes = 1_400
 	maxRoutes  = 15_000
 )
 
-// slowLink is a VM's link: all connections over it share its bytes a second.
+// slowLink is the network link of a VM. All connections over it share its bandwidth.
 type slowLink struct {
-	bytesPerSecond float64 // bytes a second towards the VM
+	bytesPerSecond float64 // bandwidth towards the VM
 
-	mu        sync.Mutex // guards free
-	freeAt    time.Time  // when the link has sent what was given to it
+	mu        sync.Mutex // guards freeAt
+	freeAt    time.Time  // when the link has sent all bytes accepted so far
 	sentBytes atomic.Int64
 }
 
-// forward passes a connection on, one way at the link's rate.
+// forward proxies a connection, towards the client at the link's bandwidth.
 func (l *slowLink) forward(client net.Conn, target string) {
 	defer client.Close()
 	server, err := net.Dial("tcp", target)
@@ -113,7 +110,8 @@
 	time.Sleep(time.Until(until))
 }
 
-// proxyControllers opens a way over the link to each of the controllers.
+// proxyControllers starts a proxy over the link for each controller, and returns the addresses of
+// the proxies by the controller's address.
 func (l *slowLink) proxyControllers(t *testing.T, controllers []*Controller) map[string]netip.AddrPort {
 	t.Helper()
 	proxies := map[string]netip.AddrPort{}
@@ -138,15 +136,15 @@
 	return proxies
 }
 
-// declareDocument offers a document until it is acknowledged.
+// declareDocument publishes a document, and retries until it is acknowledged.
 func (f *fleet) declareDocument(c *Controller, number uint64, document []byte) {
 	f.t.Helper()
-	f.waitFor(fmt.Sprint("document ", number, " is kept"), func() bool {
+	f.waitFor(fmt.Sprint("document ", number, " is acknowledged"), func() bool {
 		return c.PublishDocument(context.Background(), number, document) == nil
 	})
 }
 
-// waitForDocument waits until the entry has the document.
+// waitForDocument waits until the document is in force at the entry.
 func (f *fleet) waitForDocument(e *Entry, number uint64) {
 	f.t.Helper()
 	f.waitFor(fmt.Sprint("document ", number, " is in force"), func() bool {
@@ -155,8 +153,9 @@
 	})
 }
 
-// Documents as large as they may be come into force at entries whose links have
-// a fifth of a small VM's, one after the other and at a start.
+// TestLargeDocumentsOverSlowLinks checks that documents of the largest size come into force at
+// entries whose links have a fifth of a small VM's bandwidth, one after the other and at the start
+// of an entry.
 func TestLargeDocumentsOverSlowLinks(t *testing.T) {
 	f := newFleet(t, 80)
 	var controllers []*Controller
@@ -178,13 +177,14 @@
 	f.waitForDocument(lateEntry, 4)
 }
 
-// followStreamCount counts the streams to followers that are under way here.
+// followStreamCount returns the number of streams to followers that are open in this process.
 func followStreamCount() int {
 	stacks := make([]byte, 4<<20)
 	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "node.(*peerHandler).serveFollower(")
 }
 
-// A follower that leaves in the middle of a document leaves nothing behind.
+// TestDisconnectedFollowersAreReleased checks that a controller releases the stream of a follower
+// that disconnects in the middle of a document.
 func TestDisconnectedFollowersAreReleased(t *testing.T) {
 	f := newFleet(t, 81)
 	var controllers []*Controller
@@ -192,7 +192,7 @@
 		controllers = append(controllers, f.startController(n, true))
 	}
 	f.declareDocument(controllers[0], 1, testDocument(1, maxRoutes))
-	f.waitFor("the others follow the leader", func() bool { return followStreamCount() == 2 })
+	f.waitFor("the other controllers follow the leader", func() bool { return followStreamCount() == 2 })
 	followerNode := &peer.Node{
 		VM:      "127.0.0.1:1",
 		Open:    true,
@@ -221,24 +221,24 @@
 		if err := s.Send(&wire.Account{}); err != nil {
 			t.Fatal(err)
 		}
-		f.waitFor("it is followed", func() bool { return followStreamCount() > 2 })
-		// Until what may be under way is: nobody reads.
+		f.waitFor("the stream is open", func() bool { return followStreamCount() > 2 })
+		// Wait until the stream holds all the data it can: nothing reads from it.
 		time.Sleep(10 * time.Millisecond)
 		s.Close()
 	}
-	f.waitFor("those that left are forgotten", func() bool { return followStreamCount() == 2 })
+	f.waitFor("the streams of the disconnected followers are released", func() bool { return followStreamCount() == 2 })
 }
 
-// bytesSentDuring returns the bytes that went over the link while something was done.
+// bytesSentDuring returns the bytes sent over the link during the operation.
 func (l *slowLink) bytesSentDuring(operation func()) int64 {
 	before := l.sentBytes.Load()
 	operation()
 	return l.sentBytes.Load() - before
 }
 
-// What goes to an entry is what a change changes: not the document's other
-// routes, nor the document with a step of an upgrade, nor a copy from each
-// controller that is asked.
+// TestUpdatesSendOnlyChanges checks that only changes are sent to an entry: neither the unchanged
+// routes of a document, nor the document at a step of an upgrade, nor a copy from each controller
+// that the entry asks.
 func TestUpdatesSendOnlyChanges(t *testing.T) {
 	f := newFleet(t, 82)
 	var controllers []*Controller
@@ -248,8 +248,8 @@
 	first := testDocument(1, manyRoutes)
 	f.declareDocument(controllers[0], 1, first)
 	packedSize := len(packed.Whole(first))
-	// Beside the document the stream tells that it lives, six bytes at least for
-	// each update and the names of the controllers: the bounds leave it 8 KB.
+	// Beside the document the stream carries periodic updates, of six bytes at least, and the names
+	// of the controllers. The bounds below leave 8 KB for them.
 	const maxOverheadBytes = 8 << 10
 	link := &slowLink{
 		bytesPerSecond: 10e6,
@@ -259,7 +259,7 @@
 		e = f.startEntryVia(6, link.proxyControllers(t, controllers))
 		f.waitForDocument(e, 1)
 	}); got > int64(packedSize)+maxOverheadBytes {
-		t.Errorf("a start took %d bytes, the packed document has %d", got, packedSize)
+		t.Errorf("the start of an entry took %d bytes, the packed document has %d", got, packedSize)
 	}
 	if got := link.bytesSentDuring(func() {
 		f.declareDocument(controllers[1], 2, testDocument(2, manyRoutes+1))
@@ -269,7 +269,7 @@
 	}
 	if got := link.bytesSentDuring(func() {
 		f.waitFor("an upgrade begins", func() bool { return controllers[2].BeginUpgrade(context.Background(), "s", "v2", time.Second) == nil })
-		f.waitFor("it has ended", func() bool {
+		f.waitFor("the upgrade has ended", func() bool {
 			v := e.view.Load()
 			return v.Upgrades["s"].Stage.Ended()
 		})
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -10,8 +10,8 @@
 	"persimmoncross/core/coordination/ratelimit"
 )
 
-// What an upstream bears that names a limit: so much more than the limit in any window,
-// from limitSettleTime after it first named it.
+// Requests allowed to an upstream that announces a rate limit: limitOvershoot times the limit plus
+// limitSlack in any limitWindow, from limitSettleTime after the first announcement on.
 const (
 	limitSettleTime = 3 * time.Second
 	limitWindow     = 4 * time.Second
@@ -19,8 +19,8 @@
 	limitSlack      = 5
 )
 
-// backgroundTraffic sends requests at the entries in turn until it is stopped, and counts those
-// that were not served.
+// backgroundTraffic sends requests to the entries in turn until it is stopped, and records those
+// that were refused.
 type backgroundTraffic struct {
 	stop func()
 
@@ -57,7 +57,8 @@
 	return traffic
 }
 
-// setRateLimit lets an upstream name a setRateLimit, 0 for none, and returns since when.
+// setRateLimit sets the rate limit that an upstream announces, 0 for none, and returns the time of
+// the change.
 func (s *fakeUpstreamSet) setRateLimit(u *fakeUpstream, limit float64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +66,8 @@
 	return time.Now()
 }
 
-// maxRequestsInWindow returns the maxRequestsInWindow requests that reached the place within a window that ends after
-// the time from, without those before the time since.
+// maxRequestsInWindow returns the highest number of requests that reached the upstream within any
+// window that ends after endsAfter, not counting requests before since.
 func (s *fakeUpstreamSet) maxRequestsInWindow(u *fakeUpstream, since, endsAfter time.Time) (highest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,18 +89,20 @@
 	return highest
 }
 
-// checkRateLimits checks what reached the upstreams that have named limits since then, by place.
+// checkRateLimits checks how many requests reached the upstreams that announce limits. The limits,
+// and the times since when they are announced, are by the upstream's index.
 func (s *fakeUpstreamSet) checkRateLimits(t *testing.T, limits []float64, since []time.Time) {
 	t.Helper()
 	for i, limit := range limits {
 		got, allowed := s.maxRequestsInWindow(s.all[i], since[i], since[i].Add(limitSettleTime)), int(limitOvershoot*limit*limitWindow.Seconds()+limitSlack)
 		if got > allowed {
-			t.Errorf("an upstream that had named a limit of %v got %d requests in %v, borne %d", limit, got, limitWindow, allowed)
+			t.Errorf("an upstream that announces a limit of %v got %d requests in %v, allowed %d", limit, got, limitWindow, allowed)
 		}
 	}
 }
 
-// Entries send an upstream more than the limit that it names, each as if nothing were named.
+// TestRateLimitIsEnforced guards against entries that exceed the rate limit which an upstream
+// announces, because each of them sends as if there were no limit.
 func TestRateLimitIsEnforced(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 86, 6)
 	traffic := f.startTraffic(entries, 15*time.Millisecond)
@@ -113,11 +116,12 @@
 	traffic.stop()
 	upstreams.checkRateLimits(t, limits, since)
 	if len(traffic.failures) > 0 {
-		t.Errorf("%d callers were not served, the first: %s", len(traffic.failures), traffic.failures[0])
+		t.Errorf("%d requests were refused, the first: %s", len(traffic.failures), traffic.failures[0])
 	}
 }
 
-// The same while the leader is lost and an entry starts again, which then knows nothing.
+// TestRateLimitSurvivesRestarts checks the limit while the leader is lost and an entry restarts,
+// which has observed no limits then.
 func TestRateLimitSurvivesRestarts(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 89, 6)
 	traffic := f.startTraffic(entries[:2], 15*time.Millisecond)
@@ -134,18 +138,18 @@
 	}
 	f.stop("vm6")
 	restarted := f.startEntry(6)
-	f.waitFor("the entry that starts again is ready", restarted.Ready)
+	f.waitFor("the restarted entry is ready", restarted.Ready)
 	restartedTraffic := f.startTraffic([]*Entry{restarted}, 30*time.Millisecond)
 	time.Sleep(limitSettleTime + limitWindow)
 	traffic.stop()
 	restartedTraffic.stop()
 	upstreams.checkRateLimits(t, limits, since)
 	for _, failure := range append(traffic.failures, restartedTraffic.failures...) {
-		t.Error("not served: ", failure)
+		t.Error("a request was refused: ", failure)
 	}
 }
 
-// entriesWithRateLimit tells which of the entries know that the place names a limit.
+// entriesWithRateLimit returns how many of the entries have a rate limit for the upstream.
 func entriesWithRateLimit(entries []*Entry, u *fakeUpstream) (count int) {
 	for _, e := range entries {
 		for _, t := range e.view.Load().Targets["s"] {
@@ -157,8 +161,9 @@
 	return count
 }
 
-// What one entry has heard of a limit all know, also one that starts later, and after the
-// controllers were lost one after the other; and so it is with the end of the limit.
+// TestRateLimitReachesAllEntries checks that a rate limit which one entry observes reaches all
+// entries, also one that starts after all controllers were restarted, and that the same holds when
+// the limit is cleared.
 func TestRateLimitReachesAllEntries(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 87, 1)
 	u := upstreams.all[0]
@@ -166,10 +171,10 @@
 	if _, refusal := sendRequest(entries[0], "safe", "x"); refusal != nil {
 		t.Fatal(refusal)
 	}
-	f.waitFor("all know of the limit", func() bool { return entriesWithRateLimit(entries, u) == len(entries) })
+	f.waitFor("all entries have the limit", func() bool { return entriesWithRateLimit(entries, u) == len(entries) })
 	_, refusal := sendRequest(entries[2], "safe", "x")
 	if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 {
-		t.Errorf("an entry that was told: %+v", refusal)
+		t.Errorf("an entry that received the limit from a controller: %+v", refusal)
 	}
 	for _, name := range []string{"vm1", "vm2", "vm3"} {
 		f.stop(name)
@@ -178,21 +183,22 @@
 		f.startController(n, false)
 	}
 	entries = append(entries, f.startEntry(7))
-	f.waitFor("the entry that starts is ready", entries[3].Ready)
-	f.waitFor("it knows of the limit", func() bool { return entriesWithRateLimit(entries[3:], u) == 1 })
+	f.waitFor("the new entry is ready", entries[3].Ready)
+	f.waitFor("the new entry has the limit", func() bool { return entriesWithRateLimit(entries[3:], u) == 1 })
 	upstreams.setRateLimit(u, 0)
-	f.waitFor("the limit is over for all", func() bool {
+	f.waitFor("the limit is cleared at all entries", func() bool {
 		sendRequest(entries[1], "safe", "x")
 		return entriesWithRateLimit(entries, u) == 0
 	})
 	for _, e := range entries {
 		if _, refusal := sendRequest(e, "safe", "x"); refusal != nil {
-			t.Errorf("%s, after the limit: %v", e.Site.Name, refusal)
+			t.Errorf("%s, after the limit was cleared: %v", e.Site.Name, refusal)
 		}
 	}
 }
 
-// Limits of hundreds of upstreams are sent in messages of some KB, each once.
+// TestRateLimitsAreSentInBatches checks that the limits of hundreds of upstreams are sent in
+// updates of at most maxLimitsPerMessage limits, some KB each, and that each limit is sent once.
 func TestRateLimitsAreSentInBatches(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	var limits []ratelimit.Observation
@@ -219,7 +225,7 @@
 	}
 	for life, n := range received {
 		if n != 1 {
-			t.Errorf("%s is told %d times", life, n)
+			t.Errorf("the limit of %s is sent %d times", life, n)
 		}
 	}
 	if len(received) != len(limits) || updates != 4 {
@@ -229,11 +235,11 @@
 	limits[0].ObservedAt = limits[0].ObservedAt.Add(time.Second)
 	h.mergeLimits(limits[:1])
 	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) > 0 {
-		t.Error("told again")
+		t.Error("an unchanged limit was sent again")
 	}
 	limits[0].Rate, limits[0].ObservedAt = 0, limits[0].ObservedAt.Add(time.Second)
 	h.mergeLimits(limits[:1])
 	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) != 1 || u.GetLimits()[0].GetRate() != 0 {
-		t.Errorf("the end of a limit is not told: %v", u.GetLimits())
+		t.Errorf("a cleared limit is not sent: %v", u.GetLimits())
 	}
 }
--- a/internal/node/listsums_test.go
+++ b/internal/node/listsums_test.go
@@ -32,7 +32,7 @@
 	return list
 }
 
-// newListFollower returns a follower that keeps the list which it is told.
+// newListFollower returns a follower that stores each list that it applies in list.
 func newListFollower(list *[]persimmoncross.Upstream) *follower {
 	return &follower{
 		Metrics: metrics.NewRegistry(),
@@ -45,8 +45,9 @@
 	}
 }
 
-// A follower that goes to another controller ends up with that one's list, whatever it
-// held, and is sent little where the lists are alike.
+// TestListAfterControllerSwitch checks that a follower which switches to another controller ends
+// up with that controller's list, whatever list the follower had, and that few bytes are sent if
+// the lists are the same.
 func TestListAfterControllerSwitch(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for round := range 40 {
@@ -69,7 +70,7 @@
 			}
 		}
 		if round%10 == 0 {
-			next = testUpstreams(3) // nearly all is gone
+			next = testUpstreams(3) // nearly all upstreams are removed
 		}
 		var got []persimmoncross.Upstream
 		f := newListFollower(&got)
@@ -105,16 +106,17 @@
 				t.Fatalf("round %d: the follower has %d upstreams, want %d", round, len(gotByLife), len(wantByLife))
 			}
 			if len(a.listIDs) != len(wantByLife) {
-				t.Fatalf("round %d: loads are read for %d upstreams of %d", round, len(a.listIDs), len(wantByLife))
+				t.Fatalf("round %d: the load order has %d upstreams, want %d", round, len(a.listIDs), len(wantByLife))
 			}
 		}
 		if approximateSize := 60 * len(next); changes == 0 && round%10 != 0 && sentBytes > 200 {
-			t.Errorf("round %d: %d bytes for a list that is held, of about %d", round, sentBytes, approximateSize)
+			t.Errorf("round %d: %d bytes were sent for an unchanged list of about %d bytes", round, sentBytes, approximateSize)
 		}
 	}
 }
 
-// A follower that holds no list is sent it packed: thousands of upstreams look alike.
+// TestWholeListIsPacked checks that a follower without a list is sent the whole list packed, which
+// makes it much smaller because thousands of upstreams are similar.
 func TestWholeListIsPacked(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	list := testUpstreams(3000)
@@ -130,24 +132,25 @@
 			u, _ := h.nextUpdate(s, true, nil)
 			size[packs] += proto.Size(u)
 			if n := proto.Size(u); n > 16<<10 {
-				t.Errorf("packed %v: an update of %d bytes", packs, n)
+				t.Errorf("packed %v: an update of %d bytes, want at most 16 KiB", packs, n)
 			}
 			if err := a.handleUpdate(f, u); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(got) != len(list) || len(a.listIDs) != len(list) {
-			t.Errorf("packed %v: %d upstreams, loads of %d", packs, len(got), len(a.listIDs))
+			t.Errorf("packed %v: %d upstreams, load order of %d", packs, len(got), len(a.listIDs))
 		}
 	}
-	t.Logf("%d bytes, packed %d", size[false], size[true])
+	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
 	if 3*size[true] > size[false] {
-		t.Errorf("packed it takes %d bytes of %d", size[true], size[false])
+		t.Errorf("packed size %d bytes, unpacked %d", size[true], size[false])
 	}
 }
 
-// A data centre is removed and comes back: hundreds of lives end and begin at once, and each
-// follower ends up with the list; what has begun goes packed.
+// TestLargeChangeIsPacked checks a data centre that is removed and comes back, so that hundreds of
+// instances are replaced at once: each follower ends up with the list, and the new instances are
+// sent packed.
 func TestLargeChangeIsPacked(t *testing.T) {
 	size := map[bool]int{}
 	for _, packs := range []bool{false, true} {
@@ -184,24 +187,26 @@
 			delete(missing, u.InstanceID())
 		}
 		if len(got) != len(next) || len(missing) > 0 || len(a.listIDs) != len(next) || len(s.listIDs) != len(next) {
-			t.Errorf("packed %v: %d upstreams, %d missing, loads of %d and %d", packs, len(got), len(missing), len(a.listIDs), len(s.listIDs))
+			t.Errorf("packed %v: %d upstreams, %d missing, load orders of %d and %d", packs, len(got), len(missing), len(a.listIDs), len(s.listIDs))
 		}
 	}
-	t.Logf("%d bytes, packed %d", size[false], size[true])
+	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
 	if 2*size[true] > size[false] {
-		t.Errorf("packed it takes %d bytes of %d", size[true], size[false])
+		t.Errorf("packed size %d bytes, unpacked %d", size[true], size[false])
 	}
 }
 
-// randomizeIncarnations gives the upstreams names that do not look alike.
+// randomizeIncarnations gives the upstreams random incarnations, which don't compress well.
 func randomizeIncarnations(random *rand.Rand, list []persimmoncross.Upstream) {
 	for i := range list {
 		list[i].Incarnation = fmt.Sprintf("i-%010x", random.Uint64()&(1<<40-1))
 	}
 }
 
-// A data centre that comes back is told to every follower in one second: a quarter of the
-// lives end and begin, and those that ended take a bit for each life, not a name.
+// TestRemovedUpstreamsAsBitmap checks the bytes that a data centre which comes back takes for each
+// follower: a quarter of the instances is replaced, and the removed ones are sent as a bitmap with
+// one bit for each instance of the list instead of a name for each removed one. All followers are
+// sent this change within one second.
 func TestRemovedUpstreamsAsBitmap(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	listBytes, changeBytes := 0, map[bool]int{}
@@ -227,13 +232,14 @@
 		h.setList(next, time.Now())
 		changeBytes[bitmaps] = sendUpdates()
 	}
-	t.Logf("the whole list %d bytes, the change %d, by bitmaps %d", listBytes, changeBytes[false], changeBytes[true])
+	t.Logf("whole list %d bytes, change %d, change with bitmaps %d", listBytes, changeBytes[false], changeBytes[true])
 	if 2*changeBytes[true] > listBytes || 2*changeBytes[true] > changeBytes[false] {
-		t.Errorf("the change takes %d bytes, by names %d, the whole list %d", changeBytes[true], changeBytes[false], listBytes)
+		t.Errorf("the change takes %d bytes with bitmaps, %d with names, the whole list %d", changeBytes[true], changeBytes[false], listBytes)
 	}
 }
 
-// Whatever comes and goes, and however far a follower lags, it ends up with the list.
+// TestListAfterRandomChanges checks that a follower ends up with the list whichever upstreams are
+// added and removed, and however far the follower lags behind.
 func TestListAfterRandomChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	for round := range 60 {
@@ -248,7 +254,7 @@
 			acceptsBitmaps: round%3 > 0,
 		}
 		for range 8 {
-			for range 1 + random.IntN(3) { // changes that the follower is told together
+			for range 1 + random.IntN(3) { // changes that the follower receives together
 				next := slices.Clone(list)
 				from := random.IntN(len(next))
 				randomizeIncarnations(random, next[from:min(from+random.IntN(300), len(next))])
@@ -270,18 +276,19 @@
 			}
 			for _, u := range got {
 				if !missing[u.InstanceID()] {
-					t.Fatalf("round %d: %s has left the list", round, u.InstanceID())
+					t.Fatalf("round %d: the follower still has %s, which was removed", round, u.InstanceID())
 				}
 				delete(missing, u.InstanceID())
 			}
 			if len(missing) > 0 || len(a.listIDs) != len(list) || !slices.Equal(a.listIDs, s.listIDs) {
-				t.Fatalf("round %d: %d are missing, %d of %d known in order", round, len(missing), len(a.listIDs), len(list))
+				t.Fatalf("round %d: %d upstreams are missing, the load order has %d, want %d in the publisher's order", round, len(missing), len(a.listIDs), len(list))
 			}
 		}
 	}
 }
 
-// An update by bitmaps of another list is not taken: the whole is asked for again.
+// TestBitmapOfAnotherListIsRejected checks that an update with the bitmap of another list is
+// rejected, so that the follower requests the whole list again.
 func TestBitmapOfAnotherListIsRejected(t *testing.T) {
 	var got []persimmoncross.Upstream
 	f := newListFollower(&got)
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -12,7 +12,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// manualClock is a clock that is moved by hand.
+// manualClock is a clock that moves only when now is set.
 type manualClock struct{ now time.Time }
 
 func (c *manualClock) Now() time.Time                       { return c.now }
@@ -25,7 +25,7 @@
 	}
 }
 
-// packedLoads returns what the board would tell a follower, by upstream.
+// packedLoads returns the loads that the aggregator would send to a follower, by upstream.
 func packedLoads(b *loadAggregator, order []string) map[string]relay.FleetLoad {
 	loads := map[string]relay.FleetLoad{}
 	for _, l := range decodeLoads(order, packLoads(b, order)) {
@@ -34,8 +34,8 @@
 	return loads
 }
 
-// The work of entries that follow different controllers is added up at the leader
-// and comes to the followers of each.
+// TestWorkIsSummedAcrossControllers checks that the leader adds up the work reported by entries
+// that follow different controllers, and that the followers of each controller receive the sum.
 func TestWorkIsSummedAcrossControllers(t *testing.T) {
 	clock := &manualClock{
 		now: time.Unix(100, 0),
@@ -75,27 +75,27 @@
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
 		got := packedLoads(b, order)
 		if got["u1"].PrefillTime != 1400*time.Millisecond || got["u2"].PrefillTime != 200*time.Millisecond {
-			t.Errorf("%s tells of work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].PrefillTime, got["u2"].PrefillTime)
+			t.Errorf("%s sends work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].PrefillTime, got["u2"].PrefillTime)
 		}
 		if got["u1"].Reported != nil || got["u2"].Reported == nil || got["u2"].Reported.Running != 7 || got["u2"].Reported.Waiting != maxLoadValue || got["u2"].ReportAge != 60*time.Millisecond {
-			t.Errorf("%s tells of %+v and %+v", name, got["u1"].Reported, got["u2"].Reported)
+			t.Errorf("%s sends %+v and %+v", name, got["u1"].Reported, got["u2"].Reported)
 		}
 	}
 	if got := packedLoads(nonLeader, order); got["u1"].SuspectingEntries != 0 || got["u2"].SuspectingEntries != 2 {
-		t.Errorf("doubters: %+v", got)
+		t.Errorf("suspecting entries: %+v, want 0 for u1 and 2 for u2", got)
 	}
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
 		if got := packedLoads(b, order); got["u1"].Received || !got["u2"].Received || got["u2"].SinceReceived != 40*time.Millisecond {
-			t.Errorf("%s heard %+v", name, got)
+			t.Errorf("%s sends last-received times %+v, want none for u1 and 40 ms for u2", name, got)
 		}
 	}
-	// An account replaces the one before.
+	// A report replaces the one before.
 	nonLeader.receive("e2", nil)
 	exchange()
 	if got := packedLoads(nonLeader, order); got["u1"].PrefillTime != time.Second || got["u2"].PrefillTime != 0 {
-		t.Errorf("after e2's answers began: %v", got)
+		t.Errorf("after e2 reported no work: %v", got)
 	}
-	// A leader that is gone, and entries that are silent, are forgotten.
+	// The loads of a leader that is gone, and of entries that send no reports, expire.
 	clock.now = clock.now.Add(maxLoadAge / 2)
 	nonLeader.receive("e3", []*wire.UpstreamLoad{loadWithWork("u2", 100)})
 	clock.now = clock.now.Add(maxLoadAge/2 + time.Millisecond)
@@ -104,20 +104,21 @@
 	}
 }
 
-// With thousands of upstreams the loads are sent less often.
+// TestLoadTransferRateIsBounded checks that loads are sent less often with thousands of upstreams,
+// within maxLoadBytesPerSecond.
 func TestLoadTransferRateIsBounded(t *testing.T) {
 	for _, n := range []int{1, 100, 500, 4100} {
 		if rate := float64(loadRecordBytes*n) / loadSendInterval(loadRecordBytes*n, n).Seconds(); rate > maxLoadBytesPerSecond {
 			t.Errorf("%d upstreams take %.0f bytes a second", n, rate)
 		}
 		if loadSendInterval(loadRecordBytes*n, n) < loadInterval {
-			t.Errorf("%d upstreams are told every %v", n, loadSendInterval(loadRecordBytes*n, n))
+			t.Errorf("loads of %d upstreams are sent every %v", n, loadSendInterval(loadRecordBytes*n, n))
 		}
 	}
 }
 
-// Of thousands of upstreams only those take bytes of which something is known; the
-// follower gets the same.
+// TestSparseLoads checks that the sparse encoding takes a record only for each upstream with a
+// known load, and that it decodes to the same loads.
 func TestSparseLoads(t *testing.T) {
 	for _, tt := range []struct{ upstreams, known, maxBytes int }{
 		{0, 0, 0},
@@ -132,14 +133,14 @@
 		}
 		encoded := encodeSparse(loads)
 		if len(encoded) > tt.maxBytes {
-			t.Errorf("%d of %d known: %d bytes", tt.known, tt.upstreams, len(encoded))
+			t.Errorf("%d of %d known: %d bytes encoded", tt.known, tt.upstreams, len(encoded))
 		}
 		if got := decodeSparse(encoded, tt.upstreams); !bytes.Equal(got, loads) {
-			t.Errorf("%d of %d known: the follower has something else", tt.known, tt.upstreams)
+			t.Errorf("%d of %d known: the decoded loads differ", tt.known, tt.upstreams)
 		}
 		for _, damaged := range [][]byte{append(slices.Clone(encoded), 1), encoded[:len(encoded)/2], {0xff}} {
 			if got := decodeSparse(damaged, tt.upstreams); got != nil && len(got) != loadRecordBytes*tt.upstreams {
-				t.Errorf("%d bytes of what is damaged", len(got))
+				t.Errorf("damaged loads were decoded to %d bytes", len(got))
 			}
 		}
 	}
@@ -149,12 +150,13 @@
 	t.Helper()
 	u, ok := fromWireUpstream(x)
 	if !ok {
-		t.Fatalf("%v is no upstream", x)
+		t.Fatalf("%v is not a valid upstream", x)
 	}
 	return u.InstanceID()
 }
 
-// A stream's loads are read in the order of the list that the stream has told.
+// TestLoadsUseListOrder checks that the loads of a stream are decoded in the order of the list
+// received on this stream.
 func TestLoadsUseListOrder(t *testing.T) {
 	var got map[string]time.Duration
 	f := &follower{
@@ -193,14 +195,14 @@
 		Loads:     []byte{0, 0, 0, 0, 2, 0, 0, 0, 0, 0, 3, 0},
 	})
 	if len(got) != 2 || got["b"] != 2*loadTimeUnit || got["c"] != 3*loadTimeUnit {
-		t.Errorf("loads after a change: %v", got)
+		t.Errorf("loads after a change of the list: %v", got)
 	}
 	got = nil
 	a.handleUpdate(f, &wire.Update{
 		Loads: []byte{1, 2, 3},
 	})
 	if got != nil {
-		t.Errorf("loads of another list were taken: %v", got)
+		t.Errorf("loads of another list were applied: %v", got)
 	}
 }
 
@@ -210,9 +212,9 @@
 	return b.encodeDense(order, b.clock.Now())
 }
 
-// Followers of one list are told the same for a moment: it is put together once.
-// 3,000 upstreams for 75 followers, four times a second, took a controller a tenth of a
-// core.
+// TestPackedLoadsAreCached checks that followers with the same list are sent loads that were
+// encoded once and are cached for a short time. Encoding 3,000 upstreams for each of 75
+// followers, four times a second, took a controller a tenth of a core.
 func TestPackedLoadsAreCached(t *testing.T) {
 	clock := &manualNowClock{
 		now: time.Unix(1000, 0),
@@ -223,10 +225,10 @@
 	shortList, longList := []string{"a", "b"}, []string{"a", "b", "c"}
 	first, _ := b.encoded(shortList)
 	if again, known := b.encoded(shortList); &again[0] != &first[0] || len(known) != 1 {
-		t.Error("the same list is put together again at once")
+		t.Error("the loads of the same list are encoded again at once")
 	}
 	if other, _ := b.encoded(longList); len(other) != loadRecordBytes*len(longList) {
-		t.Errorf("another list is told %d bytes", len(other))
+		t.Errorf("another list gets %d bytes of loads", len(other))
 	}
 	first, _ = b.encoded(shortList)
 	b.receive("e", []*wire.UpstreamLoad{
@@ -234,10 +236,10 @@
 	})
 	clock.now = clock.now.Add(time.Millisecond)
 	if later, known := b.encoded(shortList); bytes.Equal(later, first) || len(known) != 1+loadRecordBytes {
-		t.Error("news is not told")
+		t.Error("changed loads are not sent")
 	}
 	if none, known := b.encoded(nil); len(none)+len(known) != 0 {
-		t.Error("without a list something is told")
+		t.Error("loads are sent without a list")
 	}
 }
 
--- a/internal/node/near_test.go
+++ b/internal/node/near_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// followed returns the controller that the entry follows, "" for none.
+// followedPeer returns the address of the controller that the entry follows, "" for none.
 func (e *Entry) followedPeer() string {
 	e.follower.mu.Lock()
 	defer e.follower.mu.Unlock()
 	return e.follower.followedController
 }
 
-// Entries follow a controller of their own data centre, though they are told of none:
-// from the start, and again after it was away. Meanwhile, and where there is none, they
-// follow another.
+// TestLocalControllerIsFollowed checks that entries follow a controller of their own data centre
+// although their settings name none, from their start on and again after this controller has
+// restarted. Meanwhile, and in a data centre without a controller, entries follow another one.
 func TestLocalControllerIsFollowed(t *testing.T) {
 	f := newFleet(t, 79)
 	dataCentres := []string{"", "a", "b", "c"}
@@ -47,12 +47,12 @@
 	allFollowLocal := allEntries(func(e *Entry, local string) bool {
 		return local != "" && e.followedPeer() == local || local == "" && e.followedPeer() != ""
 	})
-	f.waitFor("all follow one nearby", allFollowLocal)
-	lostPeer := localControllers[f.processes["vm6"].entry] // of c
+	f.waitFor("all entries follow a local controller if there is one", allFollowLocal)
+	lostPeer := localControllers[f.processes["vm6"].entry] // the controller in data centre c
 	f.stop("vm3")
-	f.waitFor("all follow another", allEntries(func(e *Entry, _ string) bool { return e.followedPeer() != "" && e.followedPeer() != lostPeer }))
+	f.waitFor("all entries follow a running controller", allEntries(func(e *Entry, _ string) bool { return e.followedPeer() != "" && e.followedPeer() != lostPeer }))
 	f.startControllerIn(3, false, "c")
-	f.waitFor("it is followed again", allFollowLocal)
+	f.waitFor("the restarted controller is followed again", allFollowLocal)
 }
 
 func (f *fleet) startControllerIn(n int, founding bool, dataCentre string) *Controller {
@@ -69,7 +69,8 @@
 	return f.startEntryAtSite(site)
 }
 
-// With several near controllers each is asked in its turn: the first may be gone.
+// TestLocalControllersAreTriedInTurn checks that with several local controllers each is probed in
+// turn, because the first may be gone.
 func TestLocalControllersAreTriedInTurn(t *testing.T) {
 	f := &follower{
 		Name:       "e",
@@ -80,7 +81,7 @@
 		follower: f,
 	}
 	if got := search.nextController(); got != "" {
-		t.Errorf("nobody is near, and %s is asked", got)
+		t.Errorf("%s is probed although no controller is local", got)
 	}
 	controllers := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 	f.setControllers(controllers)
@@ -90,6 +91,6 @@
 		tries[search.nextController()]++
 	}
 	if tries[controllers[0]] != 2 || tries[controllers[1]] != 2 {
-		t.Errorf("asked: %v", tries)
+		t.Errorf("probes by controller: %v, want 2 for each local one", tries)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,8 +11,8 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// Three addresses found the fleet; the other controllers vote soon, entries
-// follow, and what was acknowledged is in force on them.
+// TestFleetBootstrap checks that three initial voters form the fleet, that the other controllers
+// become voters, that entries follow, and that acknowledged documents are in force on all.
 func TestFleetBootstrap(t *testing.T) {
 	f := newFleet(t, 71)
 	var controllers []*Controller
@@ -24,14 +24,14 @@
 	for _, c := range controllers {
 		f.waitForVoters(c, 5)
 		if got := f.readDocumentNumber(c); got != 7 {
-			t.Errorf("%s reads %d", c.Site.Name, got)
+			t.Errorf("%s reads document %d, want 7", c.Site.Name, got)
 		}
 	}
-	f.waitFor("the entry has document and list", e.Ready)
+	f.waitFor("the entry has the document and the list", e.Ready)
 	if n := e.view.Load().Catalog.Number; n != 7 {
-		t.Errorf("the entry has document %d", n)
+		t.Errorf("the entry has document %d, want 7", n)
 	}
-	f.declare(controllers[0], 5) // acknowledged, and overtaken
+	f.declare(controllers[0], 5) // acknowledged, but older than document 7
 	if got := f.readDocumentNumber(controllers[1]); got != 7 {
 		t.Errorf("an older document is in force: %d", got)
 	}
@@ -39,8 +39,8 @@
 	f.waitFor("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
 }
 
-// A controller that lost its disk comes back under a new identity, and one that
-// is gone for good is replaced by one at another address.
+// TestControllersWithLostDisksAreReplaced checks that a controller which lost its disk rejoins as a
+// new member, and that a controller which is lost for good is replaced by one at another address.
 func TestControllersWithLostDisksAreReplaced(t *testing.T) {
 	f := newFleet(t, 72)
 	var controllers []*Controller
@@ -54,26 +54,27 @@
 	f.deleteData(2)
 	restarted := f.startController(2, false)
 	if restarted.store.member == oldMember {
-		t.Fatal("an empty disk has the identity of its former self")
+		t.Fatal("the controller has the same member ID after the loss of its disk")
 	}
-	f.waitFor("the new identity votes in place of the old one", func() bool {
+	f.waitFor("the new member has replaced the old one as a voter", func() bool {
 		set := controllers[0].group.View().Config
 		return set.HasVoter(restarted.store.member) && !set.HasVoter(oldMember) && len(set.Voters) == 5
 	})
 	if got := f.readDocumentNumber(restarted); got != 3 {
-		t.Errorf("the wiped controller reads %d", got)
+		t.Errorf("the controller that lost its disk reads %d, want 3", got)
 	}
 	lostMember := controllers[4].store.member
 	f.stop("vm5")
 	successor := f.startController(7, false)
-	f.waitFor("the successor votes in place of the lost one", func() bool {
+	f.waitFor("the successor has replaced the lost controller as a voter", func() bool {
 		set := controllers[0].group.View().Config
 		return set.HasVoter(successor.store.member) && !set.HasVoter(lostMember) && len(set.Voters) == 5
 	})
 }
 
-// All controllers stop at once and start again: nothing acknowledged is lost,
-// and an entry that was there all the while never goes back.
+// TestRestartOfAllControllers checks that no acknowledged document is lost when all controllers
+// stop at once and restart, and that an entry which runs meanwhile never returns to an older
+// document.
 func TestRestartOfAllControllers(t *testing.T) {
 	f := newFleet(t, 73)
 	first := f.startController(1, true)
@@ -93,17 +94,18 @@
 		restarted = f.startController(n, false)
 	}
 	if got := f.readDocumentNumber(restarted); got != 8 {
-		t.Errorf("read %d after the restart", got)
+		t.Errorf("read document %d after the restart, want 8", got)
 	}
 	if got := e.view.Load().Catalog.Number; got != 8 {
-		t.Errorf("the entry went back to %d", got)
+		t.Errorf("the entry has document %d after the restart, want 8", got)
 	}
 	f.declare(restarted, 9)
 	f.waitFor("the entry has document 9", func() bool { return e.view.Load().Catalog.Number == 9 })
 }
 
-// An entry moves to another controller when its own goes, and an entry that
-// starts late has the list though it does not change any more.
+// TestEntriesSwitchControllers checks that an entry switches to another controller when the one it
+// follows stops, and that an entry which starts late receives the list although the list does not
+// change any more.
 func TestEntriesSwitchControllers(t *testing.T) {
 	f := newFleet(t, 74)
 	var controllers []*Controller
@@ -126,11 +128,11 @@
 		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
 		Draining:    true,
 	})
-	f.waitFor("the upstream leaves", func() bool { return lateEntry.view.Load().Targets["s"][0].IsDraining(time.Now()) })
+	f.waitFor("the upstream is draining", func() bool { return lateEntry.view.Load().Targets["s"][0].IsDraining(time.Now()) })
 }
 
-// A list that is older than the one in force is not taken, and is not lost:
-// the controller sends it once only.
+// TestOlderListIsDeferred checks that a list which is older than the one in force is not applied,
+// but is kept until it is recent enough, because the controller sends it only once.
 func TestOlderListIsDeferred(t *testing.T) {
 	e := newFleet(t, 75).stoppedEntry()
 	e.listReadAt = e.Clock.Now().Add(-time.Minute)
@@ -151,14 +153,14 @@
 		Age:       int64(time.Hour),
 	})
 	if e.targets != nil {
-		t.Fatal("a list was taken that is older than the one in force")
+		t.Fatal("a list older than the one in force was applied")
 	}
-	a.handleUpdate(f, &wire.Update{}) // read again just now, and unchanged
+	a.handleUpdate(f, &wire.Update{}) // the list was read again just now, unchanged
 	if len(e.targets["s"]) != 1 {
 		t.Error("the list was lost")
 	}
 	if a.listUnapplied {
-		t.Error("a list that was taken is handed on again")
+		t.Error("a list that was applied is still marked as unapplied")
 	}
 }
 
@@ -169,7 +171,7 @@
 	return e
 }
 
-// A state from a controller that lags changes nothing.
+// TestOlderStateIsIgnored checks that an older state, from a controller that lags, is ignored.
 func TestOlderStateIsIgnored(t *testing.T) {
 	e := newFleet(t, 76).stoppedEntry()
 	sendUpdate := func(index, number uint64) {
@@ -185,17 +187,18 @@
 	}
 	sendUpdate(10, 5)
 	sendUpdate(9, 4)
-	sendUpdate(12, 3) // of a fleet that lost what it had
+	sendUpdate(12, 3) // a newer index with an older document, from a fleet that lost its data
 	if got := e.view.Load().Catalog.Number; got != 5 {
-		t.Errorf("document %d is in force", got)
+		t.Errorf("document %d is in force, want the newest", got)
 	}
 	sendUpdate(13, 6)
 	if got := e.view.Load().Catalog.Number; got != 6 {
-		t.Errorf("document %d is in force", got)
+		t.Errorf("document %d is in force, want the newest", got)
 	}
 }
 
-// Followers spread over the controllers, and the one that failed comes last.
+// TestFollowerTargets checks that followers are spread over the controllers, and that the controller
+// that failed last is tried last.
 func TestFollowerTargets(t *testing.T) {
 	controllers := []string{"a", "b", "c"}
 	firstTargetCounts := map[string]int{}
@@ -207,22 +210,23 @@
 		}
 		targets := f.candidates()
 		if len(targets) != 4 {
-			t.Fatalf("targets %v", targets)
+			t.Fatalf("candidates %v, want 4", targets)
 		}
 		firstTargetCounts[targets[0]]++
 		f.setFailed(targets[0])
 		if retried := f.candidates(); retried[3] != targets[0] || !slices.Equal(retried[:3], targets[1:]) {
-			t.Fatalf("targets %v, after the first failed %v", targets, retried)
+			t.Fatalf("candidates %v, after the first failed %v", targets, retried)
 		}
 	}
 	for name, n := range firstTargetCounts {
 		if n < 30 {
-			t.Errorf("%s is followed first by %d of 300", name, n)
+			t.Errorf("%s is the first candidate of %d followers out of 300, want at least 30", name, n)
 		}
 	}
 }
 
-// The evidence of an entry that is gone still counts, and its presence does not.
+// TestRecentAccounts checks that the canary statistics of an entry that is gone still count, and
+// that the entry does not count as present.
 func TestRecentAccounts(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	h.receiveReport(&wire.Account{
@@ -257,51 +261,52 @@
 		Order:   4,
 	}, accounts)
 	if c := p.New["r"]; c.Answers != 10 || c.Failed != 6 {
-		t.Errorf("counted: %+v", c)
+		t.Errorf("canary statistics %+v, want 10 answers, 6 failed", c)
 	}
 	if accounts, _ := h.currentReports(now.Add(2 * canaryStatsRetention)); len(accounts) != 0 {
-		t.Error("counts are kept for ever")
+		t.Error("canary statistics are kept after canaryStatsRetention")
 	}
 }
 
-// A jump of the time of day does not move an upgrade that this process saw
-// begin; after a gap the time of day is all there is.
+// TestUpgradeElapsedTime checks that a jump of the wall clock does not change the elapsed time of an
+// upgrade whose start this process observed. After a start of the process or a gap in the log
+// only the wall clock is available.
 func TestUpgradeElapsedTime(t *testing.T) {
 	now := time.Now()
 	u := register.Upgrade{
 		Order:    3,
 		Duration: 20 * time.Second,
-		Began:    now.Add(-7 * time.Second).UnixMilli(), // by a clock that was set back
+		Began:    now.Add(-7 * time.Second).UnixMilli(), // written by a clock that had been set back
 	}
 	watchedFromStart := &upgradeTracker{
 		hasFollowedLog: true,
 	}
 	if got := watchedFromStart.elapsed(u, now); got != 0 {
-		t.Errorf("%v have passed of an upgrade that has just begun", got)
+		t.Errorf("elapsed %v for an upgrade that has just begun, want 0", got)
 	}
 	if got := watchedFromStart.elapsed(u, now.Add(4*time.Second)); got != 4*time.Second {
-		t.Errorf("%v have passed, want 4 s", got)
+		t.Errorf("elapsed %v, want 4 s", got)
 	}
 	u.Order = 5
 	u.Began = now.Add(-150 * time.Millisecond).UnixMilli()
 	if got := watchedFromStart.elapsed(u, now); got < 149*time.Millisecond || got > 151*time.Millisecond {
-		t.Errorf("%v have passed at the first look at an order of 150 ms before", got)
+		t.Errorf("elapsed %v when an upgrade that began 150 ms ago is first seen", got)
 	}
 	u.Order = 3
 	u.Began = now.Add(-7 * time.Second).UnixMilli()
 	watchedLate := &upgradeTracker{}
 	if got := watchedLate.elapsed(u, now); got < 6*time.Second || got > 8*time.Second {
-		t.Errorf("%v have passed of an upgrade that was found after a start", got)
+		t.Errorf("elapsed %v for an upgrade found after a start of the process, want about 7 s", got)
 	}
 	u.Order = 4
 	u.Began = now.Add(time.Hour).UnixMilli()
 	if got := watchedLate.elapsed(u, now); got != 0 {
-		t.Errorf("%v have passed by a clock that makes no sense", got)
+		t.Errorf("elapsed %v for an upgrade that begins in the future, want 0", got)
 	}
 }
 
-// A follower that has the list is sent only what changed, and ends up with the
-// same list; one that lags too far behind is sent all of it.
+// TestListDeltas checks that a follower which has the list is sent only the changes and ends up with
+// the same list, and that a follower which lags too far behind is sent the whole list.
 func TestListDeltas(t *testing.T) {
 	h := newPublisher(persimmoncross.SystemClock{})
 	newUpstream := func(id string, leaving bool) persimmoncross.Upstream {
@@ -350,16 +355,16 @@
 	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
 	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("e", true)}, time.Now())
 	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
-	sendUpdate() // several changes at once, of one that comes, goes and comes again
+	sendUpdate() // several changes at once, with an upstream that is added, removed and added again
 	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, equalUpstream) {
-		t.Fatalf("after two changes the follower has %v", got)
+		t.Fatalf("after several changes at once the follower has %v", got)
 	}
 	for i := range 2 * maxRecentDeltas {
 		h.setList([]persimmoncross.Upstream{newUpstream("a", i%2 == 0), newUpstream("g", false)}, time.Now())
 	}
 	u, _ := h.nextUpdate(s, true, nil)
 	if u.GetPartial() {
-		t.Error("changes were sent that are not kept any more")
+		t.Error("a partial list was sent for changes that are not kept any more")
 	}
 	a.handleUpdate(f, u)
 	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", false), newUpstream("g", false)}, equalUpstream) {
@@ -367,8 +372,9 @@
 	}
 }
 
-// An entry reads the list itself soon where no controller's state is recent, and
-// later where one is: the leader is about to.
+// TestOwnListIsReadAsLastResort checks that an entry reads the list itself early if it follows no
+// controller with a recent state, and later if it does, because the leader is about to read the
+// list then.
 func TestOwnListIsReadAsLastResort(t *testing.T) {
 	e := newFleet(t, 78).stoppedEntry()
 	now := e.Clock.Now()
@@ -376,18 +382,18 @@
 	e.listReadAt = time.Time{}
 	drain := e.Site.Bounds.Drain
 	if e.isListStale(now.Add(drain / 4)) {
-		t.Error("the list is read at once after a start")
+		t.Error("the list is read immediately after a start")
 	}
 	if !e.isListStale(now.Add(drain / 2)) {
 		t.Error("without controllers the list is not read")
 	}
 	e.leasedAt = now.Add(drain / 2)
 	if e.isListStale(now.Add(drain / 2)) {
-		t.Error("the list is read though a controller is about to send it")
+		t.Error("the list is read although a controller is about to send it")
 	}
 	e.leasedAt = now.Add(drain * 3 / 4)
 	if !e.isListStale(now.Add(drain * 3 / 4)) {
-		t.Error("the list is not read though the controllers do not")
+		t.Error("the list is not read although the controllers don't send it")
 	}
 	e.listReadAt = now.Add(drain * 3 / 4)
 	if e.isListStale(now.Add(drain)) {
@@ -395,8 +401,8 @@
 	}
 }
 
-// Where there is nobody to ask yet, the search ends at once, so that the next
-// one finds a leader as soon as it is elected.
+// TestSearchWithoutTargets checks that a search without candidates ends at once, so that the next
+// search finds a leader as soon as it is elected.
 func TestSearchWithoutTargets(t *testing.T) {
 	f := &follower{
 		Clock: noWaitClock{
@@ -405,31 +411,32 @@
 		OnlyController: func() string { return "" },
 	}
 	if got := f.findController(t.Context()); got != nil {
-		t.Errorf("found %v", got)
+		t.Errorf("found %v without candidates", got)
 	}
 }
 
-// noWaitClock is a clock on which nobody may wait.
+// noWaitClock is a clock that fails the test if something waits on it.
 type noWaitClock struct{ t *testing.T }
 
 func (c noWaitClock) Now() time.Time { return time.Unix(0, 0) }
 
 func (c noWaitClock) After(d time.Duration) <-chan time.Time {
-	c.t.Errorf("waits for %v", d)
+	c.t.Errorf("the search waits for %v", d)
 	fired := make(chan time.Time, 1)
 	fired <- c.Now()
 	return fired
 }
 
-// What was seen: after a loss of all a fleet of 298 VMs before 2,997 upstreams took 8 to
-// 30 s until it served again, and its entries logged readings of the list that came to no
-// end, also in calm seconds. An entry reads the list itself where what controllers send
-// is old. One reading of that list is 60 calls; all entries together may make 680 a second,
-// and 293 entries asked for them at once: nobody's reading came to its end, the leader's
-// neither, so that the list was old for all.
+// TestOwnListReadsAreRateLimited guards against entries that read the list themselves and use up
+// the allowed calls. After the loss of all VMs, a fleet of 298 VMs with 2,997 upstreams took 8 to
+// 30 s until it served again, and its entries logged reads of the list that did not complete, also
+// in periods without faults. An entry reads the list itself when the list from the controllers is
+// old. A read of that list takes 60 calls, and all entries together may make 680 calls a second.
+// With 293 entries reading at once no read completed, nor did the leader's, so the list was old
+// at all entries.
 //
-// However large the fleet, its entries leave most of the calls to the leader; where all
-// can read the list in time, nothing is changed.
+// Therefore the entries of a fleet of any size leave most of the calls to the leader. If all
+// entries can read the list in time, their reads are not limited.
 func TestOwnListReadsAreRateLimited(t *testing.T) {
 	const drain = 4 * time.Second
 	for _, tt := range []struct {
@@ -442,13 +449,13 @@
 		{entries: 195, upstreams: 123, maxCallsPerSecond: 680, unlimited: true},
 		{entries: 293, upstreams: 2997, maxCallsPerSecond: 680},
 		{entries: 380, upstreams: 4100, maxCallsPerSecond: 680},
-		{entries: 380, upstreams: 0, maxCallsPerSecond: 44}, // not known yet
+		{entries: 380, upstreams: 0, maxCallsPerSecond: 44}, // the number of upstreams is not known yet
 		{entries: 0, upstreams: 0, maxCallsPerSecond: 44, unlimited: true},
-		{entries: 8, upstreams: 16, maxCallsPerSecond: 0, unlimited: true}, // no bound is told
+		{entries: 8, upstreams: 16, maxCallsPerSecond: 0, unlimited: true}, // no limit of calls is configured
 	} {
 		pause := fallbackReadInterval(tt.entries, tt.upstreams, tt.maxCallsPerSecond, drain)
 		if (pause == 0) != tt.unlimited {
-			t.Errorf("%+v: %v", tt, pause)
+			t.Errorf("%+v: interval %v", tt, pause)
 		}
 		if tt.unlimited {
 			continue
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -11,22 +11,24 @@
 	"persimmoncross"
 )
 
-// maxDetectionTime is the time after the third end under a request by which all VMs in
-// touch know of it, and maxRequestsAfterDetection how often it may still reach an upstream after
-// that: the operators' promise.
+// Limits promised to operators: maxDetectionTime after the third crash by a request the quarantine
+// is in force on all connected VMs, and maxRequestsAfterDetection is how often the request may
+// still reach an upstream after that.
 const (
 	maxDetectionTime          = 3 * time.Second
 	maxRequestsAfterDetection = 3
 )
 
-// newRunningFleet returns a fleet of three controllers and as many entries before a farm.
+// newRunningFleet returns a fleet of three controllers and three entries, with the
+// given number of fake upstreams.
 func newRunningFleet(t *testing.T, subnet, upstreams int) (*fleet, *fakeUpstreamSet, []*Entry) {
 	t.Helper()
 	f := newFleet(t, subnet)
 	return f, newFakeUpstreams(t, f.lister, upstreams), f.startControllersAndEntries(upstreams)
 }
 
-// startControllersAndEntries starts three controllers and as many entries before so many upstreams.
+// startControllersAndEntries starts three controllers and three entries, and waits until the
+// entries have the given number of upstreams.
 func (f *fleet) startControllersAndEntries(upstreams int) []*Entry {
 	f.t.Helper()
 	var lastController *Controller
@@ -51,25 +53,22 @@
 	return entries
 }
 
-// Callers saw their answers cut, upstream after upstream, for as long as one
-// request came again and again at all entries: it ended every upstream that ran
-// it, 42 in half a minute. Three entries had each seen upstreams end under it, and
-// each copy, with an id of its own, began with three runs everywhere: what a
-// request did was forgotten with its attempt.
+// TestQuarantineOfCrashingRequest guards against a request that keeps crashing upstreams. A request
+// that was sent repeatedly to all entries crashed every upstream that executed it, 42 in half a
+// minute, and other callers' responses were cut off. Three entries had each observed such crashes,
+// but every copy of the request, with its own ID, got three executions again at each entry, because
+// the crashes were forgotten with the attempt. Copies with IDs that no entry had seen still crashed
+// one upstream each, seconds after the third crash, while no entry logged a lost controller.
 //
-// Evidence: copies under ids that no entry had seen reached one upstream each, and
-// ended it, seconds after the third end; entries had no line of a cut or lost
-// controller meanwhile. This test failed on that code, as did the storm's below.
-//
-// Here three entries see one end each. After the time in which all have to know,
-// no copy gets anywhere: neither at these, nor at an entry that starts then, nor
-// after the leader has gone. The same path and caller with another body is served.
+// Here three entries observe one crash each. After maxDetectionTime no copy reaches an upstream:
+// neither through these entries, nor through an entry that starts then, nor after the loss of the
+// leader. A request with the same path and caller and another body is served.
 func TestQuarantineOfCrashingRequest(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 41, 6)
 	body := crashBodyPrefix + "once"
 	for i, e := range entries {
 		sendRequest(e, "once", body)
-		f.waitFor("an upstream ends", func() bool {
+		f.waitFor("an upstream crashes", func() bool {
 			_, ok := upstreams.nthCrashTime(body, i+1)
 			return ok
 		})
@@ -83,7 +82,7 @@
 		}
 	}
 	newEntry := f.startEntry(7)
-	f.waitFor("the entry that starts is ready", newEntry.Ready)
+	f.waitFor("the new entry is ready", newEntry.Ready)
 	checkRefused(t, newEntry, body)
 	for n := 1; n <= 3; n++ {
 		if c := f.processes[fmt.Sprint("vm", n)].controller; c.IsLeader() {
@@ -99,16 +98,17 @@
 	})
 	checkRefused(t, entries[0], body)
 	if n := upstreams.requestCount(body, detectedAt); n > maxRequestsAfterDetection {
-		t.Errorf("it reached upstreams %d times more, over %d", n, maxRequestsAfterDetection)
+		t.Errorf("the request reached upstreams %d more times, want at most %d", n, maxRequestsAfterDetection)
 	}
 	for _, e := range entries {
 		if response, refusal := sendRequest(e, "once", "another body"); refusal != nil || response.body.String() != "another body" {
-			t.Errorf("another body is refused: %v", refusal)
+			t.Errorf("a request with another body is refused: %v", refusal)
 		}
 	}
 }
 
-// checkRefused sends a copy and looks at what its caller gets: at once, and true.
+// checkRefused sends a copy of the request and checks that it is refused as not run, with a
+// Retry-After delay of at least 5 s.
 func checkRefused(t *testing.T, e *Entry, body string) {
 	t.Helper()
 	_, refusal := sendRequest(e, "once", body)
@@ -117,10 +117,10 @@
 	}
 }
 
-// Two such requests come every 60 ms at the entries in turn, under ids of their
-// own, and a harmless one as often; upstreams end faster than they come back, and
-// the harmless one is cut beside the others wherever it runs. Once the fleet
-// knows, it is served as before, and the two get nowhere.
+// TestQuarantineUnderLoad sends two crashing requests and a harmless one every 60 ms to the entries
+// in turn, each with its own ID. Upstreams crash faster than they restart, and the harmless
+// request is cut off wherever it runs beside the others. Once the quarantine is in force, the
+// harmless request is served as before, and the other two reach no upstream.
 func TestQuarantineUnderLoad(t *testing.T) {
 	for i, route := range []string{"stream", "safe"} {
 		t.Run(route, func(t *testing.T) {
@@ -130,10 +130,11 @@
 	}
 }
 
-// The same where something before the upstreams, a sidecar or a load balancer, goes on
-// taking connections while they are down, and the list tells of the next life 1.2 s
-// after it has begun. A refused connection was the only evidence of an end: the look
-// found a listener each time, no end was known, and both requests ran for ever.
+// TestQuarantineBehindProxies repeats TestQuarantineUnderLoad with a sidecar or load balancer in
+// front of each upstream, which accepts connections while the upstream is down, and with a list
+// that contains a restarted instance only 1.2 s after its start. It guards against treating a
+// refused connection as the only evidence of a crash: the probe always found a listener, so no
+// crash was recorded and both requests ran forever.
 func TestQuarantineBehindProxies(t *testing.T) {
 	for i, route := range []string{"stream", "safe"} {
 		t.Run(route, func(t *testing.T) {
@@ -145,8 +146,8 @@
 	}
 }
 
-// checkQuarantineUnderLoad sends two requests that end upstreams, a harmless one and others, and looks at
-// what the fleet made of them.
+// checkQuarantineUnderLoad sends two crashing requests, a harmless one and others for the duration.
+// It checks that the crashing requests are quarantined and that the harmless one is served.
 func checkQuarantineUnderLoad(t *testing.T, upstreams *fakeUpstreamSet, entries []*Entry, route string, duration time.Duration) {
 	t.Helper()
 	bodies := []string{crashBodyPrefix + "a", crashBodyPrefix + "b", "harmless"}
@@ -172,7 +173,7 @@
 			c.failed++
 		}
 		if elapsed < duration/2 {
-			return // the fleet has to know by then
+			return // the quarantine must be in force only from half of the duration on
 		}
 		sentAfterDetection[body]++
 		if refusal == nil {
@@ -192,26 +193,27 @@
 	for _, body := range bodies[:2] {
 		thirdCrash, ok := upstreams.nthCrashTime(body, 3)
 		if !ok {
-			t.Errorf("%q has not ended three upstreams", body)
+			t.Errorf("%q has not crashed three upstreams", body)
 			continue
 		}
 		if n := upstreams.requestCount(body, thirdCrash.Add(maxDetectionTime)); n > maxRequestsAfterDetection {
-			t.Errorf("%q reached upstreams %d times later than %v after the third end", body, n, maxDetectionTime)
+			t.Errorf("%q reached upstreams %d times later than %v after the third crash", body, n, maxDetectionTime)
 		}
 	}
 	for _, body := range bodies[:2] {
 		lastRequest := upstreams.lastRequestTime(body).Sub(start).Round(time.Millisecond)
 		thirdCrash, _ := upstreams.nthCrashTime(body, 3)
-		t.Logf("%q ended %d upstreams, the third at %v, and reached the last at %v", body, len(upstreams.crashTimes[body]), thirdCrash.Sub(start).Round(time.Millisecond), lastRequest)
+		t.Logf("%q crashed %d upstreams, the third at %v; its last request reached an upstream at %v", body, len(upstreams.crashTimes[body]), thirdCrash.Sub(start).Round(time.Millisecond), lastRequest)
 	}
 	t.Logf("harmless: %+v, others: %+v", *totals["harmless"], *totals["others"])
 	if 20*servedAfterDetection["harmless"] < 19*sentAfterDetection["harmless"] {
-		t.Errorf("the harmless one: %d of %d whole", servedAfterDetection["harmless"], sentAfterDetection["harmless"])
+		t.Errorf("the harmless request: %d of %d served, want 95 percent", servedAfterDetection["harmless"], sentAfterDetection["harmless"])
 	}
 }
 
-// A request that is sent over and over is not blamed for what upstreams do by
-// themselves: they break off answers, end two at a time, and half of them at once.
+// TestFrequentRequestIsNotQuarantined checks that a request which is sent often is not quarantined
+// for failures of upstreams that it does not cause: aborted responses, crashes of two upstreams at
+// a time, and of half of the upstreams at once.
 func TestFrequentRequestIsNotQuarantined(t *testing.T) {
 	_, upstreams, entries := newRunningFleet(t, 44, 12)
 	upstreams.mu.Lock()
@@ -243,12 +245,13 @@
 	}
 	group.Wait()
 	if quarantined > 0 {
-		t.Errorf("%d of %d were refused", quarantined, sent)
+		t.Errorf("%d of %d requests were quarantined", quarantined, sent)
 	}
 }
 
-// An entry that is cut off from all controllers goes on serving callers: what it sees
-// itself is enough for it, and once it is back, for all.
+// TestQuarantineWithoutControllers checks that an entry without any controller quarantines a request
+// after the crashes that the entry observes itself, and that the quarantine applies at all
+// entries once controllers are back.
 func TestQuarantineWithoutControllers(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 45, 6)
 	body := crashBodyPrefix + "cut off"
@@ -258,18 +261,18 @@
 	e := entries[0]
 	for i := range 3 {
 		sendRequest(e, "once", body)
-		f.waitFor("an upstream ends", func() bool {
+		f.waitFor("an upstream crashes", func() bool {
 			_, ok := upstreams.nthCrashTime(body, i+1)
 			return ok
 		})
 	}
-	f.waitFor("it is refused", func() bool { return refusesAny(e) })
+	f.waitFor("the request is refused", func() bool { return refusesAny(e) })
 	quarantinedAt := time.Now()
 	checkRefused(t, e, body)
 	for n := 1; n <= 3; n++ {
 		f.startController(n, false)
 	}
-	// The one that found out refuses it all the while that the leader learns of it.
+	// The entry keeps refusing the request until the leader has quarantined it.
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -282,7 +285,7 @@
 			}
 		}
 	})
-	f.waitFor("all refuse it", func() bool {
+	f.waitFor("all entries refuse the request", func() bool {
 		for _, e := range entries {
 			e.mu.Lock()
 			disconnected := e.localKeeper != nil
@@ -299,11 +302,11 @@
 		checkRefused(t, e, body)
 	}
 	if n := upstreams.requestCount(body, quarantinedAt); n > 0 {
-		t.Errorf("it reached upstreams %d times more", n)
+		t.Errorf("the request reached upstreams %d more times", n)
 	}
 }
 
-// refusesAny reports whether the entry refusesAny some request.
+// refusesAny reports whether the entry has a quarantine that refuses requests.
 func refusesAny(e *Entry) bool {
 	for _, h := range e.view.Load().Quarantines {
 		if h.Stage == persimmoncross.QuarantineRefuse {
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A planned stop: not ready at once, requests are still served, a long answer
-// ends whole, and then the process is gone.
+// TestGracefulShutdown checks a planned stop: the entry is not ready at once, still serves requests
+// during readinessNoticePeriod, completes a long response, and then Serve returns.
 func TestGracefulShutdown(t *testing.T) {
 	e := newFleet(t, 77).stoppedEntry()
 	e.Site.Caller = new(freeAddress(t))
@@ -38,7 +38,7 @@
 		return http.Get("http://" + a.String() + path)
 	}
 	longResponse, err := get(*e.Site.Caller, "/long")
-	for err != nil { // it does not listen yet
+	for err != nil { // the server does not listen yet
 		time.Sleep(10 * time.Millisecond)
 		longResponse, err = get(*e.Site.Caller, "/long")
 	}
@@ -66,33 +66,33 @@
 		}
 		r.Body.Close()
 		if r.StatusCode != tt.status {
-			t.Errorf("%s answers %d while it stops, want %d", tt.address, r.StatusCode, tt.status)
+			t.Errorf("%s responds with %d during the stop, want %d", tt.address, r.StatusCode, tt.status)
 		}
 	}
 	for {
 		r, err := get(*e.Site.Caller, "/")
 		if err != nil {
-			break // the notice is over
+			break // the listener is closed after readinessNoticePeriod
 		}
 		r.Body.Close()
 		time.Sleep(50 * time.Millisecond)
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("stopped with an answer under way: %v", err)
+		t.Fatalf("Serve returned with a response in flight: %v", err)
 	default:
 	}
 	close(release)
 	body, err := io.ReadAll(longResponse.Body)
 	if err != nil || string(body) != "begin end" {
-		t.Errorf("the long answer is %q, %v", body, err)
+		t.Errorf("the long response is %q, %v", body, err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// freeAddress returns an address with a port that the kernel gave.
+// freeAddress returns a loopback address with a free port chosen by the kernel.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,8 +103,8 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// A controller that stops while an operator's call hangs ends in time and without
-// an error.
+// TestControllerStopsDuringCall checks that a controller which stops while an operator's call hangs
+// stops in time and without an error.
 func TestControllerStopsDuringCall(t *testing.T) {
 	f := newFleet(t, 78)
 	c := f.prepareController(1, true)
@@ -126,9 +126,9 @@
 			}
 			select {
 			case <-callReceived:
-				return // the call was cut off
+				return // the request was received and cut off by the stop
 			default:
-				time.Sleep(10 * time.Millisecond) // it does not listen yet
+				time.Sleep(10 * time.Millisecond) // the server does not listen yet
 			}
 		}
 	}()
