--- a/core/coordination/cascade/cascade.go
+++ b/core/coordination/cascade/cascade.go
@@ -100,15 +100,15 @@
 }
 
 func (e *Estimator) acceptanceRate(organisation string, sizeClass int, model string) float64 {
-	c := e.ratings[ratingKey{
+	stats := e.ratings[ratingKey{
 		organisation: organisation,
 		model:        model,
 		sizeClass:    sizeClass,
 	}]
-	if c == nil {
+	if stats == nil {
 		return priorAccepted / priorRated
 	}
-	return (c.accepted + priorAccepted) / (c.rated + priorRated)
+	return (stats.accepted + priorAccepted) / (stats.rated + priorRated)
 }
 
 // RecordRating records whether the rater accepted a step's answer.
@@ -125,15 +125,15 @@
 		model:        model,
 		sizeClass:    sizeClass,
 	}
-	c := e.ratings[key]
-	if c == nil {
-		c = &ratingStats{}
-		e.ratings[key] = c
+	stats := e.ratings[key]
+	if stats == nil {
+		stats = &ratingStats{}
+		e.ratings[key] = stats
 	}
-	c.accepted *= ratingDecay
-	c.rated = c.rated*ratingDecay + 1
+	stats.accepted *= ratingDecay
+	stats.rated = stats.rated*ratingDecay + 1
 	if accepted {
-		c.accepted++
+		stats.accepted++
 	}
 }
 
--- a/core/coordination/consensus/consensus_test.go
+++ b/core/coordination/consensus/consensus_test.go
@@ -199,7 +199,7 @@
 	c.run(2 * time.Second)
 	s := l.core.SnapshotMetadata(l.core.appliedIndex)
 	s.Data = encodeApplied(l.applied)
-	if len(s.Data) < 2*maxChunkBytes {
+	if len(s.Data) < 2*maxSnapshotChunkBytes {
 		t.Fatalf("the snapshot has only %d bytes", len(s.Data))
 	}
 	l.core.Compact(s, s.Index)
--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -31,9 +31,9 @@
 	// maxInflightBytes limits the bytes in flight to one follower, because entries may be whole
 	// documents. Without the limit all entries that a slow follower lacks would enter the send
 	// queue of its link at once, and again after each loss.
-	maxInflightBytes = 4 << 20
-	maxChunkBytes    = 256 << 10 // bytes of one snapshot chunk
-	maxCaughtUpLag   = 64        // entries that a member may lack when it becomes a voter
+	maxInflightBytes      = 4 << 20
+	maxSnapshotChunkBytes = 256 << 10 // bytes of one snapshot chunk
+	maxCaughtUpLag        = 64        // entries that a member may lack when it becomes a voter
 )
 
 // Core is one member of one replicated log. The exported fields must be set before
@@ -223,14 +223,14 @@
 		return
 	}
 	if !c.config.HasVoter(c.ID) {
-		c.sendHelloIfDue()
+		c.sendLearnerJoinIfDue()
 		return
 	}
 	if !now.Before(c.electionDeadline) {
 		c.campaign(PreCandidate, false)
 		// The active configuration may come from an entry that was never committed. In that
 		// case no voter votes for this member, and only a leader can send it the valid log.
-		c.sendHello()
+		c.sendLearnerJoin()
 	}
 }
 
@@ -238,7 +238,7 @@
 func (c *Core) Step(now time.Time, m persimmoncross.Message) {
 	c.now = now
 	if m.Kind == persimmoncross.MessageLearnerJoin {
-		c.onHello(m)
+		c.onLearnerJoin(m)
 		return
 	}
 	if m.To != c.ID {
@@ -263,9 +263,9 @@
 	case persimmoncross.MessageAppendReply:
 		c.onAppendReply(m)
 	case persimmoncross.MessageSnapshotChunk:
-		c.onChunk(m)
+		c.onSnapshotChunk(m)
 	case persimmoncross.MessageSnapshotChunkReply:
-		c.onChunkReply(m)
+		c.onSnapshotChunkReply(m)
 	case persimmoncross.MessageTimeoutNow:
 		if c.config.HasVoter(c.ID) {
 			c.campaign(Candidate, true)
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -334,26 +334,26 @@
 	return p
 }
 
-// sendHelloIfDue sends a join request once per heartbeat interval while no message of a leader
+// sendLearnerJoinIfDue sends a join request once per heartbeat interval while no message of a leader
 // arrives.
-func (c *Core) sendHelloIfDue() {
+func (c *Core) sendLearnerJoinIfDue() {
 	if c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout || c.now.Sub(c.lastHeartbeat) < c.HeartbeatInterval {
 		return
 	}
 	c.lastHeartbeat = c.now
 	c.leader = 0
-	c.sendHello()
+	c.sendLearnerJoin()
 }
 
-func (c *Core) sendHello() {
+func (c *Core) sendLearnerJoin() {
 	c.messagesBeforeSync = append(c.messagesBeforeSync, c.withHeader(0, "", persimmoncross.Message{
 		Kind:  persimmoncross.MessageLearnerJoin,
 		Index: c.log.lastIndex(),
 	}))
 }
 
-// onHello starts to send the log to the member that sent the join request.
-func (c *Core) onHello(m persimmoncross.Message) {
+// onLearnerJoin starts to send the log to the member that sent the join request.
+func (c *Core) onLearnerJoin(m persimmoncross.Message) {
 	if c.role != Leader || m.From == c.ID {
 		return
 	}
@@ -376,7 +376,7 @@
 		p.snapshotOffset = 0
 	}
 	size := uint64(len(c.snapshot.Data))
-	end := min(p.snapshotOffset+maxChunkBytes, size)
+	end := min(p.snapshotOffset+maxSnapshotChunkBytes, size)
 	p.chunkSentAt = c.now
 	c.sendBeforeSync(id, persimmoncross.Message{
 		Kind:           persimmoncross.MessageSnapshotChunk,
@@ -390,7 +390,7 @@
 	})
 }
 
-func (c *Core) onChunk(m persimmoncross.Message) {
+func (c *Core) onSnapshotChunk(m persimmoncross.Message) {
 	if c.role != Follower || c.leader != m.From {
 		c.becomeFollower(m.Term, m.From)
 	}
@@ -454,7 +454,7 @@
 	c.syncedIndex = s.Index
 }
 
-func (c *Core) onChunkReply(m persimmoncross.Message) {
+func (c *Core) onSnapshotChunkReply(m persimmoncross.Message) {
 	p := c.recordReply(m)
 	if p == nil || p.snapshotIndex != m.Index || m.SnapshotOffset > uint64(len(c.snapshot.Data)) {
 		return
--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -41,14 +41,14 @@
 			}
 			version = moved
 		}
-		c := r.addIsolation(routing.PickInfo{
+		info := r.addIsolation(routing.PickInfo{
 			Version:        version,
 			Prompt:         w.Body,
 			TriedUpstreams: r.triedUpstreams,
 		})
-		u := d.Table.Pick(c)
+		u := d.Table.Pick(info)
 		if u == nil {
-			return r.refuse(persimmoncross.CodeNoUpstream, "no engine can take %s now", version).WithRetryAfter(r.retryAfter(c))
+			return r.refuse(persimmoncross.CodeNoUpstream, "no engine can take %s now", version).WithRetryAfter(r.retryAfter(info))
 		}
 		err := r.attempt(ctx, u, version, out)
 		if err == nil {
@@ -72,13 +72,13 @@
 		if refusal := d.checkServicePermission(w); refusal != nil {
 			return refusal.WithRunStatus(r.runStatus)
 		}
-		c := r.addIsolation(routing.PickInfo{
+		info := r.addIsolation(routing.PickInfo{
 			ServiceUpstreams: w.Service.Upstreams,
 			TriedUpstreams:   r.triedUpstreams,
 		})
-		u := d.Table.Pick(c)
+		u := d.Table.Pick(info)
 		if u == nil {
-			return r.refuse(persimmoncross.CodeNoUpstream, "no process of %s can take a call now", w.Service.Name).WithRetryAfter(r.retryAfter(c))
+			return r.refuse(persimmoncross.CodeNoUpstream, "no process of %s can take a call now", w.Service.Name).WithRetryAfter(r.retryAfter(info))
 		}
 		err := r.attempt(ctx, u, persimmoncross.ModelVersion{}, r)
 		if err == nil {
@@ -92,8 +92,8 @@
 }
 
 // retryAfter returns the delay after which a caller may retry when no upstream is available.
-func (r *execution) retryAfter(c routing.PickInfo) time.Duration {
-	wait := r.dispatcher.Table.MinBackoffRemaining(c)
+func (r *execution) retryAfter(info routing.PickInfo) time.Duration {
+	wait := r.dispatcher.Table.MinBackoffRemaining(info)
 	if wait > 0 {
 		r.dispatcher.count("refused.backoff")
 	}
@@ -155,17 +155,17 @@
 // replaceVersion chooses another version when the chosen one is no longer permitted.
 func (r *execution) replaceVersion(ctx context.Context, step, version persimmoncross.ModelVersion) (persimmoncross.ModelVersion, *persimmoncross.Refusal) {
 	s := r.dispatcher.Settings()
-	pin, replacement, ok := r.dispatcher.choosePin(s, r.request, step)
+	pinCommand, replacement, ok := r.dispatcher.choosePin(s, r.request, step)
 	if !ok {
 		return version, r.dispatcher.noVersionRefusal(r.request, step).WithRunStatus(r.runStatus)
 	}
-	if pin == nil {
+	if pinCommand == nil {
 		return replacement, nil
 	}
 	if s.Withdrawn[version] {
-		pin.Moved = version.String()
+		pinCommand.Moved = version.String()
 	}
-	return r.dispatcher.commitPin(ctx, r.request, pin)
+	return r.dispatcher.commitPin(ctx, r.request, pinCommand)
 }
 
 // attempt sends the request to one upstream and forwards the response.
@@ -184,7 +184,7 @@
 	d.count("attempts")
 	d.Log.Debug().Str("request", w.ID).Str("attempt", a.ID).Str("upstream", u.Name).Str("organisation", a.Organisation).Str("version", v.String()).Uint64("revision", d.Settings().Revision).Msg("attempt")
 	quarantineRun := r.copy.BeginRun(u.InstanceID(), startedAt)
-	response, err := d.UpstreamClient.Begin(ctx, u.Address, a)
+	response, err := d.UpstreamClient.Send(ctx, u.Address, a)
 	if err == nil {
 		quarantineRun.MarkStarted(d.Clock.Now())
 		r.runStatus = persimmoncross.Ran
@@ -301,10 +301,10 @@
 	var a *persimmoncross.AttemptError
 	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.ClientFault
 	if ignored || err != nil && errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) != errStalled {
-		u.Breaker(v).Abandon()
+		u.Breaker(v).AbandonProbe()
 		return
 	}
-	u.Breaker(v).RecordResult(err != nil)
+	u.Breaker(v).RecordOutcome(err != nil)
 	if a != nil && a.RetryAfter > 0 {
 		r.dispatcher.count("backoff")
 		u.SetBackoff(r.dispatcher.Clock.Now().Add(a.RetryAfter))
@@ -312,5 +312,5 @@
 	if v.Model == "" || a != nil && (a.Overloaded || a.Run == persimmoncross.NotRun) {
 		return // a fault of the engine, not of the version
 	}
-	r.dispatcher.RolloutEvidence.Note(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
+	r.dispatcher.RolloutEvidence.RecordRun(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
 }
--- a/core/coordination/dispatch/cascade.go
+++ b/core/coordination/dispatch/cascade.go
@@ -126,10 +126,10 @@
 		return false
 	}
 	r.alreadyRated = true
-	d.RolloutEvidence.Rated(buffered.head.Version, r.request.Organisation.Name, rating < quality)
-	good := rating >= quality
-	d.CascadeEstimator.RecordRating(r.request.Organisation.Name, cascade.SizeClass(len(r.request.Body)), buffered.head.Version.Model, good)
-	return good
+	d.RolloutEvidence.RecordRating(buffered.head.Version, r.request.Organisation.Name, rating < quality)
+	goodEnough := rating >= quality
+	d.CascadeEstimator.RecordRating(r.request.Organisation.Name, cascade.SizeClass(len(r.request.Body)), buffered.head.Version.Model, goodEnough)
+	return goodEnough
 }
 
 // bufferedResponse is a responseWriter that buffers the answer until sendTo sends it.
--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -162,19 +162,19 @@
 // must be checked before the next attempt.
 func TestPermissionRevokedBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		end  func(e *testEnv)
-		code persimmoncross.Code
+		name   string
+		revoke func(e *testEnv)
+		code   persimmoncross.Code
 	}{
 		{
-			name: "withdrawn before a retry",
-			end:  func(e *testEnv) { e.withdraw("small@1") },
-			code: persimmoncross.CodeVersionWithdrawn,
+			name:   "withdrawn before a retry",
+			revoke: func(e *testEnv) { e.withdraw("small@1") },
+			code:   persimmoncross.CodeVersionWithdrawn,
 		},
 		{
-			name: "denied before a retry",
-			end:  func(e *testEnv) { e.apply(`, "deny": ["small@1"]`) },
-			code: persimmoncross.CodeModelForbidden,
+			name:   "denied before a retry",
+			revoke: func(e *testEnv) { e.apply(`, "deny": ["small@1"]`) },
+			code:   persimmoncross.CodeModelForbidden,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -189,7 +189,7 @@
 			for len(e.startedRuns()) == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			c.end(e)
+			c.revoke(e)
 			s := <-done
 			if s.refusal == nil || s.refusal.Code != c.code {
 				t.Errorf("got refusal %v", s.refusal)
@@ -261,7 +261,7 @@
 		for len(e.startedRuns()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		e.gate.set(nil, persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "lapsed"))
+		e.admitter.set(nil, persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "lapsed"))
 		s := <-done
 		if s.refusal == nil || s.refusal.Code != persimmoncross.CodeNoLease || s.refusal.Run == persimmoncross.NotRun {
 			t.Errorf("got refusal %v", s.refusal)
@@ -400,19 +400,19 @@
 	w.IdempotencyKey = "long"
 	late := &fakeSink{}
 	first := &fakeSink{}
-	asked := make(chan struct{})
+	joined := make(chan struct{})
 	first.onWrite = func() {
 		if len(first.chunks) == tokens-5 {
 			if !e.dispatcher.ServeJoin(t.Context(), "relay", "long", late) {
 				t.Error("the request is no longer running")
 			}
-			close(asked)
+			close(joined)
 		}
 	}
 	// The run must not end before the late reader has joined.
 	e.ledger.onCommand = func(c *record.Command) {
 		if c.GetSettle() != nil {
-			<-asked
+			<-joined
 		}
 	}
 	e.dispatcher.Serve(t.Context(), w, first)
@@ -455,7 +455,7 @@
 		Kind:    standin.FaultErrors,
 		Version: "small@2",
 	})
-	at := func(version string) int {
+	runsOf := func(version string) int {
 		n := 0
 		for _, r := range e.engines["engine-1"].Book.Runs() {
 			if r.Version == version {
@@ -469,13 +469,13 @@
 			t.Fatal(s.refusal)
 		}
 	}
-	if n := at("small@2"); n != 5 {
+	if n := runsOf("small@2"); n != 5 {
 		t.Errorf("%d runs of the failing version before the circuit breaker opened, want 5", n)
 	}
 	for range 3 {
 		e.serve(e.chatRequest("small@1", 1))
 	}
-	if n := at("small@1"); n != 3 {
+	if n := runsOf("small@1"); n != 3 {
 		t.Errorf("%d runs of the working version at the engine, want 3", n)
 	}
 }
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -25,14 +25,14 @@
 // RolloutEvidence collects the outcomes of runs by version, and limits new requests to
 // versions that are being rolled out.
 type RolloutEvidence interface {
-	// Note records the outcome of one run; first is the time to its first token.
-	Note(v persimmoncross.ModelVersion, organisation string, failed bool, first time.Duration)
-	// Rated records the rating of an answer whose run was passed to Note.
-	Rated(v persimmoncross.ModelVersion, organisation string, poor bool)
-	// Sample reports whether an answer of the version should be rated.
-	Sample(v persimmoncross.ModelVersion) bool
-	// Expose reports whether the version may get a request that another version could run.
-	Expose(v persimmoncross.ModelVersion) bool
+	// RecordRun records the outcome of one run; first is the time to its first token.
+	RecordRun(v persimmoncross.ModelVersion, organisation string, failed bool, first time.Duration)
+	// RecordRating records the rating of an answer whose run was passed to Note.
+	RecordRating(v persimmoncross.ModelVersion, organisation string, poor bool)
+	// ShouldRate reports whether an answer of the version should be rated.
+	ShouldRate(v persimmoncross.ModelVersion) bool
+	// TryExpose reports whether the version may get a request that another version could run.
+	TryExpose(v persimmoncross.ModelVersion) bool
 }
 
 // Dispatcher runs requests. The exported fields must be set before the first request.
--- a/core/coordination/dispatch/env_test.go
+++ b/core/coordination/dispatch/env_test.go
@@ -37,7 +37,7 @@
 	dispatcher *dispatch.Dispatcher
 	state      *settings.State
 	ledger     *fakeLedger
-	gate       *fakeGate
+	admitter   *fakeAdmitter
 	rater      *fakeRater
 	engines    map[string]*standin.Engine
 	service    *standin.Service
@@ -75,20 +75,20 @@
 	}), nil
 }
 
-type fakeGate struct {
+type fakeAdmitter struct {
 	mu    sync.Mutex // guards admit and lease
 	admit *persimmoncross.Refusal
 	lease *persimmoncross.Refusal
 }
 
-func (g *fakeGate) set(admit, lease *persimmoncross.Refusal) {
+func (g *fakeAdmitter) set(admit, lease *persimmoncross.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.admit = admit
 	g.lease = lease
 }
 
-func (g *fakeGate) Admit() *persimmoncross.Refusal {
+func (g *fakeAdmitter) Admit() *persimmoncross.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.admit != nil {
@@ -97,7 +97,7 @@
 	return g.lease
 }
 
-func (g *fakeGate) CheckLease() *persimmoncross.Refusal {
+func (g *fakeAdmitter) CheckLease() *persimmoncross.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease
@@ -156,9 +156,9 @@
 func newEnv(t *testing.T) *testEnv {
 	t.Helper()
 	e := &testEnv{
-		t:     t,
-		state: settings.NewState(),
-		gate:  &fakeGate{},
+		t:        t,
+		state:    settings.NewState(),
+		admitter: &fakeAdmitter{},
 		rater: &fakeRater{
 			smallRating: 0.9,
 		},
@@ -196,7 +196,7 @@
 		Clock:              clock,
 		FleetTime:          func() int64 { return clock.Now().UnixNano() },
 		Settings:           e.state.Current,
-		Admitter:           e.gate,
+		Admitter:           e.admitter,
 		Ledger:             e.ledger,
 		UpstreamClient:     client,
 		Table:              table,
--- a/core/coordination/dispatch/quarantine.go
+++ b/core/coordination/dispatch/quarantine.go
@@ -18,7 +18,7 @@
 
 // quarantineStage returns the request's quarantine stage.
 func (r *execution) quarantineStage() persimmoncross.QuarantineStage {
-	return r.copy.EffectiveStage(r.dispatcher.QuarantineStore.Hold(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
+	return r.copy.EffectiveStage(r.dispatcher.QuarantineStore.Quarantine(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
 }
 
 // checkQuarantine refuses a request in stage "refuse". It refuses a request that an upstream
@@ -39,15 +39,15 @@
 
 // addIsolation adds the isolated requests to the pick, and the request itself if it is
 // isolated.
-func (r *execution) addIsolation(c routing.PickInfo) routing.PickInfo {
+func (r *execution) addIsolation(info routing.PickInfo) routing.PickInfo {
 	d := r.dispatcher
-	c.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.copy.Service)
+	info.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.copy.Service)
 	if r.quarantineStage() == persimmoncross.QuarantineIsolate {
 		d.count("quarantine.watched")
 		d.QuarantineRecorder.MarkRequested(r.copy.Digest, r.copy.Service, d.Clock.Now())
-		c.IsolatedDigest = r.copy.Digest
+		info.IsolatedDigest = r.copy.Digest
 	}
-	return c
+	return info
 }
 
 // recordForQuarantine records how a run ended in the quarantine recorder. If the connection
--- a/core/coordination/dispatch/rating.go
+++ b/core/coordination/dispatch/rating.go
@@ -27,7 +27,7 @@
 // a cascade has rated is not rated again.
 func (r *execution) startSampling(v persimmoncross.ModelVersion) {
 	d := r.dispatcher
-	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.RolloutEvidence.Sample(v) {
+	if d.Rater == nil || v.Model == "" || r.alreadyRated || !d.RolloutEvidence.ShouldRate(v) {
 		return
 	}
 	r.ratingSample = &ratingRequest{
@@ -83,5 +83,5 @@
 		return
 	}
 	d.count("rated")
-	d.RolloutEvidence.Rated(request.version, request.organisation, value < request.qualityThreshold)
+	d.RolloutEvidence.RecordRating(request.version, request.organisation, value < request.qualityThreshold)
 }
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -63,14 +63,14 @@
 		sink.End(refusal) // before the request is claimed
 		return
 	}
-	first, refusal := r.prepare(ctx)
-	if refusal != nil || first == nil {
+	claimed, refusal := r.prepare(ctx)
+	if refusal != nil || claimed == nil {
 		if refusal != nil {
 			sink.End(refusal)
 		}
 		return
 	}
-	refusal = first.runSteps(ctx)
+	refusal = claimed.runSteps(ctx)
 	r.close(ctx, refusal)
 }
 
@@ -86,7 +86,7 @@
 // received its answer, either one stored in the ledger or that of another entry's run.
 func (r *execution) prepare(ctx context.Context) (*claimedExecution, *persimmoncross.Refusal) {
 	d, w := r.dispatcher, r.request
-	o := &claimedExecution{
+	claimed := &claimedExecution{
 		execution: r,
 	}
 	var pin *record.Pin
@@ -97,15 +97,15 @@
 			return nil, refusal
 		}
 		var ok bool
-		o.steps = steps
-		o.firstStep = d.chooseFirstStep(s, w, steps)
-		if pin, o.firstVersion, ok = d.choosePin(s, w, steps[o.firstStep]); !ok {
-			return nil, d.noVersionRefusal(w, steps[o.firstStep])
+		claimed.steps = steps
+		claimed.firstStep = d.chooseFirstStep(s, w, steps)
+		if pin, claimed.firstVersion, ok = d.choosePin(s, w, steps[claimed.firstStep]); !ok {
+			return nil, d.noVersionRefusal(w, steps[claimed.firstStep])
 		}
 	}
 	if w.IdempotencyKey == "" && !w.AtMostOnce && pin == nil {
 		r.claimAsync(ctx)
-		return o, nil
+		return claimed, nil
 	}
 	v, refusal := r.claimOrReplay(ctx, pin)
 	if v == nil || refusal != nil {
@@ -117,10 +117,10 @@
 			d.settle(ctx, r, ledger.NotRun)
 			return nil, refusal
 		}
-		o.firstVersion = version
+		claimed.firstVersion = version
 		r.pins = append(r.pins, pin)
 	}
-	return o, nil
+	return claimed, nil
 }
 
 // claimAsync claims the request while its first attempt runs. The request has no idempotency
@@ -144,15 +144,15 @@
 func (r *execution) claimOrReplay(ctx context.Context, pin *record.Pin) (*record.Verdict, *persimmoncross.Refusal) {
 	deadOwner := ""
 	for try := 0; ; try++ {
-		v, refusal := r.dispatcher.claim(ctx, r.request, pin, deadOwner)
+		verdict, refusal := r.dispatcher.claim(ctx, r.request, pin, deadOwner)
 		if refusal != nil {
 			return nil, refusal
 		}
-		switch v.GetState() {
+		switch verdict.GetState() {
 		case record.State_NEW:
-			return v, nil
+			return verdict, nil
 		case record.State_SETTLED:
-			return nil, r.replayAnswer(v)
+			return nil, r.replayAnswer(verdict)
 		case record.State_REUSED:
 			return nil, persimmoncross.NewRefusal(persimmoncross.CodeKeyReused, "the key was used for another request")
 		case record.State_LOST:
@@ -161,7 +161,7 @@
 		default:
 			return nil, ledgerFullRefusal()
 		}
-		owner := v.GetOwner()
+		owner := verdict.GetOwner()
 		if r.dispatcher.Joiner.Join(ctx, owner, r.request.Organisation.Name, r.request.IdempotencyKey, r.sink) == nil {
 			r.dispatcher.count("joined")
 			return nil, nil
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	settlement := r.settlement(outcome)
-	v, refusal := d.proposeCommand(ctx, &record.Command{
+	verdict, refusal := d.proposeCommand(ctx, &record.Command{
 		Settle: settlement,
 	})
 	if refusal != nil {
@@ -63,8 +63,8 @@
 		return refusal.WithRunStatus(r.runStatus)
 	}
 	// The sweeper may have settled the request if it considered this process dead.
-	settledBySweeper := outcome == ledger.Whole && v.GetOutcome() == ledger.Swept
-	if v.GetState() != record.State_SETTLED || v.GetOutcome() != outcome && !settledBySweeper {
+	settledBySweeper := outcome == ledger.Whole && verdict.GetOutcome() == ledger.Swept
+	if verdict.GetState() != record.State_SETTLED || verdict.GetOutcome() != outcome && !settledBySweeper {
 		d.count("settle.stale")
 		return persimmoncross.NewRefusal(persimmoncross.CodeAnswerLost, "another entry has taken the request over").WithRunStatus(persimmoncross.Ran)
 	}
--- a/core/coordination/dispatch/versions.go
+++ b/core/coordination/dispatch/versions.go
@@ -103,7 +103,7 @@
 	}
 	for len(usable) > 1 {
 		i := d.pickByWeight(usable, weights)
-		if d.RolloutEvidence.Expose(usable[i]) {
+		if d.RolloutEvidence.TryExpose(usable[i]) {
 			return usable[i], true
 		}
 		d.count("rollout.withheld")
--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -279,18 +279,18 @@
 			r.bytesSinceSnapshot += len(e.Data)
 		}
 		r.appliedIndex = e.Index
-		w, ok := r.pendingProposals[e.Index]
+		pending, ok := r.pendingProposals[e.Index]
 		if !ok {
 			continue
 		}
 		delete(r.pendingProposals, e.Index)
-		if w.term != e.Term {
-			w.reply <- response{
+		if pending.term != e.Term {
+			pending.reply <- response{
 				err: newError("propose", LeadershipLost, r.Core.LeaderVM(), nil),
 			}
 			continue
 		}
-		w.reply <- response{
+		pending.reply <- response{
 			result: result,
 		}
 	}
@@ -322,9 +322,9 @@
 // failPendingProposals answers all pending proposals with an error of the given kind, because
 // this member will not observe their outcome.
 func (r *Replica) failPendingProposals(kind ErrorKind) {
-	for index, w := range r.pendingProposals {
+	for index, pending := range r.pendingProposals {
 		delete(r.pendingProposals, index)
-		w.reply <- response{
+		pending.reply <- response{
 			err: newError("propose", kind, r.Core.LeaderVM(), nil),
 		}
 	}
--- a/core/coordination/group/requests.go
+++ b/core/coordination/group/requests.go
@@ -100,8 +100,8 @@
 
 func (r *Replica) awaitResponse(ctx context.Context, reply chan response) ([]byte, error) {
 	select {
-	case o := <-reply:
-		return o.result, o.err
+	case resp := <-reply:
+		return resp.result, resp.err
 	case <-ctx.Done():
 		return nil, newError("propose", LeadershipLost, "", ctx.Err())
 	case <-r.done:
--- a/core/coordination/limits/limiter.go
+++ b/core/coordination/limits/limiter.go
@@ -60,54 +60,54 @@
 
 // Admit admits a request of the organisation, or refuses it with the delay after which it
 // would be admitted. The returned function must be called when the request ends.
-func (l *Limiter) Admit(organisation string, b Quota) (release func(), refusal *persimmoncross.Refusal) {
+func (l *Limiter) Admit(organisation string, quota Quota) (release func(), refusal *persimmoncross.Refusal) {
 	entryShare := 1 / float64(max(1, l.LiveEntries()))
-	rate := b.Rate * entryShare
-	burst := math.Max(1, float64(b.Burst)*entryShare)
-	maxConcurrent := int(math.Max(1, math.Ceil(float64(b.Concurrency)*entryShare)))
+	rate := quota.Rate * entryShare
+	burst := math.Max(1, float64(quota.Burst)*entryShare)
+	maxConcurrent := int(math.Max(1, math.Ceil(float64(quota.Concurrency)*entryShare)))
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.usageOf(organisation, now, burst)
-	a.tokens = math.Min(burst, a.tokens+rate*now.Sub(a.refilledAt).Seconds())
-	a.refilledAt = now
-	if a.tokens < 1 {
-		wait := time.Duration((1 - a.tokens) / rate * float64(time.Second))
-		return nil, persimmoncross.NewRefusal(persimmoncross.CodeRateLimited, "%s is over its rate of %g requests a second", organisation, b.Rate).WithRetryAfter(wait)
-	}
-	if a.inFlight >= maxConcurrent {
-		return nil, persimmoncross.NewRefusal(persimmoncross.CodeConcurrencyLimited, "%s has all of its %d places taken", organisation, b.Concurrency).WithRetryAfter(concurrencyRetryAfter)
-	}
-	p := l.pool(b.PoolName)
-	if refusal := l.checkFairShare(organisation, p, b); refusal != nil {
+	usage := l.usageOf(organisation, now, burst)
+	usage.tokens = math.Min(burst, usage.tokens+rate*now.Sub(usage.refilledAt).Seconds())
+	usage.refilledAt = now
+	if usage.tokens < 1 {
+		wait := time.Duration((1 - usage.tokens) / rate * float64(time.Second))
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeRateLimited, "%s is over its rate of %g requests a second", organisation, quota.Rate).WithRetryAfter(wait)
+	}
+	if usage.inFlight >= maxConcurrent {
+		return nil, persimmoncross.NewRefusal(persimmoncross.CodeConcurrencyLimited, "%s has all of its %d places taken", organisation, quota.Concurrency).WithRetryAfter(concurrencyRetryAfter)
+	}
+	p := l.pool(quota.PoolName)
+	if refusal := l.checkFairShare(organisation, p, quota); refusal != nil {
 		return nil, refusal
 	}
-	a.tokens--
-	a.inFlight++
+	usage.tokens--
+	usage.inFlight++
 	p.add(organisation)
 	var once sync.Once
-	return func() { once.Do(func() { l.release(a, p, organisation) }) }, nil
+	return func() { once.Do(func() { l.release(usage, p, organisation) }) }, nil
 }
 
 func (l *Limiter) usageOf(organisation string, now time.Time, burst float64) *organisationUsage {
 	if l.usageByOrganisation == nil {
 		l.usageByOrganisation = map[string]*organisationUsage{}
 	}
-	a := l.usageByOrganisation[organisation]
-	if a == nil {
-		a = &organisationUsage{
+	usage := l.usageByOrganisation[organisation]
+	if usage == nil {
+		usage = &organisationUsage{
 			tokens:     burst,
 			refilledAt: now,
 		}
-		l.usageByOrganisation[organisation] = a
+		l.usageByOrganisation[organisation] = usage
 	}
-	return a
+	return usage
 }
 
-func (l *Limiter) release(a *organisationUsage, p *upstreamPool, organisation string) {
+func (l *Limiter) release(usage *organisationUsage, p *upstreamPool, organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a.inFlight--
+	usage.inFlight--
 	p.remove(organisation)
 }
 
@@ -115,8 +115,8 @@
 // the requests of all entries use at least fairShareThreshold of the pool's slots. The fair
 // share is an equal part of the slots for each organisation with a request in the pool. An
 // organisation that is alone in the pool may queue requests up to maxSoleOrganisationLoad.
-func (l *Limiter) checkFairShare(organisation string, p *upstreamPool, b Quota) *persimmoncross.Refusal {
-	if b.Capacity == 0 {
+func (l *Limiter) checkFairShare(organisation string, p *upstreamPool, quota Quota) *persimmoncross.Refusal {
+	if quota.Capacity == 0 {
 		return nil
 	}
 	usage := l.estimateUsage(p)
@@ -124,16 +124,16 @@
 	for _, n := range usage {
 		running += n
 	}
-	if float64(running) < fairShareThreshold*float64(b.Capacity) {
+	if float64(running) < fairShareThreshold*float64(quota.Capacity) {
 		return nil
 	}
 	activeOrganisations := len(usage)
 	if usage[organisation] == 0 {
 		activeOrganisations++
 	}
-	fairShare := float64(b.Capacity) / float64(activeOrganisations)
+	fairShare := float64(quota.Capacity) / float64(activeOrganisations)
 	if activeOrganisations == 1 {
-		fairShare = maxSoleOrganisationLoad * float64(b.Capacity)
+		fairShare = maxSoleOrganisationLoad * float64(quota.Capacity)
 	}
 	// An organisation below its fair share is admitted although the pool is full.
 	if float64(usage[organisation]) < math.Max(1, fairShare) {
--- a/core/coordination/limits/limiter_test.go
+++ b/core/coordination/limits/limiter_test.go
@@ -31,7 +31,7 @@
 func TestRetryAfterMatchesRateLimit(t *testing.T) {
 	for _, entries := range []int{1, 4} {
 		l, clock := newLimiter(entries)
-		b := Quota{
+		quota := Quota{
 			Rate:        8,
 			Burst:       8,
 			Concurrency: 1000,
@@ -39,7 +39,7 @@
 		admitted := 0
 		var refusal *persimmoncross.Refusal
 		for refusal == nil {
-			if _, refusal = l.Admit("o", b); refusal == nil {
+			if _, refusal = l.Admit("o", quota); refusal == nil {
 				admitted++
 			}
 		}
@@ -47,32 +47,32 @@
 			t.Errorf("%d entries: %d requests admitted at once", entries, admitted)
 		}
 		clock.now = clock.now.Add(refusal.RetryAfter - time.Millisecond)
-		if _, early := l.Admit("o", b); early == nil {
+		if _, early := l.Admit("o", quota); early == nil {
 			t.Errorf("%d entries: request admitted before the Retry-After delay", entries)
 		}
 		clock.now = clock.now.Add(time.Millisecond)
-		if _, late := l.Admit("o", b); late != nil {
+		if _, late := l.Admit("o", quota); late != nil {
 			t.Errorf("%d entries: request refused after the Retry-After delay: %v", entries, late)
 		}
 	}
 }
 
 func TestFairShare(t *testing.T) {
-	b := Quota{
+	quota := Quota{
 		Rate:        1e6,
 		Burst:       1e6,
 		Concurrency: 1e6,
 		PoolName:    "m",
 		Capacity:    100,
 	}
-	fill := func(l *Limiter, organisation string) (n int, leave func()) {
+	fill := func(l *Limiter, organisation string) (n int, release func()) {
 		for {
-			next, refusal := l.Admit(organisation, b)
+			next, refusal := l.Admit(organisation, quota)
 			if refusal != nil {
-				return n, leave
+				return n, release
 			}
 			n++
-			leave = next
+			release = next
 		}
 	}
 	t.Run("alone", func(t *testing.T) {
@@ -83,7 +83,7 @@
 	})
 	t.Run("with another organisation", func(t *testing.T) {
 		l, _ := newLimiter(1)
-		l.Admit("small", b)
+		l.Admit("small", quota)
 		if n, _ := fill(l, "big"); n != fairShareThreshold*100-1 {
 			t.Errorf("%d requests of big admitted", n)
 		}
@@ -99,23 +99,23 @@
 				"big":   69,
 			},
 		})
-		if _, refusal := l.Admit("big", b); refusal == nil || refusal.Code != persimmoncross.CodeOverloaded {
+		if _, refusal := l.Admit("big", quota); refusal == nil || refusal.Code != persimmoncross.CodeOverloaded {
 			t.Errorf("got refusal %v of big, want code overloaded", refusal)
 		}
-		if _, refusal := l.Admit("small", b); refusal != nil {
+		if _, refusal := l.Admit("small", quota); refusal != nil {
 			t.Errorf("small was refused: %v", refusal)
 		}
 	})
 	t.Run("release frees a place", func(t *testing.T) {
 		l, _ := newLimiter(1)
-		l.Admit("small", b)
+		l.Admit("small", quota)
 		_, leave := fill(l, "big")
 		leave()
 		leave() // has no effect the second time
-		if _, refusal := l.Admit("big", b); refusal != nil {
+		if _, refusal := l.Admit("big", quota); refusal != nil {
 			t.Error(refusal)
 		}
-		if _, refusal := l.Admit("big", b); refusal == nil {
+		if _, refusal := l.Admit("big", quota); refusal == nil {
 			t.Error("releasing one request twice freed two places")
 		}
 	})
--- a/core/coordination/orders/planner.go
+++ b/core/coordination/orders/planner.go
@@ -166,9 +166,9 @@
 	if p.pendingLoads == nil {
 		p.pendingLoads = map[Order]pendingLoad{}
 	}
-	for o, g := range p.pendingLoads {
+	for o, load := range p.pendingLoads {
 		i := slices.IndexFunc(engines, func(e Engine) bool { return e.Name == o.Engine })
-		if i < 0 || now.Sub(g.orderedAt) > loadTimeout || engines[i].Restarts != g.engineRestarts || slices.Contains(engines[i].Reported, o.Version) {
+		if i < 0 || now.Sub(load.orderedAt) > loadTimeout || engines[i].Restarts != load.engineRestarts || slices.Contains(engines[i].Reported, o.Version) {
 			delete(p.pendingLoads, o)
 		}
 	}
--- a/core/coordination/orders/planner_test.go
+++ b/core/coordination/orders/planner_test.go
@@ -31,11 +31,11 @@
 
 func TestPlan(t *testing.T) {
 	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
-	silent := newEngine("a", both, nil)
-	leaving := newEngine("a", both, one)
-	leaving.Available = false
-	ignores := newEngine("a", both, one)
-	ignores.SupportsFencing = false
+	withoutReport := newEngine("a", both, nil)
+	draining := newEngine("a", both, one)
+	draining.Available = false
+	withoutFencing := newEngine("a", both, one)
+	withoutFencing.SupportsFencing = false
 	for _, c := range []struct {
 		name      string
 		engines   []Engine
@@ -81,23 +81,23 @@
 		},
 		{
 			name:    "engine that reports no versions",
-			engines: []Engine{silent},
+			engines: []Engine{withoutReport},
 			want:    "[]",
 		},
 		{
 			name:    "draining engine",
-			engines: []Engine{leaving},
+			engines: []Engine{draining},
 			want:    "[]",
 		},
 		{
 			name:    "engine without fencing, within the former leader's lease",
-			engines: []Engine{ignores},
+			engines: []Engine{withoutFencing},
 			after:   2 * time.Second,
 			want:    "[]",
 		},
 		{
 			name:    "engine without fencing, after the former leader's lease",
-			engines: []Engine{ignores},
+			engines: []Engine{withoutFencing},
 			after:   4 * time.Second,
 			want:    "[{a load m@2}]",
 		},
@@ -131,17 +131,17 @@
 	}
 	rounds := 0
 	for now := start; ; now = now.Add(time.Second) {
-		given := p.Plan(now, list, nil)
-		if len(given) == 0 {
+		planned := p.Plan(now, list, nil)
+		if len(planned) == 0 {
 			break
 		}
-		if rounds++; len(given) > DefaultMaxConcurrentLoads || rounds > engines {
-			t.Fatalf("round %d: got orders %v", rounds, given)
+		if rounds++; len(planned) > DefaultMaxConcurrentLoads || rounds > engines {
+			t.Fatalf("round %d: got orders %v", rounds, planned)
 		}
 		if again := p.Plan(now, list, nil); len(again) != 0 {
 			t.Fatalf("got orders %v while loads are pending", again)
 		}
-		for _, o := range given {
+		for _, o := range planned {
 			i := slices.IndexFunc(list, func(e Engine) bool { return e.Name == o.Engine })
 			list[i].Reported = append(slices.Clone(list[i].Reported), o.Version)
 		}
--- a/core/coordination/outlier/idle.go
+++ b/core/coordination/outlier/idle.go
@@ -6,11 +6,11 @@
 // upstream that still sends events is only busy: leaving its queue would mean to join another
 // queue at its end.
 const (
-	headerWaitFactor        = 4.0 // factor of the expected wait for the response head
-	headerObjectiveFraction = 0.4 // minimum, as a fraction of the route's objective
-	// minHeaderTimeout is the minimum timeout, for routes with a short objective or none. It
+	headWaitFactor        = 4.0 // factor of the expected wait for the response head
+	headObjectiveFraction = 0.4 // minimum, as a fraction of the route's objective
+	// minHeadTimeout is the minimum timeout, for routes with a short objective or none. It
 	// covers several round trips between regions and the processing of a simple request.
-	minHeaderTimeout = 200 * time.Millisecond
+	minHeadTimeout = 200 * time.Millisecond
 	// pauseLimitFraction is the fraction of the route's pause limit after which a stream is
 	// ended, because upstreams may crash without a reset or become slow. The rest of the
 	// limit is for another upstream, which has to prefill the prompt to continue the stream.
@@ -31,14 +31,14 @@
 
 // IdleState holds the inputs of the idle timeout of an attempt.
 type IdleState struct {
-	ExpectedHeaderWait time.Duration // expected wait for the response head; 0: not known
-	Objective          time.Duration // of the route
-	PauseLimit         time.Duration // the route's longest pause between events; 0: no limit
-	HeaderReceived     bool          // the response head has been received
-	ActiveStreams      int           // streams of this entry that have started at the upstream
-	RecentPause        time.Duration // longest recent pause of those streams
-	PendingPrefill     time.Duration // prefill time of the prompts that wait at the upstream
-	SuspectedByOthers  bool          // other entries suspect the upstream
+	ExpectedHeadWait  time.Duration // expected wait for the response head; 0: not known
+	Objective         time.Duration // of the route
+	PauseLimit        time.Duration // the route's longest pause between events; 0: no limit
+	HeadReceived      bool          // the response head has been received
+	ActiveStreams     int           // streams of this entry that have started at the upstream
+	RecentPause       time.Duration // longest recent pause of those streams
+	PendingPrefill    time.Duration // prefill time of the prompts that wait at the upstream
+	SuspectedByOthers bool          // other entries suspect the upstream
 }
 
 // Timeout returns the time after which an attempt at an upstream that sends nothing is ended,
@@ -49,14 +49,14 @@
 		streamTimeout /= 2
 	}
 	streamTimeout += s.PendingPrefill
-	if s.HeaderReceived {
+	if s.HeadReceived {
 		return streamTimeout, s.PauseLimit > 0
 	}
-	headerTimeout := max(time.Duration(headerWaitFactor*float64(s.ExpectedHeaderWait)), time.Duration(headerObjectiveFraction*float64(s.Objective)))
+	headTimeout := max(time.Duration(headWaitFactor*float64(s.ExpectedHeadWait)), time.Duration(headObjectiveFraction*float64(s.Objective)))
 	if s.PauseLimit > 0 && s.ActiveStreams >= minActiveStreams {
-		headerTimeout = min(headerTimeout, streamTimeout)
+		headTimeout = min(headTimeout, streamTimeout)
 	}
-	return max(headerTimeout, minHeaderTimeout, prefillFactor*s.PendingPrefill), true
+	return max(headTimeout, minHeadTimeout, prefillFactor*s.PendingPrefill), true
 }
 
 // PauseTracker tracks the longest recent pause between events of an upstream's streams. A
--- a/core/coordination/outlier/idle_test.go
+++ b/core/coordination/outlier/idle_test.go
@@ -24,8 +24,8 @@
 		{
 			name: "response head with a long expected wait",
 			state: IdleState{
-				ExpectedHeaderWait: time.Second,
-				Objective:          objective,
+				ExpectedHeadWait: time.Second,
+				Objective:        objective,
 			},
 			timeout: 4 * time.Second,
 			ok:      true,
@@ -33,10 +33,10 @@
 		{
 			name: "response head at an upstream with several active streams",
 			state: IdleState{
-				ExpectedHeaderWait: time.Second,
-				Objective:          objective,
-				PauseLimit:         pauseLimit,
-				ActiveStreams:      3,
+				ExpectedHeadWait: time.Second,
+				Objective:        objective,
+				PauseLimit:       pauseLimit,
+				ActiveStreams:    3,
 			},
 			timeout: 600 * time.Millisecond,
 			ok:      true,
@@ -54,8 +54,8 @@
 		{
 			name: "started stream",
 			state: IdleState{
-				PauseLimit:     pauseLimit,
-				HeaderReceived: true,
+				PauseLimit:   pauseLimit,
+				HeadReceived: true,
 			},
 			timeout: 600 * time.Millisecond,
 			ok:      true,
@@ -63,9 +63,9 @@
 		{
 			name: "stream during the prefill of a long prompt",
 			state: IdleState{
-				PauseLimit:     pauseLimit,
-				HeaderReceived: true,
-				RecentPause:    450 * time.Millisecond,
+				PauseLimit:   pauseLimit,
+				HeadReceived: true,
+				RecentPause:  450 * time.Millisecond,
 			},
 			timeout: 900 * time.Millisecond,
 			ok:      true,
@@ -83,7 +83,7 @@
 			name: "stream with pending prefill",
 			state: IdleState{
 				PauseLimit:     pauseLimit,
-				HeaderReceived: true,
+				HeadReceived:   true,
 				PendingPrefill: 2 * time.Second,
 			},
 			timeout: 2600 * time.Millisecond,
@@ -93,7 +93,7 @@
 			name: "stream at an upstream that other entries suspect",
 			state: IdleState{
 				PauseLimit:        pauseLimit,
-				HeaderReceived:    true,
+				HeadReceived:      true,
 				SuspectedByOthers: true,
 			},
 			timeout: 300 * time.Millisecond,
@@ -107,8 +107,8 @@
 		{
 			name: "stream on a route without a pause limit",
 			state: IdleState{
-				Objective:      objective,
-				HeaderReceived: true,
+				Objective:    objective,
+				HeadReceived: true,
 			},
 		},
 	}
@@ -154,7 +154,7 @@
 	}
 	s.Clear()
 	s.Suspect(now)
-	if s.IsActive(now.Add(InitialSuspicion)) {
+	if s.IsActive(now.Add(InitialSuspicionDuration)) {
 		t.Error("suspicion after Clear does not start at the initial duration")
 	}
 }
--- a/core/coordination/outlier/suspicion.go
+++ b/core/coordination/outlier/suspicion.go
@@ -8,8 +8,8 @@
 // Durations of the suspicion of an upstream that could not be reached or has stalled. A
 // crashed upstream stays on the list of upstreams for seconds.
 const (
-	InitialSuspicion = time.Second // doubled for each further suspicion
-	maxSuspicion     = 8 * time.Second
+	InitialSuspicionDuration = time.Second // doubled for each further suspicion
+	maxSuspicionDuration     = 8 * time.Second
 )
 
 // Limits of the fleet's suspicion of an upstream.
@@ -22,10 +22,10 @@
 	// works. An upstream that has answered any entry since then is not avoided because of
 	// the suspicion of other entries.
 	MaxLoadReportAge = time.Second
-	// probeShare, divided by the number of entries, is the share of the requests for a
+	// probeRequests, divided by the number of entries, is the share of the requests for a
 	// suspected upstream that are still sent to it as probes. The first that is answered ends
 	// the suspicion.
-	probeShare = 4.0
+	probeRequests = 4.0
 	// SuspicionRetention is how long an entry reports its suspicion after its last failed
 	// attempt. An upstream that is gone has been removed from the list by then.
 	SuspicionRetention = 10 * time.Second
@@ -46,7 +46,7 @@
 	if now.Before(s.suspectedUntil) {
 		return
 	}
-	s.duration = min(max(2*s.duration, InitialSuspicion), maxSuspicion)
+	s.duration = min(max(2*s.duration, InitialSuspicionDuration), maxSuspicionDuration)
 	s.suspectedUntil = now.Add(s.duration)
 }
 
@@ -82,5 +82,5 @@
 	if s.SuspectingEntries < SuspicionQuorum || s.LoadReportAge <= MaxLoadReportAge {
 		return false
 	}
-	return random*float64(s.Entries) >= probeShare
+	return random*float64(s.Entries) >= probeRequests
 }
--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -40,7 +40,7 @@
 
 // Candidate describes an upstream that could get the request.
 type Candidate struct {
-	ID                string        // identifies the upstream's instance; the same at all entries
+	Name              string        // identifies the upstream's instance; the same at all entries
 	Slots             int           // number of requests that the upstream serves concurrently
 	HashWeight        float64       // number of entries for which this one sends prompts with a prefix key; 0 means 1
 	SlotUtilization   float64       // fraction of the slots in use, as estimated by this entry
@@ -130,7 +130,7 @@
 // twice the slots is preferred for twice as many prefix keys. An upstream to which only half
 // of the entries send is also weighted twice.
 func rendezvousWeight(c Candidate, prefixKey string) float64 {
-	hash := xxhash.Sum64String(prefixKey + "\x00" + c.ID)
+	hash := xxhash.Sum64String(prefixKey + "\x00" + c.Name)
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -float64(max(c.Slots, 1)) * max(c.HashWeight, 1) / math.Log(unit)
 }
--- a/core/coordination/placement/placement_test.go
+++ b/core/coordination/placement/placement_test.go
@@ -10,7 +10,7 @@
 	list := make([]Candidate, n)
 	for i := range list {
 		list[i] = Candidate{
-			ID:    fmt.Sprint("u", i),
+			Name:  fmt.Sprint("u", i),
 			Slots: 10,
 		}
 	}
@@ -107,7 +107,7 @@
 			var candidates []Candidate
 			for i := range upstreams {
 				c := Candidate{
-					ID:    fmt.Sprint("u", i),
+					Name:  fmt.Sprint("u", i),
 					Slots: 8,
 				}
 				if i == 0 && p%entries >= senders {
@@ -119,7 +119,7 @@
 				candidates = append(candidates, c)
 			}
 			target, _ := Place(candidates, Prompt{PrefixKey: fmt.Sprint("h", p)}, 0)
-			if candidates[target].ID == "u0" {
+			if candidates[target].Name == "u0" {
 				coldRequests++
 			}
 		}
--- a/core/coordination/quarantine/evaluate.go
+++ b/core/coordination/quarantine/evaluate.go
@@ -15,7 +15,7 @@
 	// operators' bound on retries counts the runs that are sent after the third crash. A
 	// request is isolated one crash earlier.
 	refuseCrashes          = 3
-	watchCrashes           = 2
+	isolateCrashes         = 2
 	contestedRefuseCrashes = 6 // for a request that never completed; other suspects may have run there too
 	minUncontestedCrashes  = 2 // crashes without another suspect, needed if there was one at any of them
 	// sameEventWindow is the time within which crashes are one event. The loss of a rack
@@ -48,13 +48,13 @@
 	minRunTime          = 10 * time.Millisecond // assumed minimum from a run's start to its crash
 	crashRetention      = 10 * time.Minute      // how long a crash counts
 	refuseIdleTimeout   = crashRetention        // time without copies after which a refusal ends
-	watchIdleTimeout    = 4 * time.Second       // time without copies after which isolation ends, since its places are limited
+	isolateIdleTimeout  = 4 * time.Second       // time without copies after which isolation ends, since its places are limited
 	recentRequestWindow = 5 * time.Second       // a trial needs another copy, so it starts only if one came lately
 	// trialTimeout is how long the trial VM may wait for a copy and run it. An instance is
 	// reserved for the trial during this time.
 	trialTimeout   = 10 * time.Second
 	maxQuarantines = 1024 // 40 KB at each VM
-	maxWatched     = 64   // isolated requests; each has a reserved instance if there are enough
+	maxIsolated    = 64   // isolated requests; each has a reserved instance if there are enough
 )
 
 // trialDelays are the delays before the trial runs of a refused request. In a trial one
@@ -112,10 +112,10 @@
 func Evaluate(records []Record, quarantines map[persimmoncross.Digest]TrackedQuarantine, now time.Time) []Change {
 	scores := scoreRecords(records, quarantines, now)
 	var changes []Change
-	watched := 0
-	for _, h := range quarantines {
-		if h.Stage == persimmoncross.QuarantineIsolate {
-			watched++
+	isolatedCount := 0
+	for _, quarantine := range quarantines {
+		if quarantine.Stage == persimmoncross.QuarantineIsolate {
+			isolatedCount++
 		}
 	}
 	for _, s := range scores {
@@ -123,16 +123,16 @@
 		attributed := s.attributedCrashes()
 		proven := len(attributed) >= refuseCrashes && s.isProven(attributed)
 		settled := ok && now.Sub(h.Since) >= s.settleTime()
-		watchable := !ok && watched < maxWatched // otherwise the request is refused as soon as it is proven
+		canIsolate := !ok && isolatedCount < maxIsolated // otherwise the request is refused as soon as it is proven
 		switch {
 		case h.Stage == persimmoncross.QuarantineRefuse:
 			if c, ok := s.updateTrial(h, now); ok {
 				changes = append(changes, c)
 			}
-		case proven && (settled || !ok && !watchable && len(quarantines)+len(changes) < maxQuarantines):
+		case proven && (settled || !ok && !canIsolate && len(quarantines)+len(changes) < maxQuarantines):
 			changes = append(changes, s.newChange(persimmoncross.QuarantineRefuse, "upstreams end wherever it runs", attributed))
-		case watchable && (proven || s.suspicion >= watchCrashes && now.Sub(s.LastRequested) < watchIdleTimeout):
-			watched++
+		case canIsolate && (proven || s.suspicion >= isolateCrashes && now.Sub(s.LastRequested) < isolateIdleTimeout):
+			isolatedCount++
 			changes = append(changes, s.newChange(persimmoncross.QuarantineIsolate, "upstreams ended where it ran", s.Crashes))
 		}
 	}
@@ -141,23 +141,23 @@
 
 // updateTrial returns the change of a refused request that starts or ends a trial, or ends
 // the refusal, and false if there is none.
-func (s *score) updateTrial(h TrackedQuarantine, now time.Time) (Change, bool) {
+func (s *score) updateTrial(quarantine TrackedQuarantine, now time.Time) (Change, bool) {
 	c := Change{
-		Quarantine: h.Quarantine,
+		Quarantine: quarantine.Quarantine,
 		Crashes:    s.Crashes,
 	}
-	delay := trialDelays[min(h.TrialCount, len(trialDelays)-1)]
+	delay := trialDelays[min(quarantine.TrialCount, len(trialDelays)-1)]
 	requestedLately := now.Sub(s.LastRequested) < recentRequestWindow
-	crashedInTrial := slices.ContainsFunc(s.Crashes, func(crash Crash) bool { return crash.At.After(h.Since) })
+	crashedInTrial := slices.ContainsFunc(s.Crashes, func(crash Crash) bool { return crash.At.After(quarantine.Since) })
 	switch {
-	case s.ClearedAt.After(h.Since):
+	case s.ClearedAt.After(quarantine.Since):
 		c.Stage, c.TrialVM, c.Reason = persimmoncross.QuarantineNone, "", "it came to its end by itself"
-	case h.TrialVM != "" && crashedInTrial:
+	case quarantine.TrialVM != "" && crashedInTrial:
 		c.TrialVM, c.Reason = "", "an upstream ended under its trial"
-	case h.TrialVM == "" && requestedLately && now.Sub(h.Since) >= delay:
-		c.TrialVM, c.TrialCount, c.Reason = s.LastRequestedBy, h.TrialCount+1, "it is tried once"
-	case h.TrialVM != "" && now.Sub(h.Since) >= trialTimeout:
-		c.TrialVM, c.TrialCount, c.Reason = "", h.TrialCount-1, "its trial told nothing"
+	case quarantine.TrialVM == "" && requestedLately && now.Sub(quarantine.Since) >= delay:
+		c.TrialVM, c.TrialCount, c.Reason = s.LastRequestedBy, quarantine.TrialCount+1, "it is tried once"
+	case quarantine.TrialVM != "" && now.Sub(quarantine.Since) >= trialTimeout:
+		c.TrialVM, c.TrialCount, c.Reason = "", quarantine.TrialCount-1, "its trial told nothing"
 	default:
 		return c, false
 	}
@@ -183,9 +183,9 @@
 		}
 		reason := ""
 		switch idle := now.Sub(lastActive); {
-		case h.Stage == persimmoncross.QuarantineRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.QuarantineIsolate && idle >= watchIdleTimeout:
+		case h.Stage == persimmoncross.QuarantineRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.QuarantineIsolate && idle >= isolateIdleTimeout:
 			reason = "no copy came"
-		case h.Stage == persimmoncross.QuarantineIsolate && s.suspicion < watchCrashes && len(s.attributedCrashes()) < refuseCrashes:
+		case h.Stage == persimmoncross.QuarantineIsolate && s.suspicion < isolateCrashes && len(s.attributedCrashes()) < refuseCrashes:
 			reason = "it came to its end"
 		}
 		if reason != "" {
@@ -218,11 +218,11 @@
 func scoreRecords(records []Record, quarantines map[persimmoncross.Digest]TrackedQuarantine, now time.Time) []*score {
 	isRefused := func(r Record) bool { return quarantines[r.Digest].Stage == persimmoncross.QuarantineRefuse }
 	crashedAt := firstCrashTimes(records)
-	startedLate := func(c Crash) bool { return c.startedAt().Sub(crashedAt[c.InstanceID]) > maxDetectionDelay }
+	startedAfterCrash := func(c Crash) bool { return c.startedAt().Sub(crashedAt[c.InstanceID]) > maxDetectionDelay }
 	explained := map[string]bool{}
 	for _, r := range records {
 		for _, c := range r.Crashes {
-			if isRefused(r) && !startedLate(c) {
+			if isRefused(r) && !startedAfterCrash(c) {
 				explained[c.InstanceID] = true
 			}
 		}
@@ -234,7 +234,7 @@
 	topSuspicions := map[string]two{}
 	for _, r := range records {
 		r.Crashes = slices.DeleteFunc(slices.Clone(r.Crashes), func(c Crash) bool {
-			return now.Sub(c.At) > crashRetention || !c.At.After(r.ClearedAt) || explained[c.InstanceID] && !isRefused(r) || startedLate(c)
+			return now.Sub(c.At) > crashRetention || !c.At.After(r.ClearedAt) || explained[c.InstanceID] && !isRefused(r) || startedAfterCrash(c)
 		})
 		s := &score{
 			Record: r,
@@ -334,7 +334,7 @@
 	if s.Completed == 0 && len(attributed) >= contestedRefuseCrashes {
 		return true
 	}
-	isContested := func(c Crash) bool { return s.rivalSuspicions[c.InstanceID] >= watchCrashes }
+	isContested := func(c Crash) bool { return s.rivalSuspicions[c.InstanceID] >= isolateCrashes }
 	if !slices.ContainsFunc(s.Crashes, isContested) {
 		return true
 	}
--- a/core/coordination/quarantine/evaluate_test.go
+++ b/core/coordination/quarantine/evaluate_test.go
@@ -47,7 +47,7 @@
 	f.now = f.now.Add(after)
 	records, _ := f.recorder.Records(0, f.now)
 	f.quarantines.Evaluate(Merge([][]Record{records}, 4096), f.now)
-	return f.quarantines.Hold(d)
+	return f.quarantines.Quarantine(d)
 }
 
 var (
@@ -64,7 +64,7 @@
 		}
 	}
 	for i := range 3 {
-		if got := f.quarantines.Hold(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.QuarantineNone {
+		if got := f.quarantines.Quarantine(persimmoncross.Digest{9, byte(i)}); got.Stage != persimmoncross.QuarantineNone {
 			t.Errorf("request that ran at one of the crashes: %v, want no quarantine", got)
 		}
 	}
@@ -246,11 +246,11 @@
 		t.Errorf("%d records, %d crashed instances, %d digests of completed runs, %d digests in flight", len(records), len(f.recorder.crashedAt), len(f.recorder.recentCompleted[0]), len(f.recorder.inFlight))
 	}
 	f.evaluate(time.Second, crasher)
-	if n := len(f.quarantines.Holds()); n == 0 || n > maxQuarantines {
+	if n := len(f.quarantines.Quarantines()); n == 0 || n > maxQuarantines {
 		t.Errorf("%d quarantines", n)
 	}
 	latest := persimmoncross.Digest{7, byte(4999 & 0xff), byte(4999 >> 8)}
-	if got := f.quarantines.Hold(latest).Stage; got != persimmoncross.QuarantineRefuse {
+	if got := f.quarantines.Quarantine(latest).Stage; got != persimmoncross.QuarantineRefuse {
 		t.Errorf("latest request: %v, want refusal", got)
 	}
 }
--- a/core/coordination/quarantine/request.go
+++ b/core/coordination/quarantine/request.go
@@ -26,17 +26,17 @@
 
 // EffectiveStage returns the stage that applies to the copy under the quarantine of its
 // request. mayHaveRun says that an upstream may have started the copy, which ends a trial.
-func (r *Request) EffectiveStage(h persimmoncross.Quarantine, mayHaveRun bool) persimmoncross.QuarantineStage {
-	if h.Stage != persimmoncross.QuarantineRefuse || mayHaveRun {
-		return h.Stage
+func (r *Request) EffectiveStage(quarantine persimmoncross.Quarantine, mayHaveRun bool) persimmoncross.QuarantineStage {
+	if quarantine.Stage != persimmoncross.QuarantineRefuse || mayHaveRun {
+		return quarantine.Stage
 	}
-	if !r.trial && h.TrialVM != "" && h.TrialVM == r.Recorder.VM {
-		r.trial = r.Recorder.ClaimTrial(r.Digest, h.TrialCount)
+	if !r.trial && quarantine.TrialVM != "" && quarantine.TrialVM == r.Recorder.VM {
+		r.trial = r.Recorder.ClaimTrial(r.Digest, quarantine.TrialCount)
 	}
 	if r.trial {
 		return persimmoncross.QuarantineIsolate // until the trial has run once
 	}
-	return h.Stage
+	return quarantine.Stage
 }
 
 // IsTrial reports whether the copy is the trial run of a refused request.
@@ -64,7 +64,7 @@
 func (r *Run) ProbeUpstream(ctx context.Context, prober persimmoncross.Prober, address netip.AddrPort, clock persimmoncross.Clock) (blamed []persimmoncross.Digest, exited bool) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	if prober == nil || !prober.Gone(ctx, address) {
+	if prober == nil || !prober.IsDown(ctx, address) {
 		r.recorder.InstanceListening(r.instanceID)
 		return nil, false
 	}
--- a/core/coordination/quarantine/simulation_test.go
+++ b/core/coordination/quarantine/simulation_test.go
@@ -18,7 +18,7 @@
 		distinct: true,
 		runTime:  400 * ms,
 	}
-	hot := func(runTime time.Duration) workload {
+	frequent := func(runTime time.Duration) workload {
 		return workload{
 			name:     "hot",
 			interval: 60 * ms,
@@ -65,16 +65,16 @@
 		{"rare crashing request that runs for a second", []workload{others, crashing("a", 3*time.Second, time.Second)}, nil, 0},
 		{"frequent crashing request", []workload{others, crashing("a", 120*ms, 60*ms)}, nil, 0},
 		{"frequent crashing request, no start signal", []workload{withoutStartSignal(others), withoutStartSignal(crashing("a", 120*ms, 30*ms))}, nil, 0},
-		{"two frequent crashing requests and a frequent harmless one", []workload{others, hot(time.Second), crashing("a", 120*ms, 60*ms), crashing("b", 120*ms, 60*ms)}, nil, 0},
-		{"two frequent crashing requests and a frequent harmless one, no start signal", []workload{withoutStartSignal(others), withoutStartSignal(hot(50 * ms)), withoutStartSignal(crashing("a", 120*ms, 30*ms)), withoutStartSignal(crashing("b", 120*ms, 30*ms))}, nil, 0},
-		{"crashing request and a frequent long harmless one", []workload{others, hot(6 * time.Second), crashing("a", 300*ms, 60*ms)}, nil, 0},
-		{"crashing request, frequent harmless one, and unrelated crashes", []workload{others, hot(time.Second), crashing("a", 200*ms, 60*ms)}, crashUpstreams(2, 1500*ms), 0},
-		{"many crashing requests in succession", append([]workload{others, hot(time.Second)}, crashers...), nil, 0},
-		{"frequent harmless request and unrelated crashes", []workload{others, hot(time.Second)}, crashUpstreams(2, 1500*ms), 0},
-		{"frequent long harmless request and unrelated crashes", []workload{others, hot(8 * time.Second)}, crashUpstreams(2, 1500*ms), 0},
-		{"frequent harmless request and unrelated crashes, no start signal", []workload{withoutStartSignal(others), withoutStartSignal(hot(50 * ms))}, crashUpstreams(2, 500*ms), 0},
-		{"frequent harmless request and repeated loss of a rack", []workload{others, hot(4 * time.Second)}, crashUpstreams(6, 2500*ms), 0},
-		{"frequent harmless request and repeated loss of all upstreams", []workload{others, hot(time.Second)}, crashUpstreams(12, 2500*ms), 0},
+		{"two frequent crashing requests and a frequent harmless one", []workload{others, frequent(time.Second), crashing("a", 120*ms, 60*ms), crashing("b", 120*ms, 60*ms)}, nil, 0},
+		{"two frequent crashing requests and a frequent harmless one, no start signal", []workload{withoutStartSignal(others), withoutStartSignal(frequent(50 * ms)), withoutStartSignal(crashing("a", 120*ms, 30*ms)), withoutStartSignal(crashing("b", 120*ms, 30*ms))}, nil, 0},
+		{"crashing request and a frequent long harmless one", []workload{others, frequent(6 * time.Second), crashing("a", 300*ms, 60*ms)}, nil, 0},
+		{"crashing request, frequent harmless one, and unrelated crashes", []workload{others, frequent(time.Second), crashing("a", 200*ms, 60*ms)}, crashUpstreams(2, 1500*ms), 0},
+		{"many crashing requests in succession", append([]workload{others, frequent(time.Second)}, crashers...), nil, 0},
+		{"frequent harmless request and unrelated crashes", []workload{others, frequent(time.Second)}, crashUpstreams(2, 1500*ms), 0},
+		{"frequent long harmless request and unrelated crashes", []workload{others, frequent(8 * time.Second)}, crashUpstreams(2, 1500*ms), 0},
+		{"frequent harmless request and unrelated crashes, no start signal", []workload{withoutStartSignal(others), withoutStartSignal(frequent(50 * ms))}, crashUpstreams(2, 500*ms), 0},
+		{"frequent harmless request and repeated loss of a rack", []workload{others, frequent(4 * time.Second)}, crashUpstreams(6, 2500*ms), 0},
+		{"frequent harmless request and repeated loss of all upstreams", []workload{others, frequent(time.Second)}, crashUpstreams(12, 2500*ms), 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/coordination/quarantine/store.go
+++ b/core/coordination/quarantine/store.go
@@ -29,45 +29,45 @@
 }
 
 // apply stores a quarantine, or removes one whose stage is none. The caller holds mu.
-func (s *Store) apply(h persimmoncross.Quarantine, now time.Time) {
+func (s *Store) apply(quarantine persimmoncross.Quarantine, now time.Time) {
 	if s.quarantines == nil {
 		s.quarantines = map[persimmoncross.Digest]TrackedQuarantine{}
 	}
-	if h.Stage == persimmoncross.QuarantineNone {
-		delete(s.quarantines, h.Digest)
+	if quarantine.Stage == persimmoncross.QuarantineNone {
+		delete(s.quarantines, quarantine.Digest)
 		return
 	}
-	s.quarantines[h.Digest] = TrackedQuarantine{
-		Quarantine: h,
+	s.quarantines[quarantine.Digest] = TrackedQuarantine{
+		Quarantine: quarantine,
 		Since:      now,
 	}
 }
 
 // Bootstrap takes over the quarantines of other VMs, once. A VM that has just started has
 // no records of crashes that only VMs which are gone had observed.
-func (s *Store) Bootstrap(holds []persimmoncross.Quarantine, now time.Time) {
+func (s *Store) Bootstrap(quarantines []persimmoncross.Quarantine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bootstrapped {
 		return
 	}
 	s.bootstrapped = true
-	for _, h := range holds {
+	for _, h := range quarantines {
 		if _, ok := s.quarantines[h.Digest]; !ok && len(s.quarantines) < maxQuarantines {
 			s.apply(h, now)
 		}
 	}
 }
 
-// Hold returns the quarantine of a request; its stage is none if there is no quarantine.
-func (s *Store) Hold(d persimmoncross.Digest) persimmoncross.Quarantine {
+// Quarantine returns the quarantine of a request; its stage is none if there is no quarantine.
+func (s *Store) Quarantine(d persimmoncross.Digest) persimmoncross.Quarantine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.quarantines[d].Quarantine
 }
 
-// Holds returns all quarantines, in the order of their digests.
-func (s *Store) Holds() []persimmoncross.Quarantine {
+// Quarantines returns all quarantines, in the order of their digests.
+func (s *Store) Quarantines() []persimmoncross.Quarantine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	quarantines := make([]persimmoncross.Quarantine, 0, len(s.quarantines))
--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -40,17 +40,17 @@
 // their number limits how many slots can coincide; with many, slots coincide at random.
 func usableShare(rate float64, entries int) float64 {
 	tolerated := overshoot*rate*window.Seconds() + burst
-	for part := 1.0; part > minShare; part -= shareStep {
-		meanSlots := part * rate * (window + slotLength).Seconds()
+	for share := 1.0; share > minShare; share -= shareStep {
+		meanSlots := share * rate * (window + slotLength).Seconds()
 		if meanSlots+min(float64(entries), maxDeviations*math.Sqrt(meanSlots)) <= tolerated {
-			return part
+			return share
 		}
 	}
 	return minShare
 }
 
-// similar reports whether two numbers are within the tolerance.
-func similar(a, b float64) bool { return math.Abs(a-b) <= relativeTolerance*min(a, b) }
+// withinTolerance reports whether two numbers are within the tolerance.
+func withinTolerance(a, b float64) bool { return math.Abs(a-b) <= relativeTolerance*min(a, b) }
 
 // Limiter is one entry's share of one upstream's limit. The zero value does not limit.
 // It is not safe for concurrent use.
@@ -69,7 +69,7 @@
 // the first slot in the first period. It reports whether the limit has changed.
 func (l *Limiter) SetLimit(rate float64, entries int, now time.Time, phase float64) (changed bool) {
 	l.lastObserved = now
-	if l.rate > 0 && similar(l.rate, rate) {
+	if l.rate > 0 && withinTolerance(l.rate, rate) {
 		return false
 	}
 	l.rate = rate
@@ -79,7 +79,7 @@
 
 // SetEntries sets the number of entries that share the limit.
 func (l *Limiter) SetEntries(entries int, now time.Time, phase float64) {
-	if l.rate > 0 && !similar(float64(l.entries), float64(entries)) {
+	if l.rate > 0 && !withinTolerance(float64(l.entries), float64(entries)) {
 		l.schedule(entries, now, phase)
 	}
 }
--- a/core/coordination/ratelimit/store.go
+++ b/core/coordination/ratelimit/store.go
@@ -76,7 +76,7 @@
 	return changes
 }
 
-func sameRate(a, b float64) bool { return a == b || a > 0 && b > 0 && similar(a, b) }
+func sameRate(a, b float64) bool { return a == b || a > 0 && b > 0 && withinTolerance(a, b) }
 
 // prune removes old observations, and above maxObservations also the half that changed least
 // recently. The caller holds mu.
--- a/core/coordination/relay/backoff_test.go
+++ b/core/coordination/relay/backoff_test.go
@@ -27,9 +27,9 @@
 			t.Fatal(refusal)
 		}
 	}
-	first, n := e.forwarder.attempts[0].Upstream.Incarnation, 0
+	first, n := e.forwarder.attempts[0].Upstream.Name, 0
 	for _, a := range e.forwarder.attempts {
-		if a.Upstream.Incarnation == first {
+		if a.Upstream.Name == first {
 			n++
 		}
 	}
--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -103,7 +103,7 @@
 	}
 	if head.Draining && target.markDraining() {
 		c.relay.incrementCounter("leaving")
-		c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Bool("listed", target.Draining).Msg("upstream is draining")
+		c.relay.logEvent(c.request).Str("upstream", target.Name).Bool("listed", target.Draining).Msg("upstream is draining")
 	}
 }
 
@@ -118,13 +118,13 @@
 		entryCount := r.View().entryCountOrDefault()
 		if target.setRateLimit(head.RateLimit, entryCount, now) {
 			r.incrementCounter("limit.set")
-			r.logEvent(c.passage).Str("upstream", target.Incarnation).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream rate limit set")
+			r.logEvent(c.request).Str("upstream", target.Name).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream rate limit set")
 		}
 	case head.NotRun || head.Status >= 500 || !target.endRateLimit(start):
 		return
 	default:
 		r.incrementCounter("limit.cleared")
-		r.logEvent(c.passage).Str("upstream", target.Incarnation).Msg("upstream rate limit cleared")
+		r.logEvent(c.request).Str("upstream", target.Name).Msg("upstream rate limit cleared")
 	}
 	if r.RateLimits == nil {
 		return
--- a/core/coordination/relay/backpressure_test.go
+++ b/core/coordination/relay/backpressure_test.go
@@ -35,10 +35,10 @@
 	}
 	requestCounts := map[string]int{}
 	for _, a := range e.forwarder.attempts {
-		requestCounts[a.Upstream.Incarnation]++
+		requestCounts[a.Upstream.Name]++
 	}
 	first := e.forwarder.attempts[0].Upstream
-	if requestCounts[first.Incarnation] != 1 || len(requestCounts) != 4 {
+	if requestCounts[first.Name] != 1 || len(requestCounts) != 4 {
 		t.Errorf("requests per upstream: %v, want 1 at the limited one and some at each of the others", requestCounts)
 	}
 	limits, _, _ := p.RateLimits.ChangesSince(0, 10)
@@ -50,7 +50,7 @@
 	q.MergeRateLimits(limits)
 	for _, u := range other.targets {
 		if u.IsAvailable(other.clock.Now()) != (u.InstanceID() != first.InstanceID()) {
-			t.Errorf("%s: available = %v after another entry observed the limit", u.Incarnation, u.IsAvailable(other.clock.Now()))
+			t.Errorf("%s: available = %v after another entry observed the limit", u.Name, u.IsAvailable(other.clock.Now()))
 		}
 	}
 	later := &Pool{
--- a/core/coordination/relay/call.go
+++ b/core/coordination/relay/call.go
@@ -28,32 +28,32 @@
 
 // call is the handling of one request.
 type call struct {
-	relay          *Relay
-	passage        *persimmoncross.ProxyRequest
-	route          *catalog.Route
-	service        string
-	organisation   string
-	quarantineCopy quarantine.Request
-	priority       int
-	residency      residency
-	deadline       time.Time
-	sink           persimmoncross.ProxyResponseSink
+	relay             *Relay
+	request           *persimmoncross.ProxyRequest
+	route             *catalog.Route
+	service           string
+	organisation      string
+	quarantineRequest quarantine.Request
+	priority          int
+	residency         residency
+	deadline          time.Time
+	sink              persimmoncross.ProxyResponseSink
 
-	versionFilter     versionFilter
-	upgrade           *register.Upgrade // upgrade in progress, nil if there is none
-	modelIndex        int               // index among the route's models
-	triedIncarnations map[string]bool   // names of the upstreams tried in this round
-	expectedWait      time.Duration     // expected wait of the attempt's upstream when it was picked
-	prefixSource      netip.AddrPort    // upstream to copy the prompt's shared parts from; invalid if none
-	attempts          int
-	reachedUpstream   bool // an attempt may have reached an upstream
-	retryTaken        bool // the next attempt's retry is already taken from the retry budget
-	executions        int  // attempts that an upstream may have begun
-	headSent          bool // the response head was sent to the caller
-	lastEventID       string
-	fallback          *bufferedResponse // an upstream's failure, sent if no later attempt succeeds
-	lastError         *persimmoncross.AttemptError
-	quarantineRun     *quarantine.Run // the current attempt's run
+	versionFilter   versionFilter
+	upgrade         *register.Upgrade // upgrade in progress, nil if there is none
+	modelIndex      int               // index among the route's models
+	triedUpstreams  map[string]bool   // names of the upstreams tried in this round
+	expectedWait    time.Duration     // expected wait of the attempt's upstream when it was picked
+	prefixSource    netip.AddrPort    // upstream to copy the prompt's shared parts from; invalid if none
+	attempts        int
+	reachedUpstream bool // an attempt may have reached an upstream
+	retryTaken      bool // the next attempt's retry is already taken from the retry budget
+	executions      int  // attempts that an upstream may have begun
+	headSent        bool // the response head was sent to the caller
+	lastEventID     string
+	fallback        *bufferedResponse // an upstream's failure, sent if no later attempt succeeds
+	lastError       *persimmoncross.AttemptError
+	quarantineRun   *quarantine.Run // the current attempt's run
 }
 
 // bufferedResponse is a complete response that was not sent yet.
@@ -74,10 +74,10 @@
 // run makes attempts until one of them is answered or no further attempt may be made.
 func (c *call) run(ctx context.Context) *persimmoncross.Refusal {
 	r := c.relay
-	defer func() { c.quarantineCopy.Done(c.executions > 0) }()
-	c.triedIncarnations = map[string]bool{}
-	c.lastEventID = c.passage.LastEventID
-	if c.passage.RouterPicksModel {
+	defer func() { c.quarantineRequest.Done(c.executions > 0) }()
+	c.triedUpstreams = map[string]bool{}
+	c.lastEventID = c.request.LastEventID
+	if c.request.RouterPicksModel {
 		c.modelIndex = c.firstModelIndex()
 	}
 	c.updateVersionFilter()
@@ -134,7 +134,7 @@
 	if !ok {
 		return
 	}
-	c.versionFilter = r.Sessions.chooseVersions(u, c.passage.SessionID, c.passage.ID, upgrade.CanaryShare(u.Duration, r.Config.MaxCanaryShare), r.CanaryStats.isHalted(u), r.Clock.Now())
+	c.versionFilter = r.Sessions.chooseVersions(u, c.request.SessionID, c.request.ID, upgrade.CanaryShare(u.Duration, r.Config.MaxCanaryShare), r.CanaryStats.isHalted(u), r.Clock.Now())
 	if !u.Stage.Ended() {
 		c.upgrade = &u
 	}
@@ -143,29 +143,29 @@
 // pinSessionVersion pins the session to the version of the target that is about to run the
 // request. The caller calls the returned function when the attempt ends.
 func (c *call) pinSessionVersion(target *Target) func(now time.Time) {
-	return c.relay.Sessions.BeginRun(c.service, c.passage.SessionID, target.Version, c.relay.Clock.Now())
+	return c.relay.Sessions.BeginRun(c.service, c.request.SessionID, target.Version, c.relay.Clock.Now())
 }
 
 // attempt sends the request to the target and forwards the response to the caller.
 func (c *call) attempt(ctx context.Context, target *Target) outcome {
 	r := c.relay
-	c.triedIncarnations[target.Incarnation] = true
+	c.triedUpstreams[target.Name] = true
 	endRun := c.pinSessionVersion(target)
 	defer func() { endRun(r.Clock.Now()) }()
 	target.recordAttempt()
 	target.inFlight.Add(1)
 	defer target.inFlight.Add(-1)
 	start := r.Clock.Now()
-	c.quarantineRun = c.quarantineCopy.BeginRun(target.InstanceID(), start)
+	c.quarantineRun = c.quarantineRequest.BeginRun(target.InstanceID(), start)
 	defer func(run *quarantine.Run) { run.Close(r.Clock.Now()) }(c.quarantineRun)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	detector := c.startStallDetector(ctx, cancel, target)
 	defer detector.stop()
-	recordModelHead := r.ModelStats.awaitHead(c.service, c.modelName(), c.passage.PromptTokens, start)
-	recordTargetHead := target.awaitHead(start, r.ModelStats.prefillTime(c.service, c.modelName(), c.passage.PromptTokens))
+	recordModelHead := r.ModelStats.trackPendingHead(c.service, c.modelName(), c.request.PromptTokens, start)
+	recordTargetHead := target.trackPendingHead(start, r.ModelStats.prefillTime(c.service, c.modelName(), c.request.PromptTokens))
 	response, err := r.Forwarder.Forward(ctx, &persimmoncross.ProxyAttempt{
-		Request:           c.passage,
+		Request:           c.request,
 		Upstream:          target.Upstream,
 		Organisation:      c.organisation,
 		Model:             c.modelName(),
@@ -222,7 +222,7 @@
 
 // logResponseHead logs which upstream began a response, and the load and estimates at that time.
 func (c *call) logResponseHead(target *Target, head persimmoncross.ProxyResponseHead, took time.Duration) {
-	event := c.relay.logEvent(c.passage).Str("session", c.passage.SessionID).Str("upstream", target.Incarnation).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
+	event := c.relay.logEvent(c.request).Str("session", c.request.SessionID).Str("upstream", target.Name).Str("version", target.Version).Int("status", head.Status).Int("send", c.attempts).Dur("took", took).Int64("own", target.inFlight.Load())
 	if head.Load != nil {
 		event.Int("running", head.Load.Running).Int("waiting", head.Load.Waiting)
 	}
@@ -230,8 +230,8 @@
 		event.Float64("limit", head.RateLimit)
 	}
 	if c.modelName() != "" {
-		event.Str("model", c.modelName()).Int("prompt", c.passage.PromptTokens).Int("confidence", head.ModelConfidence)
-		event.Dur("outlook", c.expectedWait).Dur("reading", c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.passage.PromptTokens)).Bool("copy", c.prefixSource.IsValid())
+		event.Str("model", c.modelName()).Int("prompt", c.request.PromptTokens).Int("confidence", head.ModelConfidence)
+		event.Dur("outlook", c.expectedWait).Dur("reading", c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.request.PromptTokens)).Bool("copy", c.prefixSource.IsValid())
 	}
 	event.Msg("head")
 	c.relay.observeDuration("head", took)
@@ -284,7 +284,7 @@
 func (c *call) handleAttemptError(ctx context.Context, target *Target, err error) outcome {
 	e := asAttemptError(err, "internal", persimmoncross.RunUnknown)
 	c.lastError = e
-	c.recordCut(ctx, target, e)
+	c.recordDisconnect(ctx, target, e)
 	switch {
 	case ctx.Err() != nil || e.Overloaded:
 		target.recordInconclusive()
@@ -293,7 +293,7 @@
 	default:
 		c.recordResult(target, true)
 	}
-	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("run", string(e.Run)).Str("detail", e.Detail).Int("send", c.attempts).Msg("attempt failed")
+	c.logEventWithDigest().Str("upstream", target.Name).Str("reason", e.Reason).Str("run", string(e.Run)).Str("detail", e.Detail).Int("send", c.attempts).Msg("attempt failed")
 	if e.Run != persimmoncross.NotRun {
 		c.executions++
 		if c.route.Repeat == persimmoncross.RetryNever {
@@ -318,7 +318,7 @@
 		Overloaded: !head.Misdirected,
 		HTTPStatus: head.Status,
 	}
-	event := c.relay.logEvent(c.passage).Str("upstream", target.Incarnation).Str("reason", reason).Int("status", head.Status).Int("send", c.attempts)
+	event := c.relay.logEvent(c.request).Str("upstream", target.Name).Str("reason", reason).Int("status", head.Status).Int("send", c.attempts)
 	if head.RetryAfter > 0 {
 		event.Dur("retryAfter", head.RetryAfter)
 	}
@@ -330,7 +330,7 @@
 // of an upstream if there is one.
 func (c *call) giveUp(ctx context.Context, reason string) *persimmoncross.Refusal {
 	r := c.relay
-	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.passage.ArrivedAt))
+	event := c.logEventWithDigest().Str("route", c.route.Name).Str("why", reason).Int("sends", c.attempts).Int("runs", c.executions).Bool("started", c.headSent).Dur("after", r.Clock.Now().Sub(c.request.ArrivedAt))
 	if c.lastError != nil {
 		event = event.Str("reason", c.lastError.Reason)
 	}
@@ -374,13 +374,13 @@
 // logEventWithDigest returns a log event for a failure of the request. The digest relates the
 // event to those of all requests with the same content.
 func (c *call) logEventWithDigest() *zerolog.Event {
-	return c.relay.logEvent(c.passage).Stringer("digest", c.quarantineCopy.Digest)
+	return c.relay.logEvent(c.request).Stringer("digest", c.quarantineRequest.Digest)
 }
 
 // timeToHead estimates how long the service now takes to send the response head for the request.
 func (c *call) timeToHead() time.Duration {
 	r := c.relay
-	return r.ModelStats.timeToHead(c.service, c.modelName(), c.passage.PromptTokens, r.Clock.Now())
+	return r.ModelStats.timeToHead(c.service, c.modelName(), c.request.PromptTokens, r.Clock.Now())
 }
 
 // retryAfter returns the delay after which the caller should retry. expectedWait is the time
@@ -389,7 +389,7 @@
 	r := c.relay
 	hint := retry.RetryAfter{
 		ExpectedWait:   expectedWait,
-		OutageAge:      r.recordRefusal(c.service, c.passage.ArrivedAt),
+		OutageAge:      r.recordRefusal(c.service, c.request.ArrivedAt),
 		UntilDeadline:  c.deadline.Sub(r.Clock.Now()),
 		Priority:       c.route.Priority,
 		PriorityLevels: r.View().Catalog.Ranks(),
--- a/core/coordination/relay/env_test.go
+++ b/core/coordination/relay/env_test.go
@@ -175,11 +175,11 @@
 	var list []persimmoncross.Upstream
 	for _, id := range []string{"u1", "u2", "u3", "u4"} {
 		list = append(list, persimmoncross.Upstream{
-			Incarnation: id,
-			Service:     testService,
-			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-			Version:     "v1",
-			Slots:       8,
+			Name:    id,
+			Service: testService,
+			Address: netip.MustParseAddrPort("127.0.0.1:1"),
+			Version: "v1",
+			Slots:   8,
 		})
 	}
 	targetsByService := pool.Update(list)
@@ -263,13 +263,13 @@
 func (e *testEnv) serve(t *testing.T, route string, change func(p *persimmoncross.ProxyRequest)) *persimmoncross.Refusal {
 	t.Helper()
 	p := &persimmoncross.ProxyRequest{
-		ID:             "id",
-		Method:         http.MethodPost,
-		Host:           "h",
-		Path:           "/" + route + "/x",
-		RequestTarget:  "/" + route + "/x",
-		IdempotencyKey: testKey,
-		ArrivedAt:      e.clock.Now(),
+		ID:            "id",
+		Method:        http.MethodPost,
+		Host:          "h",
+		Path:          "/" + route + "/x",
+		RequestTarget: "/" + route + "/x",
+		APIKey:        testKey,
+		ArrivedAt:     e.clock.Now(),
 	}
 	if change != nil {
 		change(p)
--- a/core/coordination/relay/escalation.go
+++ b/core/coordination/relay/escalation.go
@@ -9,10 +9,10 @@
 
 // modelName returns the model that the next attempt uses.
 func (c *call) modelName() string {
-	if c.passage.RouterPicksModel && len(c.route.Models) > 0 {
+	if c.request.RouterPicksModel && len(c.route.Models) > 0 {
 		return c.route.Models[c.modelIndex]
 	}
-	return c.passage.Model
+	return c.request.Model
 }
 
 // firstModelIndex returns the index of the model that the first attempt uses.
@@ -32,7 +32,7 @@
 		RetryBudgetLeft:   r.retryBudgetLeft(c.service),
 	}
 	first := r.Cascade.FirstModel(models, o)
-	r.logEvent(c.passage).Float64("doubted", o.LowConfidenceRate).Dur("begin", o.TimeToFirstToken).Dur("reading", o.PrefillTime).Float64("crowd", o.SlotUtilization).Float64("retries", o.RetryBudgetLeft).Int("model", first).Msg("first model chosen")
+	r.logEvent(c.request).Float64("doubted", o.LowConfidenceRate).Dur("begin", o.TimeToFirstToken).Dur("reading", o.PrefillTime).Float64("crowd", o.SlotUtilization).Float64("retries", o.RetryBudgetLeft).Int("model", first).Msg("first model chosen")
 	return first
 }
 
@@ -40,13 +40,13 @@
 // to the caller, and to retry with a larger model. If so, it selects that model.
 func (c *call) escalateModel(confidence int) bool {
 	r := c.relay
-	if c.headSent || c.quarantineCopy.IsTrial() || !c.passage.RouterPicksModel || len(c.route.Models) == 0 || c.executions >= c.maxExecutions() {
+	if c.headSent || c.quarantineRequest.IsTrial() || !c.request.RouterPicksModel || len(c.route.Models) == 0 || c.executions >= c.maxExecutions() {
 		return false
 	}
 	r.ModelStats.recordConfidence(c.service, c.modelName(), r.Cascade.IsLowConfidence(c.route.Models, c.modelIndex, confidence))
 	d := c.escalationInputs(confidence, r.Clock.Now())
 	next, escalate := r.Cascade.Escalate(c.route.Models, d)
-	r.logEvent(c.passage).Dur("begin", d.TimeToFirstToken).Dur("reading", d.PrefillTime).Float64("crowd", d.SlotUtilization).Dur("left", d.ObjectiveLeft).Float64("retries", d.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
+	r.logEvent(c.request).Dur("begin", d.TimeToFirstToken).Dur("reading", d.PrefillTime).Float64("crowd", d.SlotUtilization).Dur("left", d.ObjectiveLeft).Float64("retries", d.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
 	if !escalate {
 		return false
 	}
@@ -55,7 +55,7 @@
 		Run:    persimmoncross.Ran,
 	}
 	c.modelIndex = next
-	clear(c.triedIncarnations)
+	clear(c.triedUpstreams)
 	return true
 }
 
@@ -70,7 +70,7 @@
 		PrefillTime:      prefillTime,
 		SlotUtilization:  c.fleetUtilization(now),
 		Objective:        c.latencyObjective(),
-		ObjectiveLeft:    c.passage.ArrivedAt.Add(c.latencyObjective()).Sub(now),
+		ObjectiveLeft:    c.request.ArrivedAt.Add(c.latencyObjective()).Sub(now),
 		TimeToDeadline:   c.deadline.Sub(now),
 		RetryBudgetLeft:  c.relay.retryBudgetLeft(c.service),
 	}
@@ -80,7 +80,7 @@
 // response head for the prompt, and how much of that is prefill time. The estimates are 0 if
 // nothing is known.
 func (c *call) estimateLargestModel(now time.Time) (timeToHead, prefillTime time.Duration) {
-	stats, model, tokens := c.relay.ModelStats, c.route.Models[len(c.route.Models)-1], c.passage.PromptTokens
+	stats, model, tokens := c.relay.ModelStats, c.route.Models[len(c.route.Models)-1], c.request.PromptTokens
 	return stats.timeToHead(c.service, model, tokens, now), stats.prefillTime(c.service, model, tokens)
 }
 
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -13,7 +13,7 @@
 // load is recent.
 func TestFleetLoadAffectsPlacement(t *testing.T) {
 	now := time.Unix(100, 0)
-	reread := 50 * time.Millisecond
+	prefixPrefillTime := 50 * time.Millisecond
 	tests := []struct {
 		name        string
 		prefillTime time.Duration // of the prompts of other entries at the preferred upstream
@@ -24,17 +24,17 @@
 	}{
 		{
 			name:   "no pending prompts",
-			reread: reread,
+			reread: prefixPrefillTime,
 		},
 		{
 			name:        "less than the prefill of the shared parts",
-			prefillTime: 100*time.Millisecond + reread,
-			reread:      reread,
+			prefillTime: 100*time.Millisecond + prefixPrefillTime,
+			reread:      prefixPrefillTime,
 		},
 		{
 			name:        "long prompt pending",
 			prefillTime: 2 * time.Second,
-			reread:      reread,
+			reread:      prefixPrefillTime,
 			wantMoved:   true,
 		},
 		{
@@ -53,13 +53,13 @@
 	}
 	for _, tt := range tests {
 		all := newTargets(4)
-		home := placeByPrefix(all, "part", 0, now)
-		home.applyFleetLoad(FleetLoad{
+		preferred := placeByPrefix(all, "part", 0, now)
+		preferred.applyFleetLoad(FleetLoad{
 			PrefillTime: tt.prefillTime,
 			Reported:    tt.reported,
 		}, now)
-		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != home) != tt.wantMoved {
-			t.Errorf("%s: moved from the preferred upstream = %v, want %v", tt.name, got != home, tt.wantMoved)
+		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != preferred) != tt.wantMoved {
+			t.Errorf("%s: moved from the preferred upstream = %v, want %v", tt.name, got != preferred, tt.wantMoved)
 		}
 	}
 }
@@ -74,11 +74,11 @@
 		Clock: clock,
 	}
 	u := persimmoncross.Upstream{
-		Incarnation: "u",
-		Service:     "s",
+		Name:    "u",
+		Service: "s",
 	}
 	target := p.Update([]persimmoncross.Upstream{u})["s"][0]
-	recordHead := target.awaitHead(clock.Now(), time.Second)
+	recordHead := target.trackPendingHead(clock.Now(), time.Second)
 	target.recordLoad(&persimmoncross.UpstreamLoad{
 		Running: 3,
 		Waiting: 2,
@@ -106,7 +106,7 @@
 	if got := target.pendingPrefill(clock.Now()); got != 3*time.Second {
 		t.Errorf("pending prefill time %v, want 3s", got)
 	}
-	target.awaitHead(clock.Now(), time.Second)
+	target.trackPendingHead(clock.Now(), time.Second)
 	if got := target.pendingPrefill(clock.Now()); got != 4*time.Second {
 		t.Errorf("pending prefill time with a prompt that this entry sent since: %v, want 4s", got)
 	}
@@ -115,17 +115,17 @@
 // The estimated prefill time is the part of the time to the response head that grows with the
 // prompt, however long the queue is.
 func TestPrefillTimeEstimate(t *testing.T) {
-	p := &ModelStats{}
+	stats := &ModelStats{}
 	now := time.Unix(100, 0)
-	if got := p.prefillTime("s", "m", 1000); got != 0 {
+	if got := stats.prefillTime("s", "m", 1000); got != 0 {
 		t.Errorf("prefill time of an unknown model: %v, want 0", got)
 	}
 	for i := range 300 {
 		prompt := 1000 * (1 + i%7)
 		queue := time.Duration(i%5) * 200 * time.Millisecond
-		p.awaitHead("s", "m", prompt, now)(now.Add(queue+time.Duration(prompt)*50*time.Microsecond), true)
+		stats.trackPendingHead("s", "m", prompt, now)(now.Add(queue+time.Duration(prompt)*50*time.Microsecond), true)
 	}
-	if got := p.prefillTime("s", "m", 10000); got < 350*time.Millisecond || got > 650*time.Millisecond {
+	if got := stats.prefillTime("s", "m", 10000); got < 350*time.Millisecond || got > 650*time.Millisecond {
 		t.Errorf("prefill time of 10,000 tokens: %v, want about 500 ms", got)
 	}
 }
@@ -211,7 +211,7 @@
 		t.Error("the upstream is reported as suspected after one failure")
 	}
 	u.markSuspected(now)
-	if !u.collectLoad(now.Add(2*outlier.InitialSuspicion)).Suspected || u.collectLoad(now.Add(outlier.SuspicionRetention+time.Millisecond)).Suspected {
+	if !u.collectLoad(now.Add(2*outlier.InitialSuspicionDuration)).Suspected || u.collectLoad(now.Add(outlier.SuspicionRetention+time.Millisecond)).Suspected {
 		t.Error("suspicion without a later result is not reported for exactly SuspicionRetention")
 	}
 	u.clearSuspicion()
@@ -250,19 +250,19 @@
 func TestSpilledPromptHasPrefixSource(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
-	home, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
+	preferred, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
 	if from != nil {
-		t.Errorf("a prompt at its preferred upstream copies from %s", from.Incarnation)
+		t.Errorf("a prompt at its preferred upstream copies from %s", from.Name)
 	}
-	home.applyFleetLoad(FleetLoad{
+	preferred.applyFleetLoad(FleetLoad{
 		PrefillTime: time.Second,
 	}, now)
 	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
-	if spilled == home || from != home {
+	if spilled == preferred || from != preferred {
 		t.Errorf("a spilled prompt copies from %v, want its preferred upstream", from)
 	}
-	home.awaitHead(now, 0)
-	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkCost); from == home {
+	preferred.trackPendingHead(now, 0)
+	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkCost); from == preferred {
 		t.Error("the prefix source is an upstream that has sent no response head for 3 s")
 	}
 	if _, from = placeRequest(all, newPrompt("", 0), now, noLinkCost); from != nil {
@@ -285,13 +285,13 @@
 				Tokens: 10,
 			},
 		}
-		home := placeByPrefix(e.targets, "\x00shared", 0, e.clock.Now())
+		preferred := placeByPrefix(e.targets, "\x00shared", 0, e.clock.Now())
 		if busy {
-			home.awaitHead(time.Now(), 10*time.Second)
+			preferred.trackPendingHead(time.Now(), 10*time.Second)
 		}
 		e.serve(t, "safe", func(p *persimmoncross.ProxyRequest) { p.PromptParts = prompt })
 		a := e.forwarder.attempts[0]
-		if got := a.Upstream.Incarnation == home.Incarnation; got == busy {
+		if got := a.Upstream.Name == preferred.Name; got == busy {
 			t.Errorf("busy = %v: placed at the preferred upstream = %v", busy, got)
 		}
 		if got := a.PrefixCacheSource.IsValid(); got != busy {
--- a/core/coordination/relay/modelstats.go
+++ b/core/coordination/relay/modelstats.go
@@ -39,9 +39,9 @@
 	return h
 }
 
-// awaitHead records that a response head is pending. The caller calls the returned function when
+// trackPendingHead records that a response head is pending. The caller calls the returned function when
 // the wait ends; received tells whether the head was received.
-func (s *ModelStats) awaitHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
+func (s *ModelStats) trackPendingHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.headForecast(service, model)
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -54,10 +54,10 @@
 // placementPrompt returns the properties of the request's prompt that placement uses.
 func (c *call) placementPrompt() placement.Prompt {
 	p := placement.Prompt{
-		PrefixPrefillTime: c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.passage.SharedPromptTokens()),
+		PrefixPrefillTime: c.relay.ModelStats.prefillTime(c.service, c.modelName(), c.request.SharedPromptTokens()),
 	}
 	if c.route.Sticky {
-		p.PrefixKey = prefixKey(c.passage, c.modelName())
+		p.PrefixKey = prefixKey(c.request, c.modelName())
 	}
 	return p
 }
@@ -77,7 +77,7 @@
 func (c *call) linkCost(target *Target, now time.Time) time.Duration {
 	tokens := 0
 	if c.route.Stream {
-		tokens = c.passage.MaxOutputTokens
+		tokens = c.request.MaxOutputTokens
 	}
 	return c.relay.linkCost(target.DataCentre, tokens, now)
 }
@@ -103,7 +103,7 @@
 	chance := rand.Float64()
 	var trusted, available []*Target
 	for _, u := range eligible {
-		if u.IsDraining(now) || c.triedIncarnations[u.Incarnation] || !matches(u) || !u.IsAvailable(now) {
+		if u.IsDraining(now) || c.triedUpstreams[u.Name] || !matches(u) || !u.IsAvailable(now) {
 			continue
 		}
 		available = append(available, u)
@@ -122,7 +122,7 @@
 // round may be made before the request's deadline.
 func (c *call) awaitRetryRound(ctx context.Context) bool {
 	r := c.relay
-	if len(c.triedIncarnations) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.passage.ArrivedAt) > startupWaitTimeout) {
+	if len(c.triedUpstreams) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.request.ArrivedAt) > startupWaitTimeout) {
 		return false
 	}
 	if c.executions > 0 || c.attempts >= maxAttempts || c.noneAvailable() {
@@ -133,6 +133,6 @@
 		return false
 	case <-r.Clock.After(retryRoundDelay):
 	}
-	clear(c.triedIncarnations)
+	clear(c.triedUpstreams)
 	return true
 }
--- a/core/coordination/relay/placement_test.go
+++ b/core/coordination/relay/placement_test.go
@@ -14,26 +14,26 @@
 // The estimate grows with the prompt's size. It also includes the age of pending response heads,
 // so that a queue shows before any of them is received.
 func TestTimeToHeadEstimate(t *testing.T) {
-	p := &ModelStats{}
+	stats := &ModelStats{}
 	now := time.Unix(0, 0)
 	for i := range 200 {
 		prompt := 1000 + 500*(i%9)
-		recordHead := p.awaitHead("s", "m", prompt, now)
+		recordHead := stats.trackPendingHead("s", "m", prompt, now)
 		now = now.Add(100 * time.Millisecond)
 		recordHead(now.Add(time.Duration(prompt)*50*time.Microsecond), true)
 	}
-	small := p.timeToHead("s", "m", 1000, now)
-	large := p.timeToHead("s", "m", 20000, now)
+	small := stats.timeToHead("s", "m", 1000, now)
+	large := stats.timeToHead("s", "m", 20000, now)
 	if ratio := float64(large-small) / float64(19000*50*time.Microsecond); ratio < 0.8 || ratio > 1.2 {
 		t.Errorf("estimated time per token is %.2f of the actual one (1,000 tokens: %v, 20,000 tokens: %v)", ratio, small, large)
 	}
-	end := p.awaitHead("s", "m", 1000, now)
+	end := stats.trackPendingHead("s", "m", 1000, now)
 	later := now.Add(3 * time.Second)
-	if got := p.timeToHead("s", "m", 1000, later); got < 2*time.Second {
+	if got := stats.timeToHead("s", "m", 1000, later); got < 2*time.Second {
 		t.Errorf("estimate with a response head pending for 3 s: %v, want at least 2s", got)
 	}
 	end(later, false)
-	if got := p.timeToHead("s", "other", 1000, later); got != 0 {
+	if got := stats.timeToHead("s", "other", 1000, later); got != 0 {
 		t.Errorf("estimate for an unknown model: %v, want 0", got)
 	}
 }
@@ -45,54 +45,54 @@
 	var list []persimmoncross.Upstream
 	for i := range n {
 		list = append(list, persimmoncross.Upstream{
-			Incarnation: fmt.Sprint("u", i),
-			Service:     "s",
-			Slots:       10,
+			Name:    fmt.Sprint("u", i),
+			Service: "s",
+			Slots:   10,
 		})
 	}
 	return pool.Update(list)["s"]
 }
 
 // placeByPrefix is like placeRequest, but does not return the prefix source.
-func placeByPrefix(candidates []*Target, prefix string, reread time.Duration, now time.Time) *Target {
-	t, _ := placeRequest(candidates, newPrompt(prefix, reread), now, noLinkCost)
+func placeByPrefix(candidates []*Target, prefix string, prefillTime time.Duration, now time.Time) *Target {
+	t, _ := placeRequest(candidates, newPrompt(prefix, prefillTime), now, noLinkCost)
 	return t
 }
 
 // noLinkCost is the cost of links without loss.
 func noLinkCost(*Target) time.Duration { return 0 }
 
-func newPrompt(prefix string, reread time.Duration) placement.Prompt {
+func newPrompt(prefix string, prefillTime time.Duration) placement.Prompt {
 	return placement.Prompt{
 		PrefixKey:         prefix,
-		PrefixPrefillTime: reread,
+		PrefixPrefillTime: prefillTime,
 	}
 }
 
 func TestPrefixAffinityIsStable(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(6)
-	homes := map[string]string{}
+	preferred := map[string]string{}
 	for i := range 200 {
-		home := fmt.Sprint("part", i)
-		homes[home] = placeByPrefix(all, home, 0, now).Incarnation
+		prefix := fmt.Sprint("part", i)
+		preferred[prefix] = placeByPrefix(all, prefix, 0, now).Name
 	}
 	count := map[string]int{}
-	for home, id := range homes {
-		if again := placeByPrefix(all, home, 0, now).Incarnation; again != id {
+	for home, id := range preferred {
+		if again := placeByPrefix(all, home, 0, now).Name; again != id {
 			t.Fatalf("%s moved from %s to %s", home, id, again)
 		}
 		count[id]++
 	}
 	for id, n := range count {
-		if n > 2*len(homes)/len(all) {
-			t.Errorf("%s is the preferred upstream of %d prompts of %d", id, n, len(homes))
+		if n > 2*len(preferred)/len(all) {
+			t.Errorf("%s is the preferred upstream of %d prompts of %d", id, n, len(preferred))
 		}
 	}
 	// If one upstream is removed, only the prompts that preferred it move.
-	gone := all[0].Incarnation
-	for home, id := range homes {
-		if got := placeByPrefix(all[1:], home, 0, now).Incarnation; id != gone && got != id {
+	gone := all[0].Name
+	for home, id := range preferred {
+		if got := placeByPrefix(all[1:], home, 0, now).Name; id != gone && got != id {
 			t.Errorf("%s moved from %s to %s, but only %s was removed", home, id, got, gone)
 		}
 	}
@@ -101,21 +101,21 @@
 func TestPlacementLeavesBusyTarget(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
-	home := placeByPrefix(all, "part", 0, now)
+	preferred := placeByPrefix(all, "part", 0, now)
 	for range 9 {
-		home.inFlight.Add(1)
+		preferred.inFlight.Add(1)
 	}
-	if got := placeByPrefix(all, "part", 0, now); got == home {
+	if got := placeByPrefix(all, "part", 0, now); got == preferred {
 		t.Error("a preferred upstream with 9 of 10 slots in use gets another request, though the others are idle")
 	}
-	home.inFlight.Store(0)
-	recordHead := home.awaitHead(now, 0)
+	preferred.inFlight.Store(0)
+	recordHead := preferred.trackPendingHead(now, 0)
 	later := now.Add(2 * time.Second)
-	if got := placeByPrefix(all, "part", 0, later); got == home {
+	if got := placeByPrefix(all, "part", 0, later); got == preferred {
 		t.Error("a preferred upstream that has sent no response head for 2 s gets another request")
 	}
 	recordHead(later, true)
-	if got := placeByPrefix(all, "part", 0, later.Add(time.Minute)); got != home {
+	if got := placeByPrefix(all, "part", 0, later.Add(time.Minute)); got != preferred {
 		t.Error("the preferred upstream is not used again after its queue is gone")
 	}
 }
@@ -198,7 +198,7 @@
 // Failures are counted by version and route. A few failures make the entry itself halt the
 // canary.
 func TestCanaryFailuresHaltEntry(t *testing.T) {
-	e := &CanaryStats{}
+	stats := &CanaryStats{}
 	u := register.Upgrade{
 		Service: "s",
 		Target:  "v2",
@@ -213,19 +213,19 @@
 	newKey := oldKey
 	newKey.Version = "v2"
 	for i := range 20 {
-		e.recordResult(&u, oldKey, false)
-		e.recordDuration(&u, oldKey, 100*time.Millisecond)
-		e.recordResult(&u, newKey, i%2 == 0)
+		stats.recordResult(&u, oldKey, false)
+		stats.recordDuration(&u, oldKey, 100*time.Millisecond)
+		stats.recordResult(&u, newKey, i%2 == 0)
 	}
-	if !e.isHalted(u) {
+	if !stats.isHalted(u) {
 		t.Error("the canary is not halted after 10 failures of 20 executions")
 	}
-	old := e.Counts()[oldKey]
+	old := stats.Counts()[oldKey]
 	if old.Executions != 20 || old.Failed != 0 || old.DurationCount != 20 || math.Abs(old.DurationSum-2) > 1e-9 || math.Abs(old.DurationSquareSum-0.2) > 1e-9 {
 		t.Errorf("count of the old version: %+v", old)
 	}
-	e.Prune(map[uint64]bool{})
-	if len(e.Counts()) != 0 || e.isHalted(u) {
+	stats.Prune(map[uint64]bool{})
+	if len(stats.Counts()) != 0 || stats.isHalted(u) {
 		t.Error("counts of an upgrade that has ended are kept")
 	}
 }
@@ -238,9 +238,9 @@
 		OnRemoved: func(id string) { gone = append(gone, id) },
 	}
 	u := persimmoncross.Upstream{
-		Incarnation: "u",
-		Service:     "s",
-		Slots:       4,
+		Name:    "u",
+		Service: "s",
+		Slots:   4,
 	}
 	first := p.Update([]persimmoncross.Upstream{u})["s"][0]
 	first.inFlight.Add(3)
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -208,9 +208,9 @@
 	return t.fleet.receivedAt().After(start)
 }
 
-// awaitHead records that a response head is pending at the target, for a prompt of the given
+// trackPendingHead records that a response head is pending at the target, for a prompt of the given
 // prefill time. The caller calls the returned function when the wait ends.
-func (t *Target) awaitHead(now time.Time, prefillTime time.Duration) func(now time.Time, received bool) {
+func (t *Target) trackPendingHead(now time.Time, prefillTime time.Duration) func(now time.Time, received bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.pendingHeads == nil {
@@ -249,7 +249,7 @@
 // placementCandidate returns the properties of the target that placement uses.
 func (t *Target) placementCandidate(now time.Time) placement.Candidate {
 	return placement.Candidate{
-		ID:                t.Incarnation,
+		Name:              t.Name,
 		Slots:             t.Slots,
 		HashWeight:        t.entryWeight(now),
 		SlotUtilization:   t.utilization(now),
@@ -312,7 +312,7 @@
 		if p.byInstanceID[instanceID] != nil {
 			continue
 		}
-		byName[t.Incarnation] = t.Upstream
+		byName[t.Name] = t.Upstream
 		byAddress[t.Address] = t.Upstream
 		if p.OnRemoved != nil {
 			p.OnRemoved(instanceID)
@@ -322,7 +322,7 @@
 		if old[instanceID] != nil || p.OnReplaced == nil {
 			continue
 		}
-		previous, ok := byName[t.Incarnation]
+		previous, ok := byName[t.Name]
 		if !ok {
 			previous, ok = byAddress[t.Address]
 		}
--- a/core/coordination/relay/quarantine.go
+++ b/core/coordination/relay/quarantine.go
@@ -16,11 +16,11 @@
 // the list of quarantines run.
 func ReservedInstances(quarantines map[persimmoncross.Digest]persimmoncross.Quarantine, targets map[string][]*Target) map[string]bool {
 	reserved := map[string]bool{}
-	for _, h := range quarantines {
-		if !h.Isolated() {
+	for _, q := range quarantines {
+		if !q.Isolated() {
 			continue
 		}
-		if u := isolationTarget(h.Digest, targets[h.Service]); u != nil {
+		if u := isolationTarget(q.Digest, targets[q.Service]); u != nil {
 			reserved[u.InstanceID()] = true
 		}
 	}
@@ -31,7 +31,7 @@
 func isolationTarget(digest persimmoncross.Digest, targets []*Target) *Target {
 	names := make([]string, len(targets))
 	for i, u := range targets {
-		names[i] = u.Incarnation
+		names[i] = u.Name
 	}
 	if index := quarantine.RendezvousIndex(digest, names); index >= 0 {
 		return targets[index]
@@ -41,9 +41,9 @@
 
 // quarantineStage returns the quarantine stage that applies to the request.
 func (c *call) quarantineStage() persimmoncross.QuarantineStage {
-	wasTrial := c.quarantineCopy.IsTrial()
-	stage := c.quarantineCopy.EffectiveStage(c.relay.View().Quarantines[c.quarantineCopy.Digest], c.executions > 0)
-	if !wasTrial && c.quarantineCopy.IsTrial() {
+	wasTrial := c.quarantineRequest.IsTrial()
+	stage := c.quarantineRequest.EffectiveStage(c.relay.View().Quarantines[c.quarantineRequest.Digest], c.executions > 0)
+	if !wasTrial && c.quarantineRequest.IsTrial() {
 		c.relay.incrementCounter("quarantine.tried")
 	}
 	return stage
@@ -55,7 +55,7 @@
 // attributed to all of them.
 func (c *call) pickIsolated() *Target {
 	c.relay.incrementCounter("quarantine.watched")
-	c.relay.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, c.relay.Clock.Now())
+	c.relay.QuarantineRecorder.MarkRequested(c.quarantineRequest.Digest, c.service, c.relay.Clock.Now())
 	var matching, others []*Target
 	for _, u := range c.eligibleTargets() {
 		switch {
@@ -69,8 +69,8 @@
 	if len(matching) == 0 {
 		matching = others
 	}
-	u := isolationTarget(c.quarantineCopy.Digest, matching)
-	if u == nil || c.triedIncarnations[u.Incarnation] || !u.acquire(c.relay.Clock.Now()) {
+	u := isolationTarget(c.quarantineRequest.Digest, matching)
+	if u == nil || c.triedUpstreams[u.Name] || !u.acquire(c.relay.Clock.Now()) {
 		return nil
 	}
 	return u
@@ -94,7 +94,7 @@
 // have run before its quarantine does not say that it did not run.
 func (c *call) refuseQuarantined(ctx context.Context) *persimmoncross.Refusal {
 	r := c.relay
-	r.QuarantineRecorder.MarkRequested(c.quarantineCopy.Digest, c.service, r.Clock.Now())
+	r.QuarantineRecorder.MarkRequested(c.quarantineRequest.Digest, c.service, r.Clock.Now())
 	r.incrementCounter("quarantine.refused")
 	if c.executions > 0 || c.headSent {
 		return c.giveUp(ctx, "quarantine")
@@ -114,9 +114,9 @@
 	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").WithRetryAfter(c.retryAfter(0))
 }
 
-// recordCut records that the connection was lost before or during a response, and probes in the
+// recordDisconnect records that the connection was lost before or during a response, and probes in the
 // background whether the upstream has crashed.
-func (c *call) recordCut(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
+func (c *call) recordDisconnect(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
 	r := c.relay
 	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.ConnectionLost || !c.quarantineRun.MarkDisconnected(r.Clock.Now()) {
 		return
@@ -130,6 +130,6 @@
 			return
 		}
 		r.incrementCounter("quarantine.ended")
-		r.Log.Info().Str("upstream", upstream.Incarnation).Str("address", upstream.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while running requests")
+		r.Log.Info().Str("upstream", upstream.Name).Str("address", upstream.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while running requests")
 	}()
 }
--- a/core/coordination/relay/quarantine_test.go
+++ b/core/coordination/relay/quarantine_test.go
@@ -14,22 +14,22 @@
 // fakeProber is a prober that returns the same result for all upstreams.
 type fakeProber bool
 
-func (f fakeProber) Gone(context.Context, netip.AddrPort) bool { return bool(f) }
+func (f fakeProber) IsDown(context.Context, netip.AddrPort) bool { return bool(f) }
 
 // addQuarantine quarantines the request that serve sends on the route.
-func (e *testEnv) addQuarantine(route string, h persimmoncross.Quarantine) persimmoncross.Digest {
+func (e *testEnv) addQuarantine(route string, q persimmoncross.Quarantine) persimmoncross.Digest {
 	d := quarantine.DigestOf("o", http.MethodPost, "h", "/"+route+"/x", [32]byte{})
-	h.Digest = d
-	h.Service = testService
+	q.Digest = d
+	q.Service = testService
 	e.view.Quarantines = map[persimmoncross.Digest]persimmoncross.Quarantine{
-		d: h,
+		d: q,
 	}
 	e.view.ReservedInstances = ReservedInstances(e.view.Quarantines, e.view.Targets)
 	return d
 }
 
-// cutResponse returns the result of an attempt whose connection was lost.
-func cutResponse() *fakeResponse {
+// disconnectedResponse returns the result of an attempt whose connection was lost.
+func disconnectedResponse() *fakeResponse {
 	a := lostResponse(persimmoncross.RunUnknown)
 	a.err.ConnectionLost = true
 	return a
@@ -57,7 +57,7 @@
 // The refusal of a request that is quarantined while it runs does not say that it did not run.
 func TestQuarantineDuringExecution(t *testing.T) {
 	e := newTestEnv()
-	first := cutResponse()
+	first := disconnectedResponse()
 	first.onAttempt = func() {
 		e.addQuarantine("safe", persimmoncross.Quarantine{
 			Stage: persimmoncross.QuarantineRefuse,
@@ -80,7 +80,7 @@
 	d := e.addQuarantine("safe", persimmoncross.Quarantine{
 		Stage: persimmoncross.QuarantineIsolate,
 	})
-	isolated := isolationTarget(d, e.targets).Incarnation
+	isolated := isolationTarget(d, e.targets).Name
 	for range 40 {
 		e.forwarder.responses = append(e.forwarder.responses, okResponse("x"))
 	}
@@ -94,7 +94,7 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		if at := e.forwarder.attempts[i].Upstream.Incarnation; (at == isolated) != suspect {
+		if at := e.forwarder.attempts[i].Upstream.Name; (at == isolated) != suspect {
 			t.Fatalf("suspect = %v: ran at %s, the isolation upstream is %s", suspect, at, isolated)
 		}
 		e.sink.head = nil
@@ -132,16 +132,16 @@
 	if refusal := e.serve(t, "safe", nil); refusal == nil {
 		t.Error("a second copy of the request ran")
 	}
-	cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
-	if len(cases) != 1 || cases[0].Digest != digest || cases[0].ClearedAt.IsZero() {
-		t.Errorf("%+v", cases)
+	records, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
+	if len(records) != 1 || records[0].Digest != digest || records[0].ClearedAt.IsZero() {
+		t.Errorf("%+v", records)
 	}
 }
 
 // A lost connection counts as a crash only if nothing listens at the upstream's address any more.
-func TestCutCountsOnlyIfUpstreamIsGone(t *testing.T) {
+func TestDisconnectCountsOnlyIfUpstreamIsGone(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		e := newTestEnv(cutResponse(), okResponse("x"))
+		e := newTestEnv(disconnectedResponse(), okResponse("x"))
 		e.relay.Prober = fakeProber(gone)
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
 			t.Fatal(refusal)
@@ -153,9 +153,9 @@
 		for !probed() {
 			time.Sleep(time.Millisecond)
 		}
-		cases, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
-		if (len(cases) == 1 && len(cases[0].Crashes) == 1) != gone {
-			t.Errorf("gone = %v: records %+v", gone, cases)
+		records, _ := e.relay.QuarantineRecorder.Records(0, e.clock.Now())
+		if (len(records) == 1 && len(records[0].Crashes) == 1) != gone {
+			t.Errorf("gone = %v: records %+v", gone, records)
 		}
 	}
 }
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -125,13 +125,13 @@
 	}
 	var organisation *catalog.Organisation
 	if v.Catalog.Keyed && !route.Open {
-		if organisation = v.Catalog.Holder(p.IdempotencyKey); organisation == nil {
+		if organisation = v.Catalog.Holder(p.APIKey); organisation == nil {
 			return persimmoncross.NewRefusal(persimmoncross.CodeKeyUnknown, "no organisation holds the key")
 		}
 	}
 	c := &call{
 		relay:   r,
-		passage: p,
+		request: p,
 		route:   route,
 		service: pickService(route),
 		sink:    sink,
@@ -145,7 +145,7 @@
 		c.organisation = organisation.Name
 		c.residency.organisationRegions = organisation.Homes
 	}
-	c.quarantineCopy = quarantine.Request{
+	c.quarantineRequest = quarantine.Request{
 		Digest:   quarantine.DigestOf(c.organisation, p.Method, p.Host, p.RequestTarget, p.BodyDigest),
 		Service:  c.service,
 		Recorder: r.QuarantineRecorder,
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -149,24 +149,24 @@
 		t.Fatal(r)
 	}
 	seen := map[string]bool{
-		e.targets[0].Incarnation: true,
+		e.targets[0].Name: true,
 	}
 	for _, a := range e.forwarder.attempts {
-		if seen[a.Upstream.Incarnation] {
-			t.Errorf("%s is draining or was tried already, but got an attempt", a.Upstream.Incarnation)
+		if seen[a.Upstream.Name] {
+			t.Errorf("%s is draining or was tried already, but got an attempt", a.Upstream.Name)
 		}
-		seen[a.Upstream.Incarnation] = true
+		seen[a.Upstream.Name] = true
 	}
 	misdirected := failedResponse(http.StatusMisdirectedRequest)
 	misdirected.head.Misdirected = true
 	e = newTestEnv(misdirected, okResponse("x"))
-	began := e.clock.Now()
+	start := e.clock.Now()
 	if r := e.serve(t, "once", nil); r != nil {
 		t.Fatal(r)
 	}
 	for _, u := range e.targets {
-		if got := u.IsDraining(began); got != (u.Incarnation == e.forwarder.attempts[0].Upstream.Incarnation) {
-			t.Errorf("%s: draining = %v after a misdirected response", u.Incarnation, got)
+		if got := u.IsDraining(start); got != (u.Name == e.forwarder.attempts[0].Upstream.Name) {
+			t.Errorf("%s: draining = %v after a misdirected response", u.Name, got)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := newTestEnv(okResponse("x"))
-			r := e.serve(t, tt.route, func(p *persimmoncross.ProxyRequest) { p.IdempotencyKey = tt.key })
+			r := e.serve(t, tt.route, func(p *persimmoncross.ProxyRequest) { p.APIKey = tt.key })
 			if r == nil || r.Status() != tt.status || r.Run != persimmoncross.NotRun {
 				t.Errorf("refusal %v, want status %d", r, tt.status)
 			}
@@ -216,7 +216,7 @@
 	e := newTestEnv(okResponse("x"))
 	view := e.view
 	e.relay.View = func() *View { return &View{} }
-	r := e.serve(t, "nowhere", func(p *persimmoncross.ProxyRequest) { p.IdempotencyKey = "" })
+	r := e.serve(t, "nowhere", func(p *persimmoncross.ProxyRequest) { p.APIKey = "" })
 	if r == nil || r.Status() != http.StatusServiceUnavailable || r.RetryAfter <= 0 || r.Run != persimmoncross.NotRun {
 		t.Fatalf("refusal %v, want status 503, not run, with a Retry-After", r)
 	}
--- a/core/coordination/relay/residency_test.go
+++ b/core/coordination/relay/residency_test.go
@@ -60,8 +60,8 @@
 				}
 			}
 			for _, a := range e.forwarder.attempts {
-				if !allowed[a.Upstream.Incarnation] {
-					t.Fatalf("%s, route %s: sent to %s, which is in no allowed region", tt.name, route, a.Upstream.Incarnation)
+				if !allowed[a.Upstream.Name] {
+					t.Fatalf("%s, route %s: sent to %s, which is in no allowed region", tt.name, route, a.Upstream.Name)
 				}
 			}
 			if tt.allowed != "" && len(e.forwarder.attempts) < 20 {
--- a/core/coordination/relay/response.go
+++ b/core/coordination/relay/response.go
@@ -48,7 +48,7 @@
 			Run:        persimmoncross.Ran,
 			HTTPStatus: head.Status,
 		}
-		c.logEventWithDigest().Str("upstream", target.Incarnation).Int("status", head.Status).Int("send", c.attempts).Msg("upstream answered with a server error")
+		c.logEventWithDigest().Str("upstream", target.Name).Int("status", head.Status).Int("send", c.attempts).Msg("upstream answered with a server error")
 		return outcomeRetry
 	}
 	if c.headSent {
@@ -73,7 +73,7 @@
 // caller disconnected.
 func (c *call) sendBuffered(head persimmoncross.ProxyResponseHead, body []byte) {
 	c.headSent = true
-	if c.passage.Method != http.MethodHead {
+	if c.request.Method != http.MethodHead {
 		head.Header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	if c.sink.WriteHead(head) != nil {
@@ -114,11 +114,11 @@
 func (c *call) handleInterruption(ctx context.Context, target *Target, err error) outcome {
 	e := asAttemptError(err, "cut", persimmoncross.Ran)
 	c.lastError = e
-	c.recordCut(ctx, target, e)
+	c.recordDisconnect(ctx, target, e)
 	if ctx.Err() == nil {
 		c.recordResult(target, true)
 	}
-	c.logEventWithDigest().Str("upstream", target.Incarnation).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("response interrupted")
+	c.logEventWithDigest().Str("upstream", target.Name).Str("reason", e.Reason).Str("detail", e.Detail).Str("event", c.lastEventID).Int("send", c.attempts).Msg("response interrupted")
 	if c.route.Repeat == persimmoncross.RetryNever || (c.headSent && c.route.Repeat != persimmoncross.RetryResume) {
 		return outcomeNoRetry
 	}
@@ -219,18 +219,18 @@
 	return end
 }
 
-// minPacedEvents is the least number of events of a stream for which the time between events
+// minEventsForDuration is the least number of events of a stream for which the time between events
 // is counted. In shorter streams the time between events depends on the prefill of other prompts
 // meanwhile, not on the version.
-const minPacedEvents = 5
+const minEventsForDuration = 5
 
 // recordCompletedStream counts and logs a stream that was forwarded completely.
 func (c *call) recordCompletedStream(target *Target, timing streamTiming) {
 	took := c.relay.Clock.Now().Sub(timing.headReceived)
-	if timing.events >= minPacedEvents {
+	if timing.events >= minEventsForDuration {
 		c.relay.CanaryStats.recordDuration(c.upgrade, c.canaryKey(target), took/time.Duration(timing.events-1))
 	}
-	c.relay.logEvent(c.passage).Str("route", c.route.Name).Str("upstream", target.Incarnation).Str("datacentre", target.DataCentre).Str("version", target.Version).Str("model", c.modelName()).
+	c.relay.logEvent(c.request).Str("route", c.route.Name).Str("upstream", target.Name).Str("datacentre", target.DataCentre).Str("version", target.Version).Str("model", c.modelName()).
 		Int("events", timing.events).Dur("took", took).Dur("pause", timing.longestPause).Int("pauseAt", timing.eventsBeforePause).Int("atOnce", timing.eventsAfterPause).Int("sends", c.attempts).Msg("answered")
 }
 
--- a/core/coordination/relay/restart_test.go
+++ b/core/coordination/relay/restart_test.go
@@ -15,11 +15,11 @@
 	now := time.Unix(100, 0)
 	start := func(ms int64) time.Time { return time.UnixMilli(ms) }
 	original := persimmoncross.Upstream{
-		Incarnation: "u",
-		StartedAt:   start(1_000_000),
-		Service:     "s",
-		Address:     netip.MustParseAddrPort("10.0.0.1:80"),
-		Slots:       4,
+		Name:      "u",
+		StartedAt: start(1_000_000),
+		Service:   "s",
+		Address:   netip.MustParseAddrPort("10.0.0.1:80"),
+		Slots:     4,
 	}
 	with := func(change func(u *persimmoncross.Upstream)) persimmoncross.Upstream {
 		u := original
@@ -60,7 +60,7 @@
 			Running: 4,
 			Waiting: 9,
 		}, now)
-		before.awaitHead(now, 7*time.Second)
+		before.trackPendingHead(now, 7*time.Second)
 		for range 50 {
 			before.recordAttempt()
 			before.recordResult(true, now)
@@ -107,21 +107,21 @@
 	misdirected := failedResponse(421)
 	misdirected.head.Misdirected = true
 	e := newTestEnv(misdirected, okResponse("x"))
-	began := e.clock.Now()
+	start := e.clock.Now()
 	if r := e.serve(t, "once", nil); r != nil {
 		t.Fatal(r)
 	}
-	first := e.forwarder.attempts[0].Upstream.Incarnation
+	first := e.forwarder.attempts[0].Upstream.Name
 	now := e.relay.Clock.Now()
 	for _, u := range e.targets {
-		if u.Incarnation != first {
+		if u.Name != first {
 			continue
 		}
-		if !u.IsDraining(began) || u.IsDraining(now.Add(time.Minute)) {
-			t.Errorf("draining = %v at once and %v after a minute, want true and false", u.IsDraining(began), u.IsDraining(now.Add(time.Minute)))
+		if !u.IsDraining(start) || u.IsDraining(now.Add(time.Minute)) {
+			t.Errorf("draining = %v at once and %v after a minute, want true and false", u.IsDraining(start), u.IsDraining(now.Add(time.Minute)))
 		}
 		u.clearSuspicion()
-		if u.IsDraining(began) {
+		if u.IsDraining(start) {
 			t.Error("an upstream that has answered still gets no new work")
 		}
 	}
--- a/core/coordination/relay/retryafter_test.go
+++ b/core/coordination/relay/retryafter_test.go
@@ -13,12 +13,12 @@
 func serveRetryAfter(t *testing.T, e *testEnv) time.Duration {
 	t.Helper()
 	r := e.relay.Serve(context.Background(), &persimmoncross.ProxyRequest{
-		ID:             "id",
-		Host:           "h",
-		Path:           "/once/x",
-		RequestTarget:  "/once/x",
-		IdempotencyKey: testKey,
-		ArrivedAt:      e.clock.Now(),
+		ID:            "id",
+		Host:          "h",
+		Path:          "/once/x",
+		RequestTarget: "/once/x",
+		APIKey:        testKey,
+		ArrivedAt:     e.clock.Now(),
 	}, &recordingSink{})
 	if r == nil {
 		return 0
@@ -85,7 +85,7 @@
 	for range maxAttempts {
 		e.forwarder.responses = append(e.forwarder.responses, rejectedResponse())
 	}
-	recordHead := e.relay.ModelStats.awaitHead(testService, "", 0, clock.Now())
+	recordHead := e.relay.ModelStats.trackPendingHead(testService, "", 0, clock.Now())
 	recordHead(clock.Now().Add(1500*time.Millisecond), true)
 	if after := serveRetryAfter(t, e); after < 1500*time.Millisecond || after > 2250*time.Millisecond {
 		t.Errorf("Retry-After %v with a time to the response head of 1.5 s, want 1.5s to 2.25s", after)
--- a/core/coordination/relay/slowstart_test.go
+++ b/core/coordination/relay/slowstart_test.go
@@ -35,7 +35,7 @@
 	}
 	e, p := newTestEnvWithPool(responses...)
 	now := time.Now()
-	colds := map[string]slowstart.ColdUpstream{}
+	coldUpstreams := map[string]slowstart.ColdUpstream{}
 	for i, u := range e.targets[:3] {
 		c := slowstart.ColdUpstream{
 			ColdUntil: now.Add(time.Hour),
@@ -43,9 +43,9 @@
 		if i == 0 {
 			c.Interval = time.Minute
 		}
-		colds[u.InstanceID()] = c
+		coldUpstreams[u.InstanceID()] = c
 	}
-	p.SetCold(colds)
+	p.SetCold(coldUpstreams)
 	requestCounts := map[string]int{}
 	for range 20 {
 		if refusal := e.serve(t, "safe", nil); refusal != nil {
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, a := range e.forwarder.attempts {
-		requestCounts[a.Upstream.Incarnation]++
+		requestCounts[a.Upstream.Name]++
 	}
 	if requestCounts["u1"] != 1 || requestCounts["u2"]+requestCounts["u3"] != 0 || requestCounts["u4"] != 19 {
 		t.Errorf("requests per upstream: %v, want 1 at u1, none at u2 and u3, 19 at u4", requestCounts)
@@ -89,7 +89,7 @@
 	now := e.clock.Now()
 	list := []persimmoncross.Upstream{e.targets[0].Upstream, e.targets[1].Upstream, e.targets[2].Upstream}
 	for i, id := range []string{"n1", "n2", "n3"} {
-		list[i].Incarnation = id
+		list[i].Name = id
 	}
 	list[2].SlowStartRemaining = time.Second
 	p.SetCold(map[string]slowstart.ColdUpstream{
@@ -98,8 +98,8 @@
 		},
 	})
 	for _, u := range p.Update(list)[testService] {
-		if want := u.Incarnation == "n1"; u.IsAvailable(now) != want {
-			t.Errorf("%s: available = %v", u.Incarnation, !want)
+		if want := u.Name == "n1"; u.IsAvailable(now) != want {
+			t.Errorf("%s: available = %v", u.Name, !want)
 		}
 	}
 }
--- a/core/coordination/relay/stalldetector.go
+++ b/core/coordination/relay/stalldetector.go
@@ -50,10 +50,10 @@
 	if c.route.Repeat == persimmoncross.RetryNever || c.executions+1 >= c.maxExecutions() || c.attempts >= maxAttempts {
 		return detector
 	}
-	silence := outlier.IdleState{
-		ExpectedHeaderWait: c.timeToHead(),
-		Objective:          c.latencyObjective(),
-		PauseLimit:         c.route.Pause,
+	idleState := outlier.IdleState{
+		ExpectedHeadWait: c.timeToHead(),
+		Objective:        c.latencyObjective(),
+		PauseLimit:       c.route.Pause,
 	}
 	go func() {
 		for {
@@ -66,7 +66,7 @@
 			}
 			// The retry is taken before the attempt is canceled, because an attempt is not
 			// canceled if no other attempt may be made.
-			if detector.isStalled(target, silence, r.Clock.Now()) && r.takeRetry(c.service) {
+			if detector.isStalled(target, idleState, r.Clock.Now()) && r.takeRetry(c.service) {
 				detector.abort(cancel)
 				return
 			}
@@ -85,13 +85,13 @@
 
 // isStalled reports whether the attempt has stalled. The given idle state already holds the
 // values that depend only on the request.
-func (d *stallDetector) isStalled(target *Target, silence outlier.IdleState, now time.Time) bool {
-	silence.HeaderReceived = d.headReceived.Load()
-	silence.ActiveStreams = int(target.activeStreams.Load())
-	silence.RecentPause = target.longestPause(now)
-	silence.PendingPrefill = target.pendingPrefill(now)
-	silence.SuspectedByOthers = target.isSuspectedByOthers(now)
-	limit, ok := silence.Timeout()
+func (d *stallDetector) isStalled(target *Target, idleState outlier.IdleState, now time.Time) bool {
+	idleState.HeadReceived = d.headReceived.Load()
+	idleState.ActiveStreams = int(target.activeStreams.Load())
+	idleState.RecentPause = target.longestPause(now)
+	idleState.PendingPrefill = target.pendingPrefill(now)
+	idleState.SuspectedByOthers = target.isSuspectedByOthers(now)
+	limit, ok := idleState.Timeout()
 	lastReceived := d.start.Add(time.Duration(d.lastReceived.Load()))
 	return ok && now.Sub(lastReceived) >= limit && !target.receivedSince(now.Add(-limit))
 }
@@ -108,6 +108,6 @@
 		Reason: "silent",
 		Run:    persimmoncross.RunUnknown,
 	}
-	c.logEventWithDigest().Str("upstream", target.Incarnation).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream stalled; attempt canceled")
+	c.logEventWithDigest().Str("upstream", target.Name).Dur("took", took).Str("event", c.lastEventID).Int("send", c.attempts).Msg("upstream stalled; attempt canceled")
 	return outcomeRetry
 }
--- a/core/coordination/relay/stalldetector_test.go
+++ b/core/coordination/relay/stalldetector_test.go
@@ -56,7 +56,7 @@
 		relay:   e.relay,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 		service: testService,
-		passage: &persimmoncross.ProxyRequest{},
+		request: &persimmoncross.ProxyRequest{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -101,7 +101,7 @@
 			relay:      e.relay,
 			route:      e.view.Catalog.Route("h", tt.path),
 			service:    testService,
-			passage:    &persimmoncross.ProxyRequest{},
+			request:    &persimmoncross.ProxyRequest{},
 			executions: tt.runs,
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -119,10 +119,10 @@
 func TestPlacementAvoidsLongQueues(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
-	home := placeByPrefix(all, "part", 0, now)
+	preferred := placeByPrefix(all, "part", 0, now)
 	for _, u := range all {
 		waiting := 0
-		if u == home {
+		if u == preferred {
 			waiting = 9
 		}
 		u.recordLoad(&persimmoncross.UpstreamLoad{
@@ -131,26 +131,26 @@
 			Slots:   10,
 		}, now)
 	}
-	if got := placeByPrefix(all, "part", 0, now); got != home {
+	if got := placeByPrefix(all, "part", 0, now); got != preferred {
 		t.Error("nine waiting prompts with no prefill time move a prompt to another upstream")
 	}
-	home.applyFleetLoad(FleetLoad{
+	preferred.applyFleetLoad(FleetLoad{
 		PrefillTime: 2 * time.Second,
 	}, now)
-	if got := placeByPrefix(all, "part", 0, now); got == home {
+	if got := placeByPrefix(all, "part", 0, now); got == preferred {
 		t.Error("a preferred upstream with 2 s of queued prefill time gets another request")
 	}
-	if got := placeByPrefix(all, "part", 0, now.Add(maxLoadAge+time.Second)); got != home {
+	if got := placeByPrefix(all, "part", 0, now.Add(maxLoadAge+time.Second)); got != preferred {
 		t.Error("a fleet load older than maxLoadAge is used")
 	}
 	// The preferred upstream has more requests than slots, and others have free slots.
-	home.applyFleetLoad(FleetLoad{}, now)
-	home.recordLoad(&persimmoncross.UpstreamLoad{
+	preferred.applyFleetLoad(FleetLoad{}, now)
+	preferred.recordLoad(&persimmoncross.UpstreamLoad{
 		Running: 10,
 		Waiting: 9,
 		Slots:   10,
 	}, now)
-	if got := placeByPrefix(all, "part", 0, now); got == home {
+	if got := placeByPrefix(all, "part", 0, now); got == preferred {
 		t.Error("a preferred upstream with 9 prompts waiting for a slot gets another request")
 	}
 }
@@ -200,10 +200,10 @@
 	e := newTestEnv()
 	clock := newManualClock()
 	e.relay.Clock = clock
-	const ever = 100 * 365 * 24 * time.Hour // contexts use the system clock
+	const noTimeout = 100 * 365 * 24 * time.Hour // contexts use the system clock
 	route := e.view.Catalog.Route("h", "/stream/x")
 	route.Pause = time.Second
-	route.Timeout = ever
+	route.Timeout = noTimeout
 	f := &stallingForwarder{
 		fakeForwarder: fakeForwarder{
 			responses: []*fakeResponse{streamResponse(eventStream("1"), false), streamResponse(eventStream("2", "3"), false)},
@@ -215,15 +215,15 @@
 	ended := make(chan *persimmoncross.Refusal)
 	go func() {
 		ended <- e.relay.Serve(context.Background(), &persimmoncross.ProxyRequest{
-			ID:             "id",
-			Host:           "h",
-			Path:           "/stream/x",
-			IdempotencyKey: testKey,
-			ArrivedAt:      clock.Now(),
+			ID:        "id",
+			Host:      "h",
+			Path:      "/stream/x",
+			APIKey:    testKey,
+			ArrivedAt: clock.Now(),
 		}, e.sink)
 	}()
 	<-f.stalled
-	began := clock.Now()
+	stalledAt := clock.Now()
 	for silent := true; silent; {
 		select {
 		case <-f.canceled: // checked before the waits of the second attempt, so that the clock stops here
@@ -242,7 +242,7 @@
 			fired <- now
 		}
 	}
-	pause := clock.Now().Sub(began)
+	pause := clock.Now().Sub(stalledAt)
 	if refusal := <-ended; refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -256,7 +256,7 @@
 		t.Fatalf("got %d attempts, want 2, with the second one resuming after event 1", len(f.attempts))
 	}
 	for _, u := range e.targets {
-		if u.Incarnation == f.attempts[0].Upstream.Incarnation && !u.isSuspected(clock.Now()) {
+		if u.Name == f.attempts[0].Upstream.Name && !u.isSuspected(clock.Now()) {
 			t.Error("the stalled upstream is not suspected")
 		}
 	}
@@ -274,7 +274,7 @@
 		relay:   e.relay,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 		service: testService,
-		passage: &persimmoncross.ProxyRequest{},
+		request: &persimmoncross.ProxyRequest{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -192,14 +192,14 @@
 	}
 	c := &call{
 		relay:   e.relay,
-		passage: passage,
+		request: passage,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 	}
 	for i := range 40 {
 		p := newPrompt(fmt.Sprint("part", i), 0)
 		got, _ := placeRequest(e.targets, p, now, func(u *Target) time.Duration { return c.linkCost(u, now) })
 		if got.DataCentre != "a" {
-			t.Fatalf("a long stream is placed at %s, over the lossy link", got.Incarnation)
+			t.Fatalf("a long stream is placed at %s, over the lossy link", got.Name)
 		}
 	}
 	if n := metrics.GetOrRegisterCounter("relay.held-up.b", e.relay.Metrics).Count(); n != 1 {
@@ -260,7 +260,7 @@
 		for i := range 100 {
 			e.relay.countRequest(testService)
 			prompt := 500 + 100*(i%9)
-			recordHead := e.relay.ModelStats.awaitHead(testService, "large", prompt, e.clock.Now())
+			recordHead := e.relay.ModelStats.trackPendingHead(testService, "large", prompt, e.clock.Now())
 			recordHead(e.clock.Now().Add(time.Duration(prompt)*50*time.Microsecond), true)
 			e.relay.ModelStats.recordConfidence(testService, "small", i%5 < 3)
 		}
--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -106,8 +106,8 @@
 	e.plans = plans
 }
 
-// Note records the outcome of one run. timeToFirstToken is 0 if the run returned no token.
-func (e *Collector) Note(v persimmoncross.ModelVersion, organisation string, failed bool, timeToFirstToken time.Duration) {
+// RecordRun records the outcome of one run. timeToFirstToken is 0 if the run returned no token.
+func (e *Collector) RecordRun(v persimmoncross.ModelVersion, organisation string, failed bool, timeToFirstToken time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureMaps()
@@ -168,8 +168,8 @@
 	}
 }
 
-// Rated records the rating of one answer.
-func (e *Collector) Rated(v persimmoncross.ModelVersion, organisation string, poor bool) {
+// RecordRating records the rating of one answer.
+func (e *Collector) RecordRating(v persimmoncross.ModelVersion, organisation string, poor bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ensureMaps()
@@ -180,10 +180,10 @@
 	}
 }
 
-// Sample reports whether an answer of the version should be rated. All answers of a version
+// ShouldRate reports whether an answer of the version should be rated. All answers of a version
 // that is being rolled out are rated, and somewhat more than that many of the version that it
 // replaces, so that the rollouts' budgets limit the load of the rater.
-func (e *Collector) Sample(v persimmoncross.ModelVersion) bool {
+func (e *Collector) ShouldRate(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, rolling := e.plans[v]; rolling {
@@ -200,18 +200,18 @@
 // ratingCount returns the number of ratings of a version for all organisations.
 func (e *Collector) ratingCount(v persimmoncross.ModelVersion) uint64 {
 	var n uint64
-	for s, t := range e.tallies {
-		if s.Version == v {
+	for key, t := range e.tallies {
+		if key.Version == v {
 			n += t.Ratings
 		}
 	}
 	return n
 }
 
-// Expose reports whether this entry may send the version a new session, or a request that
+// TryExpose reports whether this entry may send the version a new session, or a request that
 // another version could run, and counts the request if so. It returns false only for versions
 // that are being rolled out.
-func (e *Collector) Expose(v persimmoncross.ModelVersion) bool {
+func (e *Collector) TryExpose(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p, rolling := e.plans[v]
@@ -271,8 +271,8 @@
 		Candidate: map[string]Tally{},
 		Baseline:  map[string]Tally{},
 	}
-	for s, t := range e.tallies {
-		pool.Add(s, *t, v, p.Baseline)
+	for key, t := range e.tallies {
+		pool.Add(key, *t, v, p.Baseline)
 	}
 	return e.Judge.BadReason(pool) != ""
 }
@@ -282,8 +282,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := map[TallyKey]Tally{}
-	for s, t := range e.tallies {
-		all[s] = *t
+	for key, t := range e.tallies {
+		all[key] = *t
 	}
 	return all
 }
@@ -299,14 +299,14 @@
 }
 
 func (e *Collector) tally(v persimmoncross.ModelVersion, organisation string) *Tally {
-	s := TallyKey{
+	key := TallyKey{
 		Version:      v,
 		Organisation: organisation,
 	}
-	t := e.tallies[s]
+	t := e.tallies[key]
 	if t == nil {
 		t = &Tally{}
-		e.tallies[s] = t
+		e.tallies[key] = t
 	}
 	return t
 }
--- a/core/coordination/rollout/judge.go
+++ b/core/coordination/rollout/judge.go
@@ -33,18 +33,18 @@
 }
 
 // Add adds a tally if it belongs to one of the two versions.
-func (p PooledEvidence) Add(s TallyKey, t Tally, candidate, baseline persimmoncross.ModelVersion) {
+func (p PooledEvidence) Add(key TallyKey, t Tally, candidate, baseline persimmoncross.ModelVersion) {
 	target := p.Candidate
-	switch s.Version {
+	switch key.Version {
 	case candidate:
 	case baseline:
 		target = p.Baseline
 	default:
 		return
 	}
-	sum := target[s.Organisation]
+	sum := target[key.Organisation]
 	sum.Add(t)
-	target[s.Organisation] = sum
+	target[key.Organisation] = sum
 }
 
 // SumTallies returns the sum of the tallies of all organisations.
@@ -116,18 +116,18 @@
 	}
 	share := 0.125 / float64(max(1, len(p.Candidate)))
 	for _, name := range slices.Sorted(maps.Keys(p.Candidate)) {
-		t, o := p.Candidate[name], p.Baseline[name]
+		t, baselineTally := p.Candidate[name], p.Baseline[name]
 		list = append(list, check{
 			description: "runs of " + name + " failed",
 			runs:        t.Runs,
 			bad:         t.FailedRuns,
-			limit:       upperConfidenceBound(o.Runs, o.FailedRuns) + margin,
+			limit:       upperConfidenceBound(baselineTally.Runs, baselineTally.FailedRuns) + margin,
 			alphaShare:  share,
 		}, check{
 			description: "answers to " + name + " were rated poor",
 			runs:        t.Ratings,
 			bad:         t.PoorRatings,
-			limit:       upperConfidenceBound(o.Ratings, o.PoorRatings) + margin,
+			limit:       upperConfidenceBound(baselineTally.Ratings, baselineTally.PoorRatings) + margin,
 			alphaShare:  share,
 		})
 	}
--- a/core/coordination/rollout/rollout_test.go
+++ b/core/coordination/rollout/rollout_test.go
@@ -80,14 +80,14 @@
 
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		fresh map[string]Tally
-		stage uint64
-		want  Decision
+		name             string
+		candidateTallies map[string]Tally
+		stageRuns        uint64
+		want             Decision
 	}{
 		{
 			name: "too few runs",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs: 50,
 				},
@@ -96,28 +96,28 @@
 		},
 		{
 			name: "budget completed with good runs",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs:       120,
 					FailedRuns: 2,
 				},
 			},
-			stage: 100,
-			want:  DecisionAdvance,
+			stageRuns: 100,
+			want:      DecisionAdvance,
 		},
 		{
 			name: "budget completed only with runs of earlier stages",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs: 120,
 				},
 			},
-			stage: 70,
-			want:  DecisionWait,
+			stageRuns: 70,
+			want:      DecisionWait,
 		},
 		{
 			name: "failures",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs:       20,
 					FailedRuns: 8,
@@ -127,7 +127,7 @@
 		},
 		{
 			name: "failures of one organisation",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs: 300,
 				},
@@ -140,7 +140,7 @@
 		},
 		{
 			name: "poor answers",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs:        30,
 					Ratings:     20,
@@ -151,7 +151,7 @@
 		},
 		{
 			name: "slow runs",
-			fresh: map[string]Tally{
+			candidateTallies: map[string]Tally{
 				"a": {
 					Runs:            30,
 					DiscordantPairs: 30,
@@ -163,7 +163,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := PooledEvidence{
-				Candidate: c.fresh,
+				Candidate: c.candidateTallies,
 				Baseline: map[string]Tally{
 					"a": {
 						Runs:        2000,
@@ -173,7 +173,7 @@
 					},
 				},
 			}
-			if got, reason := (Judge{}).Decide(p, 100, c.stage); got != c.want {
+			if got, reason := (Judge{}).Decide(p, 100, c.stageRuns); got != c.want {
 				t.Errorf("got %d (%s), want %d", got, reason, c.want)
 			}
 		})
@@ -194,10 +194,10 @@
 		e.SetPlans(plan)
 		given := 0
 		for range 50 {
-			if e.Expose(candidate) {
+			if e.TryExpose(candidate) {
 				given++
 			}
-			if !e.Expose(baseline) {
+			if !e.TryExpose(baseline) {
 				t.Fatal("Expose returned false for the baseline")
 			}
 		}
@@ -212,7 +212,7 @@
 				StageBudget: 10,
 			},
 		})
-		if !e.Expose(candidate) {
+		if !e.TryExpose(candidate) {
 			t.Error("Expose returned false in the next stage")
 		}
 	})
@@ -222,9 +222,9 @@
 		}
 		e.SetPlans(plan)
 		for range maxConsecutiveFailures {
-			e.Note(candidate, "a", true, 0)
+			e.RecordRun(candidate, "a", true, 0)
 		}
-		if e.Expose(candidate) {
+		if e.TryExpose(candidate) {
 			t.Error("Expose returned true for a version whose runs all failed")
 		}
 	})
@@ -240,11 +240,11 @@
 		},
 	})
 	for i := range 200 {
-		e.Note(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
+		e.RecordRun(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
 	}
 	for range 20 {
-		e.Note(baseline, "a", false, 100*time.Millisecond)
-		e.Note(candidate, "a", false, 300*time.Millisecond)
+		e.RecordRun(baseline, "a", false, 100*time.Millisecond)
+		e.RecordRun(candidate, "a", false, 300*time.Millisecond)
 	}
 	got := e.Tallies()[TallyKey{
 		Version:      candidate,
@@ -278,25 +278,25 @@
 		return Judge{}.BadReason(p)
 	}
 	for i := range 200 {
-		e.Note(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
+		e.RecordRun(baseline, "a", false, time.Duration(100+i%10)*time.Millisecond)
 	}
 	for range 40 {
-		e.Note(baseline, "a", false, 300*time.Millisecond)
-		e.Note(candidate, "a", false, 300*time.Millisecond)
+		e.RecordRun(baseline, "a", false, 300*time.Millisecond)
+		e.RecordRun(candidate, "a", false, 300*time.Millisecond)
 		if reason := judge(); reason != "" {
 			t.Fatalf("rolled back although both versions are slow: %s", reason)
 		}
 	}
 	for range 200 {
-		e.Note(candidate, "a", false, time.Second)
+		e.RecordRun(candidate, "a", false, time.Second)
 	}
 	if reason := judge(); reason != "" {
 		t.Errorf("rolled back without baseline runs to compare with: %s", reason)
 	}
 	// Slow runs count if the runs of the old version stay fast.
 	for range 60 {
-		e.Note(baseline, "a", false, 100*time.Millisecond)
-		e.Note(candidate, "a", false, time.Second)
+		e.RecordRun(baseline, "a", false, 100*time.Millisecond)
+		e.RecordRun(candidate, "a", false, time.Second)
 	}
 	if judge() == "" {
 		t.Error("a slow version was not detected although the baseline is fast")
--- a/core/coordination/routing/backoff.go
+++ b/core/coordination/routing/backoff.go
@@ -34,11 +34,11 @@
 
 // MinBackoffRemaining returns the shortest remaining backoff among the upstreams that are
 // eligible for the request, 0 if none of them is in a backoff.
-func (t *Table) MinBackoffRemaining(c PickInfo) time.Duration {
+func (t *Table) MinBackoffRemaining(info PickInfo) time.Duration {
 	now := t.Clock.Now()
 	shortest := time.Duration(0)
 	for _, u := range t.upstreamsByName() {
-		if remaining := u.backoff.remaining(now); t.isAvailable(u) && u.serves(c) && remaining > 0 && (shortest == 0 || remaining < shortest) {
+		if remaining := u.backoff.remaining(now); t.isAvailable(u) && u.serves(info) && remaining > 0 && (shortest == 0 || remaining < shortest) {
 			shortest = remaining
 		}
 	}
--- a/core/coordination/routing/breaker.go
+++ b/core/coordination/routing/breaker.go
@@ -43,10 +43,10 @@
 
 // reset drops the breakers. A request in flight may still report to the breaker that it
 // obtained before.
-func (c *versionBreakers) reset() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.byVersion = nil
+func (b *versionBreakers) reset() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.byVersion = nil
 }
 
 // HasOpenBreaker reports whether the circuit breaker of any version is open.
@@ -69,22 +69,22 @@
 	return b.breaker.Allows(b.Clock.Now())
 }
 
-// Begin calls [outlier.Breaker.StartAttempt].
-func (b *Breaker) Begin() {
+// StartAttempt calls [outlier.Breaker.StartAttempt].
+func (b *Breaker) StartAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.StartAttempt()
 }
 
-// RecordResult calls [outlier.Breaker.RecordOutcome].
-func (b *Breaker) RecordResult(failed bool) {
+// RecordOutcome calls [outlier.Breaker.RecordOutcome].
+func (b *Breaker) RecordOutcome(failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.RecordOutcome(failed, b.Clock.Now())
 }
 
-// Abandon calls [outlier.Breaker.AbandonProbe].
-func (b *Breaker) Abandon() {
+// AbandonProbe calls [outlier.Breaker.AbandonProbe].
+func (b *Breaker) AbandonProbe() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breaker.AbandonProbe()
--- a/core/coordination/routing/isolation.go
+++ b/core/coordination/routing/isolation.go
@@ -13,15 +13,15 @@
 // reserved for isolated requests.
 const isolatedShareDivisor = 4
 
-// isolationUpstream returns the upstream in the list that is reserved for an isolated
+// reservedUpstream returns the upstream in the list that is reserved for an isolated
 // request, nil if the list is empty.
-func isolationUpstream(d persimmoncross.Digest, list []*Upstream) *Upstream {
+func reservedUpstream(d persimmoncross.Digest, list []*Upstream) *Upstream {
 	names := make([]string, len(list))
 	for i, u := range list {
 		names[i] = u.Name
 	}
-	if at := quarantine.RendezvousIndex(d, names); at >= 0 {
-		return list[at]
+	if i := quarantine.RendezvousIndex(d, names); i >= 0 {
+		return list[i]
 	}
 	return nil
 }
@@ -29,9 +29,9 @@
 // pickIsolated returns the upstream reserved for the request, which is isolated. It returns
 // nil if that upstream cannot take the request now, because the request must not run at any
 // other upstream.
-func pickIsolated(c PickInfo, list []*Upstream, now time.Time) *Upstream {
-	u := isolationUpstream(c.IsolatedDigest, list)
-	if u == nil || c.TriedUpstreams[u.Name] || u.backoff.remaining(now) > 0 || !u.Breaker(c.Version).Allows() {
+func pickIsolated(info PickInfo, list []*Upstream, now time.Time) *Upstream {
+	u := reservedUpstream(info.IsolatedDigest, list)
+	if u == nil || info.TriedUpstreams[u.Name] || u.backoff.remaining(now) > 0 || !u.Breaker(info.Version).Allows() {
 		return nil
 	}
 	return u
@@ -39,10 +39,10 @@
 
 // excludeIsolated removes the upstreams reserved for isolated requests from the list, unless
 // they exceed the share that isolatedShareDivisor allows.
-func excludeIsolated(c PickInfo, list []*Upstream) []*Upstream {
+func excludeIsolated(info PickInfo, list []*Upstream) []*Upstream {
 	isolated := map[*Upstream]bool{}
-	for _, d := range c.IsolatedDigests {
-		isolated[isolationUpstream(d, list)] = true
+	for _, d := range info.IsolatedDigests {
+		isolated[reservedUpstream(d, list)] = true
 	}
 	if len(list) == 0 || isolatedShareDivisor*len(isolated) > len(list) {
 		return list
--- a/core/coordination/routing/restart_test.go
+++ b/core/coordination/routing/restart_test.go
@@ -21,9 +21,9 @@
 	v := persimmoncross.ParseModelVersion("m@1")
 	prompt := make([]byte, 4*blockSize)
 	for _, tt := range []struct {
-		what     string
-		old, now persimmoncross.UpstreamReport
-		again    bool
+		what      string
+		old, now  persimmoncross.UpstreamReport
+		restarted bool
 	}{
 		{"no restart", report(at(1000), 4, 10), report(at(1000), 5, 20), false},
 		{"different start time", report(at(1000), 4, 10), report(at(2000), 5, 20), true},
@@ -44,20 +44,20 @@
 		}
 		for range 50 {
 			u.BeginAttempt(at(0), v, prompt)()
-			u.Breaker(v).RecordResult(true)
+			u.Breaker(v).RecordOutcome(true)
 		}
 		u.RecordDuration(time.Minute)
 		if !u.HasOpenBreaker() {
 			t.Fatal("the circuit breaker is closed after 50 failures")
 		}
-		if got := u.ApplyReport(tt.now); got != tt.again || u.Restarts() == 1 != tt.again {
+		if got := u.ApplyReport(tt.now); got != tt.restarted || u.Restarts() == 1 != tt.restarted {
 			t.Errorf("%s: ApplyReport returned %v, Restarts returned %d", tt.what, got, u.Restarts())
 		}
 		u.history.mu.Lock()
-		known := u.history.meanDurationSeconds != 0 || u.history.prefixes.cachedBytes(prefixHashes(prompt), at(0)) != 0
+		stateKept := u.history.meanDurationSeconds != 0 || u.history.prefixes.cachedBytes(prefixHashes(prompt), at(0)) != 0
 		u.history.mu.Unlock()
-		if known == tt.again || u.HasOpenBreaker() == tt.again {
-			t.Errorf("%s: state kept: %v, circuit breaker open: %v", tt.what, known, u.HasOpenBreaker())
+		if stateKept == tt.restarted || u.HasOpenBreaker() == tt.restarted {
+			t.Errorf("%s: state kept: %v, circuit breaker open: %v", tt.what, stateKept, u.HasOpenBreaker())
 		}
 	}
 }
--- a/core/coordination/routing/routing_test.go
+++ b/core/coordination/routing/routing_test.go
@@ -30,8 +30,8 @@
 		Model: "bad",
 	}
 	for u.Breaker(bad).Allows() {
-		u.Breaker(bad).Begin()
-		u.Breaker(bad).RecordResult(true)
+		u.Breaker(bad).StartAttempt()
+		u.Breaker(bad).RecordOutcome(true)
 	}
 	good := persimmoncross.ModelVersion{
 		Model: "good",
@@ -43,12 +43,12 @@
 		t.Error("HasOpenBreaker returned false with an open circuit breaker")
 	}
 	clock.now = clock.now.Add(time.Minute)
-	u.Breaker(bad).Begin()
-	u.Breaker(bad).Abandon()
+	u.Breaker(bad).StartAttempt()
+	u.Breaker(bad).AbandonProbe()
 	if !u.Breaker(bad).Allows() {
 		t.Error("no probe is allowed after an abandoned probe")
 	}
-	u.Breaker(bad).RecordResult(false)
+	u.Breaker(bad).RecordOutcome(false)
 	if u.HasOpenBreaker() || u.Breaker(bad).ErrorRate() == 0 {
 		t.Error("a successful probe did not close the circuit breaker, or reset the error rate")
 	}
@@ -63,13 +63,13 @@
 		prompt[0] = byte(i)
 		blocks := prefixHashes(prompt)
 		all, other := newTable(10).List(), newTable(10).List()
-		home := affinityUpstream(all, blocks)
-		if got := affinityUpstream(other, blocks); got.Name != home.Name {
-			t.Fatalf("affinity upstream is %s at one entry, %s at another", home.Name, got.Name)
+		affinity := affinityUpstream(all, blocks)
+		if got := affinityUpstream(other, blocks); got.Name != affinity.Name {
+			t.Fatalf("affinity upstream is %s at one entry, %s at another", affinity.Name, got.Name)
 		}
-		if got := affinityUpstream(all[1:], blocks); got.Name != home.Name {
+		if got := affinityUpstream(all[1:], blocks); got.Name != affinity.Name {
 			moved++
-			if home != all[0] {
+			if affinity != all[0] {
 				t.Error("the affinity upstream changed although it was not removed")
 			}
 		}
@@ -157,24 +157,24 @@
 
 // An isolated request must wait while the upstream reserved for it is in a backoff, because
 // at another upstream it might crash that one too.
-func TestSuspectRequestWaitsForItsUpstream(t *testing.T) {
+func TestIsolatedRequestWaitsForReservedUpstream(t *testing.T) {
 	table := newTable(4)
 	var names []string
 	for _, u := range table.List() {
 		names = append(names, u.Name)
 	}
-	suspect := PickInfo{
+	isolated := PickInfo{
 		ServiceUpstreams: names,
 		IsolatedDigest:   persimmoncross.Digest{1},
 	}
-	home := table.Pick(suspect)
-	home.SetBackoff(table.Clock.Now().Add(time.Hour))
-	if u := table.Pick(suspect); u != nil {
-		t.Errorf("the isolated request was sent to %s, want none while %s is in a backoff", u.Name, home.Name)
+	reserved := table.Pick(isolated)
+	reserved.SetBackoff(table.Clock.Now().Add(time.Hour))
+	if u := table.Pick(isolated); u != nil {
+		t.Errorf("the isolated request was sent to %s, want none while %s is in a backoff", u.Name, reserved.Name)
 	}
 	for range 20 {
-		if u := table.Pick(PickInfo{ServiceUpstreams: names}); u == nil || u == home {
-			t.Errorf("another request was sent to %v while %s is in a backoff", u, home.Name)
+		if u := table.Pick(PickInfo{ServiceUpstreams: names}); u == nil || u == reserved {
+			t.Errorf("another request was sent to %v while %s is in a backoff", u, reserved.Name)
 		}
 	}
 }
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -137,17 +137,17 @@
 
 // Pick returns the upstream for an attempt, or nil if no upstream may get the attempt. An
 // upstream that was already tried is picked only if no other is available.
-func (t *Table) Pick(c PickInfo) *Upstream {
+func (t *Table) Pick(info PickInfo) *Upstream {
 	now := t.Clock.Now()
 	var untried, tried []*Upstream
-	eligible := t.eligible(c)
-	if c.IsolatedDigest != (persimmoncross.Digest{}) {
-		return pickIsolated(c, eligible, now)
+	eligible := t.eligible(info)
+	if info.IsolatedDigest != (persimmoncross.Digest{}) {
+		return pickIsolated(info, eligible, now)
 	}
-	for _, u := range excludeIsolated(c, eligible) {
+	for _, u := range excludeIsolated(info, eligible) {
 		switch {
-		case u.backoff.remaining(now) > 0 || !u.Breaker(c.Version).Allows():
-		case c.TriedUpstreams[u.Name]:
+		case u.backoff.remaining(now) > 0 || !u.Breaker(info.Version).Allows():
+		case info.TriedUpstreams[u.Name]:
 			tried = append(tried, u)
 		default:
 			untried = append(untried, u)
@@ -161,23 +161,23 @@
 	}
 	peerEntries := float64(max(1, t.LiveEntries()) - 1)
 	candidates := make([]persimmoncross.Candidate, len(untried))
-	hashes := prefixHashes(c.Prompt)
+	hashes := prefixHashes(info.Prompt)
 	affinity := affinityUpstream(untried, hashes)
 	for i, u := range untried {
-		candidates[i] = u.newCandidate(now, c.Version, hashes, peerEntries)
+		candidates[i] = u.newCandidate(now, info.Version, hashes, peerEntries)
 		if u == affinity {
-			candidates[i].CachedBytes = len(c.Prompt)
+			candidates[i].CachedBytes = len(info.Prompt)
 		}
 	}
-	return untried[t.Picker.Pick(candidates, len(c.Prompt))]
+	return untried[t.Picker.Pick(candidates, len(info.Prompt))]
 }
 
 // eligible returns the upstreams, sorted by name, that have the version or serve the service,
 // are not draining, and are not in an evacuated data centre.
-func (t *Table) eligible(c PickInfo) []*Upstream {
+func (t *Table) eligible(info PickInfo) []*Upstream {
 	var list []*Upstream
 	for _, u := range t.upstreamsByName() {
-		if !t.isAvailable(u) || !u.serves(c) {
+		if !t.isAvailable(u) || !u.serves(info) {
 			continue
 		}
 		list = append(list, u)
@@ -208,11 +208,11 @@
 	return u.settings.SlotsOf()
 }
 
-func (u *Upstream) serves(c PickInfo) bool {
-	if len(c.ServiceUpstreams) > 0 {
-		return slices.Contains(c.ServiceUpstreams, u.Name)
+func (u *Upstream) serves(info PickInfo) bool {
+	if len(info.ServiceUpstreams) > 0 {
+		return slices.Contains(info.ServiceUpstreams, u.Name)
 	}
-	return u.hasVersion(c.Version)
+	return u.hasVersion(info.Version)
 }
 
 // hasVersion reports whether the engine has the version. If the engine reports its loaded
@@ -254,7 +254,7 @@
 }
 
 // SetDraining sets whether the platform wants the upstream drained.
-func (u *Upstream) SetDraining(leaving bool) { u.draining.Store(leaving) }
+func (u *Upstream) SetDraining(draining bool) { u.draining.Store(draining) }
 
 // Kind returns "engine" or "service".
 func (u *Upstream) Kind() string { return u.settings.Kind }
@@ -337,7 +337,7 @@
 // BeginAttempt records the start of an attempt. The returned function records its end.
 func (u *Upstream) BeginAttempt(now time.Time, v persimmoncross.ModelVersion, prompt []byte) (endAttempt func()) {
 	u.inFlight.Add(1)
-	u.Breaker(v).Begin()
+	u.Breaker(v).StartAttempt()
 	hashes := prefixHashes(prompt)
 	u.history.mu.Lock()
 	u.history.prefixes.add(hashes, now)
--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -68,7 +68,7 @@
 // observations, and the number of instances that were assigned owners. Owners are assigned
 // once, and only to instances that became cold after this leader became the only one to
 // assign owners. Earlier instances may have other owners, which the previous leader assigned.
-func Update(previous map[string]ColdUpstream, observed []ColdObservation, entries []string, soleSince, now time.Time) (next map[string]ColdUpstream, added int) {
+func Update(previous map[string]ColdUpstream, observed []ColdObservation, entries []string, soleLeaderSince, now time.Time) (next map[string]ColdUpstream, added int) {
 	next = map[string]ColdUpstream{}
 	for instanceID, c := range previous {
 		if c.ColdUntil.After(now) {
@@ -86,7 +86,7 @@
 		}
 		c.ColdUntil = o.ColdUntil
 		next[o.InstanceID] = c
-		if !known && o.ColdUntil.Add(-o.Limit.Duration).After(soleSince) {
+		if !known && o.ColdUntil.Add(-o.Limit.Duration).After(soleLeaderSince) {
 			newLimits[o.InstanceID] = o.Limit
 		}
 	}
--- a/core/coordination/slowstart/slowstart_test.go
+++ b/core/coordination/slowstart/slowstart_test.go
@@ -39,16 +39,16 @@
 			for i := range entries {
 				names = append(names, fmt.Sprint("e", i))
 			}
-			colds := map[string]ColdUpstream{}
-			assignOwners(colds, map[string]ColdLimit{"u": limit}, names)
+			upstreams := map[string]ColdUpstream{}
+			assignOwners(upstreams, map[string]ColdLimit{"u": limit}, names)
 			const duration = 20 * time.Second
 			var arrivals []time.Duration
 			start := time.Unix(1000, 0)
-			for range colds["u"].Owners {
+			for range upstreams["u"].Owners {
 				p := &Pacer{}
 				p.SetCold(ColdUpstream{
 					ColdUntil: start.Add(time.Hour),
-					Interval:  colds["u"].Interval,
+					Interval:  upstreams["u"].Interval,
 				})
 				for at := time.Duration(0); at < duration; at += time.Millisecond {
 					if random.IntN(3) == 0 && p.TryAcquire(start.Add(at)) {
@@ -79,11 +79,11 @@
 		for i := range 22 {
 			limits[fmt.Sprint("u", i)] = ColdLimit{Rate: 8.8, MaxPerSecond: 18.2}
 		}
-		colds := map[string]ColdUpstream{}
-		assignOwners(colds, limits, names)
+		upstreams := map[string]ColdUpstream{}
+		assignOwners(upstreams, limits, names)
 		ownedCount := map[string]int{}
 		total := 0
-		for _, c := range colds {
+		for _, c := range upstreams {
 			for _, e := range c.Owners {
 				ownedCount[e]++
 				total++
--- a/core/coordination/steward/steward.go
+++ b/core/coordination/steward/steward.go
@@ -65,10 +65,10 @@
 		return VoterChange{}
 	}
 	removal := VoterChange{}
-	longestSilence := status.UnreachableTimeout
+	longestUnreachable := status.UnreachableTimeout
 	for _, v := range status.Voters {
-		if s := status.TimeSinceContact[v.ID]; v.ID != status.Self && s > longestSilence {
-			longestSilence = s
+		if s := status.TimeSinceContact[v.ID]; v.ID != status.Self && s > longestUnreachable {
+			longestUnreachable = s
 			removal = VoterChange{
 				Remove: v.ID,
 				Reason: "it is silent and has a successor",
--- a/core/coordination/upgrade/stages.go
+++ b/core/coordination/upgrade/stages.go
@@ -180,8 +180,8 @@
 
 func totalAnswers(byRoute map[string]AnswerStats) uint64 {
 	sum := uint64(0)
-	for _, c := range byRoute {
-		sum += c.Answers
+	for _, stats := range byRoute {
+		sum += stats.Answers
 	}
 	return sum
 }
@@ -251,10 +251,10 @@
 	if newStats.TimedAnswers < minTimedAnswers || oldStats.TimedAnswers < minTimedAnswers {
 		return ""
 	}
-	mean, squaredError := newStats.meanSeconds()
+	newMean, newSquaredError := newStats.meanSeconds()
 	oldMean, oldSquaredError := oldStats.meanSeconds()
-	if mean < minRatio*oldMean || mean-oldMean < minStandardErrors*math.Sqrt(squaredError+oldSquaredError) {
+	if newMean < minRatio*oldMean || newMean-oldMean < minStandardErrors*math.Sqrt(newSquaredError+oldSquaredError) {
 		return ""
 	}
-	return fmt.Sprintf("%d answers took %.3f s, the old version's %.3f s", newStats.TimedAnswers, mean, oldMean)
+	return fmt.Sprintf("%d answers took %.3f s, the old version's %.3f s", newStats.TimedAnswers, newMean, oldMean)
 }
--- a/internal/bench/engines.go
+++ b/internal/bench/engines.go
@@ -233,7 +233,7 @@
 		p.post(first+rest, func() {
 			n.end()
 			n.upstream.RecordDuration(p.clock.now.Sub(n.arrived))
-			n.upstream.Breaker(benchVersion).RecordResult(false)
+			n.upstream.Breaker(benchVersion).RecordOutcome(false)
 			e.running--
 			p.serve(e)
 		})
--- a/internal/bench/entries.go
+++ b/internal/bench/entries.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		candidate := placement.Candidate{
-			ID:              e.name,
+			Name:            e.name,
 			Slots:           f.play.slots,
 			SlotUtilization: float64(k.inFlight) / float64(f.play.slots),
 		}
@@ -375,13 +375,13 @@
 			reading += other.work
 		}
 		s := outlier.IdleState{
-			ExpectedHeaderWait: f.heads[c.generation.entry][t.model].PrefillTime(c.generation.prompt),
-			Objective:          decideObjective,
-			PauseLimit:         decidePause,
-			HeaderReceived:     t.begun,
-			ActiveStreams:      k.flowing,
-			RecentPause:        k.pauses.Longest(now),
-			PendingPrefill:     max(reading, f.shared[t.engine]),
+			ExpectedHeadWait: f.heads[c.generation.entry][t.model].PrefillTime(c.generation.prompt),
+			Objective:        decideObjective,
+			PauseLimit:       decidePause,
+			HeadReceived:     t.begun,
+			ActiveStreams:    k.flowing,
+			RecentPause:      k.pauses.Longest(now),
+			PendingPrefill:   max(reading, f.shared[t.engine]),
 		}
 		limit, ok := s.Timeout()
 		quiet := min(now.Sub(t.last), now.Sub(k.heard))
--- a/internal/bench/rollout.go
+++ b/internal/bench/rollout.go
@@ -196,14 +196,14 @@
 		organisation := rolloutOrganisations[r.IntN(len(rolloutOrganisations))]
 		e := entries[r.IntN(rolloutEntries)]
 		v, how := benchOld, goodVersion
-		if n >= rolloutWarmUp && r.Float64() < rolloutShare && e.Expose(benchNew) {
+		if n >= rolloutWarmUp && r.Float64() < rolloutShare && e.TryExpose(benchNew) {
 			v, how = benchNew, f
 			exposed++
 		}
 		failed, poor, first := how.outcome(r, organisation)
-		e.Note(v, organisation, failed, first)
-		if !failed && e.Sample(v) {
-			e.Rated(v, organisation, poor)
+		e.RecordRun(v, organisation, failed, first)
+		if !failed && e.ShouldRate(v) {
+			e.RecordRating(v, organisation, poor)
 		}
 		if n >= rolloutWarmUp && n%rolloutInterval == rolloutInterval-1 && (rollout.Judge{}).BadReason(poolOf(entries)) != "" {
 			return exposed, true
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -20,21 +20,21 @@
 			list := make([]persimmoncross.Upstream, n)
 			for i := range list {
 				list[i] = persimmoncross.Upstream{
-					Incarnation: fmt.Sprintf("i-%010x", i*2654435761),
-					StartedAt:   time.UnixMilli(1_790_000_000_000 + int64(i)),
-					Service:     "kaba98a",
-					Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8707),
-					DataCentre:  "sahab",
-					Version:     "v1",
-					Slots:       12,
-					Models:      []string{"daka510000", "rada7437b5", "ravo486f6a"},
+					Name:       fmt.Sprintf("i-%010x", i*2654435761),
+					StartedAt:  time.UnixMilli(1_790_000_000_000 + int64(i)),
+					Service:    "kaba98a",
+					Address:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)}), 8707),
+					DataCentre: "sahab",
+					Version:    "v1",
+					Slots:      12,
+					Models:     []string{"daka510000", "rada7437b5", "ravo486f6a"},
 				}
 			}
-			h := newPublisher(persimmoncross.SystemClock{})
-			wholeBytes, changeBytes, largestUpdate := 0, 0, 0
+			pub := newPublisher(persimmoncross.SystemClock{})
+			fullListBytes, changeBytes, largestUpdate := 0, 0, 0
 			send := func(s *followerState) (bytes int) {
 				for first := true; first || s.hasPending(); first = false {
-					u, _ := h.nextUpdate(s, true, nil)
+					u, _ := pub.nextUpdate(s, true, nil)
 					bytes += proto.Size(u)
 					largestUpdate = max(largestUpdate, proto.Size(u))
 				}
@@ -42,16 +42,16 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				h.setList(list, time.Now())
+				pub.setList(list, time.Now())
 				s := &followerState{}
-				wholeBytes = send(s)
+				fullListBytes = send(s)
 				next := append([]persimmoncross.Upstream{}, list...)
 				next[i%n].Draining = !next[i%n].Draining
-				h.setList(next, time.Now())
+				pub.setList(next, time.Now())
 				list = next
 				changeBytes = send(s)
 			}
-			b.ReportMetric(float64(wholeBytes), "whole-B")
+			b.ReportMetric(float64(fullListBytes), "whole-B")
 			b.ReportMetric(float64(changeBytes), "change-B")
 			b.ReportMetric(float64(largestUpdate), "update-B")
 		})
--- a/internal/node/trials.go
+++ b/internal/node/canarystats.go
@@ -77,12 +77,12 @@
 
 // withCanaryStats returns a copy of the report with other statistics, because reports are
 // shared and never changed.
-func withCanaryStats(a *wire.Account, trials []*wire.Trial) *wire.Account {
+func withCanaryStats(report *wire.Account, trials []*wire.Trial) *wire.Account {
 	return &wire.Account{
-		Vm:          a.GetVm(),
-		Incarnation: a.GetIncarnation(),
-		Entry:       a.GetEntry(),
-		Recent:      a.GetRecent(),
+		Vm:          report.GetVm(),
+		Incarnation: report.GetIncarnation(),
+		Entry:       report.GetEntry(),
+		Recent:      report.GetRecent(),
 		Trials:      trials,
 	}
 }
--- a/internal/node/accounts_test.go
+++ b/internal/node/canarystats_test.go
@@ -11,7 +11,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-func testTrial(route string, order, runs uint64) *wire.Trial {
+func testCanaryStats(route string, order, runs uint64) *wire.Trial {
 	return &wire.Trial{
 		Service: "s",
 		Version: "v2",
@@ -21,20 +21,20 @@
 	}
 }
 
-// TestAccountsSendOnlyChanges checks that a report contains the canary statistics only of
+// TestReportsSendOnlyChanges checks that a report contains the canary statistics only of
 // those routes, out of thousands, that had responses since the report before, that the controller
 // has the statistics of all routes, and that a new stream is sent all of them.
-func TestAccountsSendOnlyChanges(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
+func TestReportsSendOnlyChanges(t *testing.T) {
+	pub := newPublisher(persimmoncross.SystemClock{})
 	counts := map[string]uint64{}
-	newAccount := func() *wire.Account {
+	newReport := func() *wire.Account {
 		a := &wire.Account{
 			Vm:          "a",
 			Incarnation: "1",
 			Entry:       true,
 		}
 		for route, n := range counts {
-			a.Trials = append(a.Trials, testTrial(route, 4, n))
+			a.Trials = append(a.Trials, testCanaryStats(route, 4, n))
 		}
 		return a
 	}
@@ -42,60 +42,60 @@
 		counts[fmt.Sprint("r", i)] = 1
 	}
 	stream := sentCanaryStats{}
-	h.receiveReport(stream.delta(newAccount()))
+	pub.receiveReport(stream.delta(newReport()))
 	for n := range 5 {
 		counts["r7"]++
 		counts["r9"] += 2
-		a := stream.delta(newAccount())
+		a := stream.delta(newReport())
 		if size := proto.Size(a); len(a.GetTrials()) != 2 || size > 100 {
 			t.Errorf("report %d: %d routes, %d bytes; want 2 routes and at most 100 bytes", n, len(a.GetTrials()), size)
 		}
-		h.receiveReport(a)
+		pub.receiveReport(a)
 	}
-	if a := stream.delta(newAccount()); len(a.GetTrials()) != 0 {
+	if a := stream.delta(newReport()); len(a.GetTrials()) != 0 {
 		t.Errorf("%d routes reported although no route had a response", len(a.GetTrials()))
 	}
-	accounts, _ := h.currentReports(h.clock.Now())
-	p := sumCanaryStats(register.Upgrade{
+	reports, _ := pub.currentReports(pub.clock.Now())
+	evidence := sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
-	}, accounts)
-	if len(p.New) != manyRoutes || p.New["r7"].Answers != 6 || p.New["r9"].Answers != 11 || p.New["r8"].Answers != 1 {
-		t.Errorf("%d routes, r7 %d, r8 %d, r9 %d", len(p.New), p.New["r7"].Answers, p.New["r8"].Answers, p.New["r9"].Answers)
+	}, reports)
+	if len(evidence.New) != manyRoutes || evidence.New["r7"].Answers != 6 || evidence.New["r9"].Answers != 11 || evidence.New["r8"].Answers != 1 {
+		t.Errorf("%d routes, r7 %d, r8 %d, r9 %d", len(evidence.New), evidence.New["r7"].Answers, evidence.New["r8"].Answers, evidence.New["r9"].Answers)
 	}
-	h.receiveReport(&wire.Account{
+	pub.receiveReport(&wire.Account{
 		Vm:          "a",
 		Incarnation: "1",
 		Entry:       true,
-		Trials:      []*wire.Trial{testTrial("r7", 4, 3)},
+		Trials:      []*wire.Trial{testCanaryStats("r7", 4, 3)},
 	})
-	if accounts, _ := h.currentReports(h.clock.Now()); sumCanaryStats(register.Upgrade{
+	if accounts, _ := pub.currentReports(pub.clock.Now()); sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
 	}, accounts).New["r7"].Answers != 6 {
 		t.Error("an outdated count replaced a newer one")
 	}
-	relayed := h.takeUnforwardedReports()
-	if len(relayed) != 1 || len(sentCanaryStats{}.delta(relayed[0]).GetTrials()) != manyRoutes {
+	forwarded := pub.takeUnforwardedReports()
+	if len(forwarded) != 1 || len(sentCanaryStats{}.delta(forwarded[0]).GetTrials()) != manyRoutes {
 		t.Errorf("a new stream is not sent the statistics of all routes")
 	}
-	if again, _ := h.currentReports(h.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
+	if again, _ := pub.currentReports(pub.clock.Now()); len(again[0].GetTrials()) != manyRoutes {
 		t.Error("forwarding a report changed the stored report")
 	}
 	counts = nil // the upgrade has ended
-	stream.delta(newAccount())
+	stream.delta(newReport())
 	if len(stream) != 0 {
 		t.Error("the stream keeps the statistics of an upgrade that has ended")
 	}
 }
 
-// TestCountsOfEndedUpgradesAreDropped checks that canary statistics of upgrades that have ended
+// TestCanaryStatsOfEndedUpgradesAreDropped checks that canary statistics of upgrades that have ended
 // are dropped, and that those of an upgrade that this controller has not received yet are kept.
-func TestCountsOfEndedUpgradesAreDropped(t *testing.T) {
+func TestCanaryStatsOfEndedUpgradesAreDropped(t *testing.T) {
 	previous := &wire.Account{
-		Trials: []*wire.Trial{testTrial("r", 3, 1), testTrial("r", 5, 1), testTrial("r", 9, 1)},
+		Trials: []*wire.Trial{testCanaryStats("r", 3, 1), testCanaryStats("r", 5, 1), testCanaryStats("r", 9, 1)},
 	}
 	for _, tt := range []struct {
 		stage register.Stage
--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -86,21 +86,21 @@
 // coldLimits returns the limits of cold upstreams by service; services without a cold period
 // are left out.
 func (c *Controller) coldLimits() map[string]slowstart.ColdLimit {
-	w := &c.coldTracker
+	tracker := &c.coldTracker
 	s := c.register.Current()
-	if c.Decode == nil || len(s.Document) == 0 || s.Number == w.documentNumber {
-		return w.limits
+	if c.Decode == nil || len(s.Document) == 0 || s.Number == tracker.documentNumber {
+		return tracker.limits
 	}
-	w.documentNumber = s.Number
+	tracker.documentNumber = s.Number
 	c.WithDecodeLock(func() {
 		declared, err := c.Decode(s.Document)
 		if err != nil {
 			c.Log.Error().Err(err).Uint64("number", s.Number).Msg("a stored document could not be decoded")
 			return
 		}
-		w.limits = c.coldLimitsOf(declared)
+		tracker.limits = c.coldLimitsOf(declared)
 	})
-	return w.limits
+	return tracker.limits
 }
 
 // coldLimitsOf returns the limits of cold upstreams that a document declares.
@@ -121,14 +121,14 @@
 // updateColdUpstreams publishes which upstreams are cold according to the list that was read
 // last, before the list itself is published.
 func (c *Controller) updateColdUpstreams(now time.Time) {
-	w := &c.coldTracker
-	list, readAt := w.list, w.listReadAt
+	tracker := &c.coldTracker
+	list, readAt := tracker.list, tracker.listReadAt
 	if list == nil {
 		list, readAt = c.publisher.upstreams()
 	}
-	var seen []slowstart.ColdObservation
+	var observations []slowstart.ColdObservation
 	for _, u := range list {
-		endedAt, reinstated := w.evacuationEnds[u.DataCentre]
+		endedAt, reinstated := tracker.evacuationEnds[u.DataCentre]
 		if u.SlowStartRemaining <= 0 && !reinstated {
 			continue
 		}
@@ -143,7 +143,7 @@
 		if at := endedAt.Add(limit.Duration); reinstated && at.After(until) {
 			until = at
 		}
-		seen = append(seen, slowstart.ColdObservation{
+		observations = append(observations, slowstart.ColdObservation{
 			InstanceID: u.InstanceID(),
 			ColdUntil:  until,
 			Limit:      limit,
@@ -152,8 +152,8 @@
 	entries := c.publisher.presentEntries(now)
 	// The previous leader may have assigned owners to instances that became cold until the
 	// list's lag after this process became the leader.
-	soleSince := w.ledSince.Add(c.Site.List.Lag + coldMargin)
-	next, added := slowstart.Update(c.publisher.currentCold(), seen, entries, soleSince, now)
+	soleSince := tracker.ledSince.Add(c.Site.List.Lag + coldMargin)
+	next, added := slowstart.Update(c.publisher.currentCold(), observations, entries, soleSince, now)
 	if added > 0 {
 		c.Log.Info().Int("upstreams", len(next)).Int("fresh", added).Int("entries", len(entries)).Msg("upstreams are cold")
 		c.incrementCounter("cold.assigned")
--- a/internal/node/colds_test.go
+++ b/internal/node/coldupstreams_test.go
@@ -22,15 +22,15 @@
 // upstream no later than the list with this upstream, and that an entry receives neither the
 // owners nor the intervals of other entries.
 func TestColdUpstreamsPrecedeTheList(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
+	pub := newPublisher(persimmoncross.SystemClock{})
 	var list []persimmoncross.Upstream
 	cold := coldUpstreams{}
 	until := time.Now().Add(3 * time.Second)
 	for i := range 2 * maxUpstreamsPerUpdate {
 		u := persimmoncross.Upstream{
-			Incarnation: fmt.Sprint("u", i),
-			Service:     "s",
-			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
+			Name:    fmt.Sprint("u", i),
+			Service: "s",
+			Address: netip.MustParseAddrPort("127.0.0.1:1"),
 		}
 		list = append(list, u)
 		cold[u.InstanceID()] = slowstart.ColdUpstream{
@@ -39,8 +39,8 @@
 			Interval:  time.Second,
 		}
 	}
-	h.setColdUpstreams(cold)
-	h.setList(list, time.Now())
+	pub.setColdUpstreams(cold)
+	pub.setList(list, time.Now())
 	for _, tt := range []struct {
 		vm     string
 		entry  bool
@@ -55,24 +55,24 @@
 			entry: tt.entry,
 			vm:    tt.vm,
 		}
-		known := coldUpstreams{}
+		received := coldUpstreams{}
 		for more := true; more; more = s.hasPending() {
-			u, _ := h.nextUpdate(s, true, nil)
-			for life, c := range coldUpstreamsOf(u, time.Now()) {
-				known[life] = c
+			u, _ := pub.nextUpdate(s, true, nil)
+			for instanceID, c := range coldUpstreamsOf(u, time.Now()) {
+				received[instanceID] = c
 			}
 			for _, x := range u.GetUpstreams() {
 				got, _ := fromWireUpstream(x)
-				c, ok := known[got.InstanceID()]
+				c, ok := received[got.InstanceID()]
 				if !ok || c.Interval != tt.pause || !slices.Equal(c.Owners, tt.owners) || c.ColdUntil.Sub(until).Abs() > time.Second {
-					t.Fatalf("%s: slow start of %s is %+v, received %v", tt.vm, got.Incarnation, c, ok)
+					t.Fatalf("%s: slow start of %s is %+v, received %v", tt.vm, got.Name, c, ok)
 				}
 			}
 		}
-		if len(known) != len(list) {
-			t.Errorf("%s: received %d of %d cold upstreams", tt.vm, len(known), len(list))
+		if len(received) != len(list) {
+			t.Errorf("%s: received %d of %d cold upstreams", tt.vm, len(received), len(list))
 		}
-		if u, _ := h.nextUpdate(s, true, nil); len(u.GetColds()) > 0 {
+		if u, _ := pub.nextUpdate(s, true, nil); len(u.GetColds()) > 0 {
 			t.Errorf("%s: cold upstreams were sent twice", tt.vm)
 		}
 	}
@@ -115,7 +115,7 @@
 	a.handleUpdate(f, newUpdate(2, ""))
 	accepting := map[string]bool{}
 	for _, u := range e.view.Load().Targets["s"] {
-		accepting[u.Incarnation] = u.IsAvailable(e.Clock.Now())
+		accepting[u.Name] = u.IsAvailable(e.Clock.Now())
 	}
 	if len(accepting) != 2 || accepting["u1"] || !accepting["u2"] {
 		t.Errorf("available upstreams: %v, want only u2", accepting)
@@ -156,7 +156,7 @@
 	}
 	newUpstream := func(id, service, dataCentre string, cold time.Duration) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
-			Incarnation:        id,
+			Name:               id,
 			Service:            service,
 			DataCentre:         dataCentre,
 			Address:            netip.MustParseAddrPort("127.0.0.1:1"),
@@ -218,11 +218,11 @@
 	return f.runController(c)
 }
 
-// TestOwnListWithoutDocument checks that an entry which reads the list itself before it has a
+// TestFallbackListWithoutDocument checks that an entry which reads the list itself before it has a
 // document treats all upstreams as cold that the list reports as cold, because only the document
 // says whether cold upstreams are limited. Otherwise an entry that started while there was no
 // leader sent 25 requests in a second to an upstream that handles 11 (soak seed 60119).
-func TestOwnListWithoutDocument(t *testing.T) {
+func TestFallbackListWithoutDocument(t *testing.T) {
 	e := newFleet(t, 85).stoppedEntry()
 	list := testUpstreams(2)
 	list[0].SlowStartRemaining = time.Minute
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -192,7 +192,7 @@
 	loops.Go(func() { c.runListReader(runCtx) })
 	loops.Go(func() { c.runVoterChanges(runCtx) })
 	loops.Go(func() { c.runUpgrades(runCtx) })
-	loops.Go(func() { c.runQuarantineJudge(runCtx) })
+	loops.Go(func() { c.runQuarantineEvaluation(runCtx) })
 	f := &follower{
 		Name: c.node.VM,
 		Node: c.node,
--- a/internal/node/controllerstream.go
+++ b/internal/node/controllerstream.go
@@ -21,7 +21,7 @@
 	listIncomplete  bool                      // the rest of a list is still to come
 	listUnapplied   bool                      // the complete list was not accepted by ApplyUpdate yet
 	partialDocument partialDocument
-	holds           map[persimmoncross.Digest]persimmoncross.Quarantine // quarantines received on this stream
+	quarantines     map[persimmoncross.Digest]persimmoncross.Quarantine // quarantines received on this stream
 }
 
 // handleUpdate applies an update. The controller sends its whole list once and then only
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -31,12 +31,12 @@
 		return all
 	}
 	s := &documentStore{}
-	put := func(number uint64, source []byte) {
+	addDocument := func(number uint64, source []byte) {
 		s.add(number, source, func() []byte { return packed.Whole(source) })
 	}
-	put(1, base)
-	put(2, next)
-	put(1, base) // an older document is ignored
+	addDocument(1, base)
+	addDocument(2, next)
+	addDocument(1, base) // an older document is ignored
 	if s.newTransfer(2, packed.Sum(next)) != nil || s.newTransfer(3, 0) != nil {
 		t.Error("a document is sent to a follower that has it or a later one")
 	}
@@ -87,7 +87,7 @@
 		}
 	}
 	for number := range uint64(2 * maxKeptDocuments) {
-		put(3+number, testDocument(3+number, 300))
+		addDocument(3+number, testDocument(3+number, 300))
 	}
 	if got := s.newTransfer(1, packed.Sum(base)); got.base != 0 || len(s.documents) != maxKeptDocuments {
 		t.Errorf("packed against document %d, want none; %d documents are kept", got.base, len(s.documents))
@@ -118,15 +118,15 @@
 // TestLongListsInParts checks that a list of thousands of upstreams is sent in parts, and that it
 // is applied only once it is complete.
 func TestLongListsInParts(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
-	newList := func(n int, leaving bool) []persimmoncross.Upstream {
+	pub := newPublisher(persimmoncross.SystemClock{})
+	draining := func(n int, leaving bool) []persimmoncross.Upstream {
 		var all []persimmoncross.Upstream
 		for i := range n {
 			all = append(all, persimmoncross.Upstream{
-				Incarnation: fmt.Sprintf("u%05d", i),
-				Service:     "s",
-				Address:     netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1+i)),
-				Draining:    leaving,
+				Name:     fmt.Sprintf("u%05d", i),
+				Service:  "s",
+				Address:  netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1+i)),
+				Draining: leaving,
 			})
 		}
 		return all
@@ -143,11 +143,11 @@
 		},
 	}
 	a, s := &controllerStream{}, &followerState{}
-	for _, want := range [][]persimmoncross.Upstream{newList(4_100, false), newList(4_100, true), newList(10, true), nil} {
-		h.setList(want, time.Now())
+	for _, want := range [][]persimmoncross.Upstream{draining(4_100, false), draining(4_100, true), draining(10, true), nil} {
+		pub.setList(want, time.Now())
 		applied = 0
 		for first := true; first || s.hasPending(); first = false {
-			u, _ := h.nextUpdate(s, true, nil)
+			u, _ := pub.nextUpdate(s, true, nil)
 			if n := proto.Size(u); n > 20<<10 {
 				t.Errorf("an update of %d bytes, want at most 20 KiB", n)
 			}
@@ -162,12 +162,12 @@
 			t.Fatalf("%d upstreams after the list was applied %d times, want %d after one", len(got), applied, len(want))
 		}
 	}
-	searcher := &followerState{
+	prober := &followerState{
 		probing: true,
 		entry:   true,
 	}
-	h.setList(newList(4_100, false), time.Now())
-	if u, _ := h.nextUpdate(searcher, true, nil); u.GetListed() || u.GetAge() >= 0 || searcher.hasPending() {
+	pub.setList(draining(4_100, false), time.Now())
+	if u, _ := pub.nextUpdate(prober, true, nil); u.GetListed() || u.GetAge() >= 0 || prober.hasPending() {
 		t.Error("a follower that only probes is sent the list")
 	}
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -40,7 +40,7 @@
 	incarnation        string
 	relay              *relay.Relay
 	client             *forward.Client
-	evidence           *relay.CanaryStats
+	canaryStats        *relay.CanaryStats
 	quarantineRecorder *quarantine.Recorder
 	pool               *relay.Pool
 	node               *peer.Node
@@ -56,9 +56,9 @@
 	catalog          *catalog.Catalog // of the last document that could be decoded
 	targets          map[string][]*relay.Target
 	listReadAt       time.Time                                           // read time of the list in force; zero: none
-	holds            map[persimmoncross.Digest]persimmoncross.Quarantine // from the controllers; read-only
+	quarantines      map[persimmoncross.Digest]persimmoncross.Quarantine // from the controllers; read-only
 	quarantinesIndex uint64                                              // state index of the controllers' quarantines
-	localKeeper      *quarantine.Store                                   // this entry's own decisions; nil: a controller decides
+	localQuarantines *quarantine.Store                                   // this entry's own decisions; nil: a controller decides
 	rejoinedAt       time.Time                                           // when a controller had a lease again; zero: not yet
 	leasedAt         time.Time                                           // when an update with a lease last arrived
 	startedAt        time.Time
@@ -82,7 +82,7 @@
 
 		RateLimits: &ratelimit.Store{},
 	}
-	e.evidence = &relay.CanaryStats{}
+	e.canaryStats = &relay.CanaryStats{}
 	e.quarantineRecorder = &quarantine.Recorder{
 		VM: e.Site.Name,
 	}
@@ -101,7 +101,7 @@
 		Sessions: &relay.Sessions{
 			IdleTimeout: e.Site.Bounds.SessionIdle,
 		},
-		CanaryStats:        e.evidence,
+		CanaryStats:        e.canaryStats,
 		ModelStats:         &relay.ModelStats{},
 		QuarantineRecorder: e.quarantineRecorder,
 		RateLimits:         e.pool.RateLimits,
@@ -127,7 +127,7 @@
 func (e *Entry) upstreamRestarted(previous, current persimmoncross.Upstream) {
 	metrics.GetOrRegisterCounter("upstreams.again", e.Metrics).Inc(1)
 	blamed := e.quarantineRecorder.InstanceReplaced(previous.InstanceID(), e.Clock.Now())
-	e.Log.Info().Str("upstream", previous.Incarnation).Time("was", previous.StartedAt).Str("by", current.Incarnation).Time("started", current.StartedAt).Str("address", current.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream replaced by another instance")
+	e.Log.Info().Str("upstream", previous.Name).Time("was", previous.StartedAt).Str("by", current.Name).Time("started", current.StartedAt).Str("address", current.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream replaced by another instance")
 }
 
 // SetSeeds replaces the seeds by those of a reloaded site file.
@@ -168,7 +168,7 @@
 	loops.Go(func() { e.node.Run(ctx) })
 	loops.Go(func() { e.client.Run(ctx) })
 	loops.Go(func() { e.runFallbackListReader(ctx) })
-	loops.Go(func() { e.runLocalJudge(ctx) })
+	loops.Go(func() { e.runLocalEvaluation(ctx) })
 	e.follower = &follower{
 		Name:  e.Site.Name,
 		Entry: true,
@@ -307,7 +307,7 @@
 			running[u.Order] = true
 		}
 	}
-	e.evidence.Prune(running)
+	e.canaryStats.Prune(running)
 	number := uint64(0)
 	if v.Catalog != nil {
 		number = v.Catalog.Number
@@ -322,7 +322,7 @@
 		Incarnation: e.incarnation,
 		Entry:       true,
 	}
-	for k, c := range e.evidence.Counts() {
+	for k, c := range e.canaryStats.Counts() {
 		a.Trials = append(a.Trials, &wire.Trial{
 			Service: k.Service,
 			Version: k.Version,
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -107,9 +107,9 @@
 	checkServedIn(t, upstreams, entries, "b")
 
 	f.stop(leader.Site.Name)
-	newEntry := f.startEntry(7)
-	f.waitFor("the new entry is ready", newEntry.Ready)
-	entries = append(entries, newEntry)
+	lateEntry := f.startEntry(7)
+	f.waitFor("the new entry is ready", lateEntry.Ready)
+	entries = append(entries, lateEntry)
 	f.waitFor("the new entry does not send to the evacuated data centre", haveTargets(entries, 0, 4))
 	checkServedIn(t, upstreams, entries, "b")
 	for n := 1; n <= 3; n++ {
--- a/internal/node/fake_upstream_test.go
+++ b/internal/node/fake_upstream_test.go
@@ -31,7 +31,7 @@
 
 func (testCodec) Encode(h http.Header, a *persimmoncross.ProxyAttempt, _ time.Duration) {
 	h.Set("Request", a.Request.ID)
-	h.Set("Incarnation", a.Upstream.Incarnation)
+	h.Set("Incarnation", a.Upstream.Name)
 	if a.LastEventID != "" {
 		h.Set("After", a.LastEventID)
 	}
@@ -221,12 +221,12 @@
 	var list []persimmoncross.Upstream
 	for _, u := range s.all {
 		list = append(list, persimmoncross.Upstream{
-			Incarnation: u.incarnation,
-			Service:     "s",
-			Address:     u.address,
-			DataCentre:  u.dataCentre,
-			Version:     "v1",
-			Slots:       64,
+			Name:       u.incarnation,
+			Service:    "s",
+			Address:    u.address,
+			DataCentre: u.dataCentre,
+			Version:    "v1",
+			Slots:      64,
 		})
 	}
 	s.lister.setUpstreams(list...)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -88,10 +88,10 @@
 		f.seeds = append(f.seeds, netip.AddrPortFrom(netip.MustParseAddr(f.address(n)), 1))
 	}
 	f.lister.setUpstreams(persimmoncross.Upstream{
-		Incarnation: "u1",
-		Service:     "s",
-		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-		Slots:       1,
+		Name:    "u1",
+		Service: "s",
+		Address: netip.MustParseAddrPort("127.0.0.1:1"),
+		Slots:   1,
 	})
 	t.Cleanup(func() {
 		for name := range f.processes {
--- a/internal/node/leaderloops.go
+++ b/internal/node/leaderloops.go
@@ -17,15 +17,15 @@
 // Intervals and timeouts of the leader's loops.
 const (
 	loopInterval = 200 * time.Millisecond
-	// listReadsPerDrain is how often the list is read within the drain time. Together with the
+	// listReadsPerDrainTime is how often the list is read within the drain time. Together with the
 	// list's lag and the delay to the entries, this leaves half of the drain time unused.
-	listReadsPerDrain   = 6
-	minListReadInterval = 250 * time.Millisecond
-	listReadTimeout     = 3 * time.Second // a list of thousands of upstreams has tens of pages
-	// minListIntervalFactor is the minimum time between the starts of two reads of the list, as a
+	listReadsPerDrainTime = 6
+	minListReadInterval   = 250 * time.Millisecond
+	listReadTimeout       = 3 * time.Second // a list of thousands of upstreams has tens of pages
+	// minListReadIntervalFactor is the minimum time between the starts of two reads of the list, as a
 	// multiple of the duration of the last read.
-	minListIntervalFactor = 2
-	listCheckInterval     = 100 * time.Millisecond
+	minListReadIntervalFactor = 2
+	listCheckInterval         = 100 * time.Millisecond
 	// voterSilenceTimeout is the time without contact after which a voter that has a
 	// replacement is removed. It spans several elections, and is well within the time in which
 	// a controller with a new disk must become a voter.
@@ -35,7 +35,7 @@
 
 // listReadInterval returns the interval between two reads of the list of upstreams.
 func (c *Controller) listReadInterval() time.Duration {
-	return max(c.Site.Bounds.Drain/listReadsPerDrain, minListReadInterval)
+	return max(c.Site.Bounds.Drain/listReadsPerDrainTime, minListReadInterval)
 }
 
 // runListReader reads the list while this controller leads with a lease, and at once if the
@@ -56,7 +56,7 @@
 		}
 		if isLeader && startedAt.Sub(readAt) >= max(c.listReadInterval(), minInterval) {
 			c.readList(ctx)
-			minInterval = minListIntervalFactor * c.Clock.Now().Sub(startedAt)
+			minInterval = minListReadIntervalFactor * c.Clock.Now().Sub(startedAt)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 func (c *Controller) changeVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, voterChangeTimeout)
 	defer cancel()
-	facts := steward.GroupStatus{
+	status := steward.GroupStatus{
 		Self:               c.store.member,
 		Voters:             c.group.View().Config.Voters,
 		TimeSinceContact:   map[persimmoncross.MemberID]time.Duration{},
@@ -103,18 +103,18 @@
 	}
 	for _, member := range c.group.MemberStatuses(ctx) {
 		if member.Voter {
-			facts.TimeSinceContact[member.Member.ID] = member.TimeSinceContact
+			status.TimeSinceContact[member.Member.ID] = member.TimeSinceContact
 			continue
 		}
 		if member.TimeSinceContact > voterSilenceTimeout {
 			continue // it may be lost for good
 		}
-		facts.Learners = append(facts.Learners, steward.Learner{
+		status.Learners = append(status.Learners, steward.Learner{
 			Member:   member.Member,
 			CaughtUp: member.CaughtUp,
 		})
 	}
-	change := steward.NextChange(facts)
+	change := steward.NextChange(status)
 	if change.IsZero() {
 		return
 	}
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -149,11 +149,11 @@
 	}
 }
 
-// entriesWithRateLimit returns how many of the entries have a rate limit for the upstream.
-func entriesWithRateLimit(entries []*Entry, u *fakeUpstream) (count int) {
+// entryCountWithRateLimit returns how many of the entries have a rate limit for the upstream.
+func entryCountWithRateLimit(entries []*Entry, u *fakeUpstream) (count int) {
 	for _, e := range entries {
 		for _, t := range e.view.Load().Targets["s"] {
-			if t.Incarnation == u.incarnation && e.pool.RateLimits.Rate(t.InstanceID()) > 0 {
+			if t.Name == u.incarnation && e.pool.RateLimits.Rate(t.InstanceID()) > 0 {
 				count++
 			}
 		}
@@ -171,7 +171,7 @@
 	if _, refusal := sendRequest(entries[0], "safe", "x"); refusal != nil {
 		t.Fatal(refusal)
 	}
-	f.waitFor("all entries have the limit", func() bool { return entriesWithRateLimit(entries, u) == len(entries) })
+	f.waitFor("all entries have the limit", func() bool { return entryCountWithRateLimit(entries, u) == len(entries) })
 	_, refusal := sendRequest(entries[2], "safe", "x")
 	if refusal == nil || refusal.Run != persimmoncross.NotRun || refusal.RetryAfter <= 0 {
 		t.Errorf("an entry that received the limit from a controller: %+v", refusal)
@@ -184,11 +184,11 @@
 	}
 	entries = append(entries, f.startEntry(7))
 	f.waitFor("the new entry is ready", entries[3].Ready)
-	f.waitFor("the new entry has the limit", func() bool { return entriesWithRateLimit(entries[3:], u) == 1 })
+	f.waitFor("the new entry has the limit", func() bool { return entryCountWithRateLimit(entries[3:], u) == 1 })
 	upstreams.setRateLimit(u, 0)
 	f.waitFor("the limit is cleared at all entries", func() bool {
 		sendRequest(entries[1], "safe", "x")
-		return entriesWithRateLimit(entries, u) == 0
+		return entryCountWithRateLimit(entries, u) == 0
 	})
 	for _, e := range entries {
 		if _, refusal := sendRequest(e, "safe", "x"); refusal != nil {
@@ -200,7 +200,7 @@
 // TestRateLimitsAreSentInBatches checks that the limits of hundreds of upstreams are sent in
 // updates of at most maxLimitsPerMessage limits, some KB each, and that each limit is sent once.
 func TestRateLimitsAreSentInBatches(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
+	pub := newPublisher(persimmoncross.SystemClock{})
 	var limits []ratelimit.Observation
 	for i := range 3*maxLimitsPerMessage + 1 {
 		limits = append(limits, ratelimit.Observation{
@@ -209,12 +209,12 @@
 			ObservedAt: time.Now(),
 		})
 	}
-	h.mergeLimits(limits)
+	pub.mergeLimits(limits)
 	s := &followerState{}
 	received := map[string]int{}
 	updates := 0
 	for more := true; more; more = s.hasPending() {
-		u, _ := h.nextUpdate(s, true, nil)
+		u, _ := pub.nextUpdate(s, true, nil)
 		updates++
 		if n := len(u.GetLimits()); n > maxLimitsPerMessage {
 			t.Errorf("%d limits in one update", n)
@@ -223,9 +223,9 @@
 			received[x.GetLife()]++
 		}
 	}
-	for life, n := range received {
+	for instanceID, n := range received {
 		if n != 1 {
-			t.Errorf("the limit of %s is sent %d times", life, n)
+			t.Errorf("the limit of %s is sent %d times", instanceID, n)
 		}
 	}
 	if len(received) != len(limits) || updates != 4 {
@@ -233,13 +233,13 @@
 	}
 	// A newer observation of the same limit is not sent, another limit is.
 	limits[0].ObservedAt = limits[0].ObservedAt.Add(time.Second)
-	h.mergeLimits(limits[:1])
-	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) > 0 {
+	pub.mergeLimits(limits[:1])
+	if u, _ := pub.nextUpdate(s, true, nil); len(u.GetLimits()) > 0 {
 		t.Error("an unchanged limit was sent again")
 	}
 	limits[0].Rate, limits[0].ObservedAt = 0, limits[0].ObservedAt.Add(time.Second)
-	h.mergeLimits(limits[:1])
-	if u, _ := h.nextUpdate(s, true, nil); len(u.GetLimits()) != 1 || u.GetLimits()[0].GetRate() != 0 {
+	pub.mergeLimits(limits[:1])
+	if u, _ := pub.nextUpdate(s, true, nil); len(u.GetLimits()) != 1 || u.GetLimits()[0].GetRate() != 0 {
 		t.Errorf("a cleared limit is not sent: %v", u.GetLimits())
 	}
 }
--- a/internal/node/listchecksums.go
+++ b/internal/node/listchecksums.go
@@ -99,9 +99,9 @@
 	if len(partitions) == 0 {
 		return
 	}
-	dropped := map[uint32]bool{}
+	removed := map[uint32]bool{}
 	for _, p := range partitions {
-		dropped[p] = true
+		removed[p] = true
 	}
-	maps.DeleteFunc(list, func(life string, _ *wire.Upstream) bool { return dropped[listPartition(life)] })
+	maps.DeleteFunc(list, func(life string, _ *wire.Upstream) bool { return removed[listPartition(life)] })
 }
--- a/internal/node/listsums_test.go
+++ b/internal/node/listchecksums_test.go
@@ -20,13 +20,13 @@
 	var list []persimmoncross.Upstream
 	for i := range n {
 		list = append(list, persimmoncross.Upstream{
-			Incarnation: fmt.Sprintf("i-%08x", i*2654435761),
-			Service:     "service",
-			Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080),
-			DataCentre:  "hall-1",
-			Version:     "v1",
-			Slots:       16,
-			Models:      []string{"model-one", "model-two"},
+			Name:       fmt.Sprintf("i-%08x", i*2654435761),
+			Service:    "service",
+			Address:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080),
+			DataCentre: "hall-1",
+			Version:    "v1",
+			Slots:      16,
+			Models:     []string{"model-one", "model-two"},
 		})
 	}
 	return list
@@ -51,8 +51,8 @@
 func TestListAfterControllerSwitch(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for round := range 40 {
-		held := testUpstreams(1 + random.IntN(600))
-		next := slices.Clone(held)
+		heldList := testUpstreams(1 + random.IntN(600))
+		next := slices.Clone(heldList)
 		changes := random.IntN(4)
 		for range changes {
 			switch i := random.IntN(len(next)); random.IntN(4) {
@@ -79,7 +79,7 @@
 		for _, c := range []struct {
 			hub  *publisher
 			list []persimmoncross.Upstream
-		}{{first, held}, {second, next}} {
+		}{{first, heldList}, {second, next}} {
 			c.hub.setList(c.list, time.Now())
 			a := &controllerStream{
 				upstreams: maps.Clone(f.lastReceivedList()),
@@ -94,19 +94,19 @@
 				sentBytes += proto.Size(u)
 				a.handleUpdate(f, u)
 			}
-			wantByLife := map[string]persimmoncross.Upstream{}
+			wantByID := map[string]persimmoncross.Upstream{}
 			for _, u := range c.list {
-				wantByLife[u.InstanceID()] = u
+				wantByID[u.InstanceID()] = u
 			}
-			gotByLife := map[string]persimmoncross.Upstream{}
+			gotByID := map[string]persimmoncross.Upstream{}
 			for _, u := range got {
-				gotByLife[u.InstanceID()] = u
+				gotByID[u.InstanceID()] = u
 			}
-			if !maps.EqualFunc(wantByLife, gotByLife, equalUpstream) {
-				t.Fatalf("round %d: the follower has %d upstreams, want %d", round, len(gotByLife), len(wantByLife))
+			if !maps.EqualFunc(wantByID, gotByID, equalUpstream) {
+				t.Fatalf("round %d: the follower has %d upstreams, want %d", round, len(gotByID), len(wantByID))
 			}
-			if len(a.listIDs) != len(wantByLife) {
-				t.Fatalf("round %d: the load order has %d upstreams, want %d", round, len(a.listIDs), len(wantByLife))
+			if len(a.listIDs) != len(wantByID) {
+				t.Fatalf("round %d: the load order has %d upstreams, want %d", round, len(a.listIDs), len(wantByID))
 			}
 		}
 		if approximateSize := 60 * len(next); changes == 0 && round%10 != 0 && sentBytes > 200 {
@@ -115,31 +115,31 @@
 	}
 }
 
-// TestWholeListIsPacked checks that a follower without a list is sent the whole list packed, which
+// TestFullListIsPacked checks that a follower without a list is sent the whole list packed, which
 // makes it much smaller because thousands of upstreams are similar.
-func TestWholeListIsPacked(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
+func TestFullListIsPacked(t *testing.T) {
+	pub := newPublisher(persimmoncross.SystemClock{})
 	list := testUpstreams(3000)
-	h.setList(list, time.Now())
+	pub.setList(list, time.Now())
 	size := map[bool]int{}
-	for _, packs := range []bool{false, true} {
+	for _, acceptsPacked := range []bool{false, true} {
 		var got []persimmoncross.Upstream
 		f := newListFollower(&got)
 		a, s := &controllerStream{}, &followerState{
-			acceptsPacked: packs,
+			acceptsPacked: acceptsPacked,
 		}
 		for more := true; more; more = s.hasPending() {
-			u, _ := h.nextUpdate(s, true, nil)
-			size[packs] += proto.Size(u)
+			u, _ := pub.nextUpdate(s, true, nil)
+			size[acceptsPacked] += proto.Size(u)
 			if n := proto.Size(u); n > 16<<10 {
-				t.Errorf("packed %v: an update of %d bytes, want at most 16 KiB", packs, n)
+				t.Errorf("packed %v: an update of %d bytes, want at most 16 KiB", acceptsPacked, n)
 			}
 			if err := a.handleUpdate(f, u); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(got) != len(list) || len(a.listIDs) != len(list) {
-			t.Errorf("packed %v: %d upstreams, load order of %d", packs, len(got), len(a.listIDs))
+			t.Errorf("packed %v: %d upstreams, load order of %d", acceptsPacked, len(got), len(a.listIDs))
 		}
 	}
 	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
@@ -153,18 +153,18 @@
 // sent packed.
 func TestLargeChangeIsPacked(t *testing.T) {
 	size := map[bool]int{}
-	for _, packs := range []bool{false, true} {
-		h := newPublisher(persimmoncross.SystemClock{})
+	for _, acceptsPacked := range []bool{false, true} {
+		pub := newPublisher(persimmoncross.SystemClock{})
 		list := testUpstreams(3000)
-		h.setList(list, time.Now())
+		pub.setList(list, time.Now())
 		var got []persimmoncross.Upstream
 		f := newListFollower(&got)
 		a, s := &controllerStream{}, &followerState{
-			acceptsPacked: packs,
+			acceptsPacked: acceptsPacked,
 		}
 		sendUpdates := func() (bytes int) {
 			for more := true; more; more = s.hasPending() {
-				u, _ := h.nextUpdate(s, true, nil)
+				u, _ := pub.nextUpdate(s, true, nil)
 				bytes += proto.Size(u)
 				if err := a.handleUpdate(f, u); err != nil {
 					t.Fatal(err)
@@ -175,10 +175,10 @@
 		sendUpdates()
 		next := slices.Clone(list)
 		for i := range next[:750] {
-			next[i].Incarnation += "x"
+			next[i].Name += "x"
 		}
-		h.setList(next, time.Now())
-		size[packs] = sendUpdates()
+		pub.setList(next, time.Now())
+		size[acceptsPacked] = sendUpdates()
 		missing := map[string]bool{}
 		for _, u := range next {
 			missing[u.InstanceID()] = true
@@ -187,7 +187,7 @@
 			delete(missing, u.InstanceID())
 		}
 		if len(got) != len(next) || len(missing) > 0 || len(a.listIDs) != len(next) || len(s.listIDs) != len(next) {
-			t.Errorf("packed %v: %d upstreams, %d missing, load orders of %d and %d", packs, len(got), len(missing), len(a.listIDs), len(s.listIDs))
+			t.Errorf("packed %v: %d upstreams, %d missing, load orders of %d and %d", acceptsPacked, len(got), len(missing), len(a.listIDs), len(s.listIDs))
 		}
 	}
 	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
@@ -199,7 +199,7 @@
 // randomizeIncarnations gives the upstreams random incarnations, which don't compress well.
 func randomizeIncarnations(random *rand.Rand, list []persimmoncross.Upstream) {
 	for i := range list {
-		list[i].Incarnation = fmt.Sprintf("i-%010x", random.Uint64()&(1<<40-1))
+		list[i].Name = fmt.Sprintf("i-%010x", random.Uint64()&(1<<40-1))
 	}
 }
 
@@ -211,17 +211,17 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	listBytes, changeBytes := 0, map[bool]int{}
 	for _, bitmaps := range []bool{false, true} {
-		h := newPublisher(persimmoncross.SystemClock{})
+		pub := newPublisher(persimmoncross.SystemClock{})
 		list := testUpstreams(3000)
 		randomizeIncarnations(random, list)
-		h.setList(list, time.Now())
+		pub.setList(list, time.Now())
 		s := &followerState{
 			acceptsPacked:  true,
 			acceptsBitmaps: bitmaps,
 		}
 		sendUpdates := func() (bytes int) {
 			for more := true; more; more = s.hasPending() {
-				u, _ := h.nextUpdate(s, true, nil)
+				u, _ := pub.nextUpdate(s, true, nil)
 				bytes += proto.Size(u)
 			}
 			return bytes
@@ -229,7 +229,7 @@
 		listBytes = sendUpdates()
 		next := slices.Clone(list)
 		randomizeIncarnations(random, next[:750])
-		h.setList(next, time.Now())
+		pub.setList(next, time.Now())
 		changeBytes[bitmaps] = sendUpdates()
 	}
 	t.Logf("whole list %d bytes, change %d, change with bitmaps %d", listBytes, changeBytes[false], changeBytes[true])
@@ -243,10 +243,10 @@
 func TestListAfterRandomChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	for round := range 60 {
-		h := newPublisher(persimmoncross.SystemClock{})
+		pub := newPublisher(persimmoncross.SystemClock{})
 		list := testUpstreams(1 + random.IntN(900))
 		randomizeIncarnations(random, list)
-		h.setList(list, time.Now())
+		pub.setList(list, time.Now())
 		var got []persimmoncross.Upstream
 		f := newListFollower(&got)
 		a, s := &controllerStream{}, &followerState{
@@ -262,10 +262,10 @@
 					next = next[:len(next)-random.IntN(len(next)/2)]
 				}
 				list = next
-				h.setList(list, time.Now())
+				pub.setList(list, time.Now())
 			}
 			for more := true; more; more = s.hasPending() {
-				u, _ := h.nextUpdate(s, true, nil)
+				u, _ := pub.nextUpdate(s, true, nil)
 				if err := a.handleUpdate(f, u); err != nil {
 					t.Fatal(err)
 				}
