--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -87,7 +87,7 @@
 }
 
 func equalUpstream(a, b persimmoncross.Upstream) bool {
-	return a.Incarnation == b.Incarnation && a.StartedAt.Equal(b.StartedAt) && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
+	return a.Name == b.Name && a.StartedAt.Equal(b.StartedAt) && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre &&
 		a.Version == b.Version && a.Slots == b.Slots && a.Draining == b.Draining && slices.Equal(a.Models, b.Models)
 }
 
@@ -162,9 +162,9 @@
 // after the other changes of that list.
 func (s *followerState) setPendingPacked(parts [][]byte) {
 	s.pendingPacked = parts
-	s.listStarted = s.pendingList.GetPartial()
+	s.pendingPackedIsPartial = s.pendingList.GetPartial()
 	s.pendingList.Upstreams = nil
-	if !s.listStarted || len(s.pendingList.GetGone())+len(s.pendingList.GetParts())+len(s.pendingList.GetRemoved()) == 0 {
+	if !s.pendingPackedIsPartial || len(s.pendingList.GetGone())+len(s.pendingList.GetParts())+len(s.pendingList.GetRemoved()) == 0 {
 		s.pendingList = nil
 	}
 }
@@ -172,10 +172,10 @@
 // addPackedPart moves the next packed part into the update.
 func (s *followerState) addPackedPart(u *wire.Update) {
 	u.Listed = true
-	u.Partial = s.listStarted
+	u.Partial = s.pendingPackedIsPartial
 	u.Packed = s.pendingPacked[0]
 	s.pendingPacked = s.pendingPacked[1:]
-	s.listStarted = true
+	s.pendingPackedIsPartial = true
 	if u.More = len(s.pendingPacked) > 0; !u.More {
 		s.listIDs = s.pendingListIDs
 	}
@@ -305,7 +305,7 @@
 	}
 	return &wire.Upstream{
 		Started:     started,
-		Incarnation: u.Incarnation,
+		Incarnation: u.Name,
 		Service:     u.Service,
 		Address:     u.Address.String(),
 		Datacentre:  u.DataCentre,
@@ -333,14 +333,14 @@
 		return u, false
 	}
 	u = persimmoncross.Upstream{
-		Incarnation: x.GetIncarnation(),
-		Service:     x.GetService(),
-		Address:     address,
-		DataCentre:  x.GetDatacentre(),
-		Version:     x.GetVersion(),
-		Slots:       int(x.GetSlots()),
-		Draining:    x.GetLeaving(),
-		Models:      x.GetModels(),
+		Name:       x.GetIncarnation(),
+		Service:    x.GetService(),
+		Address:    address,
+		DataCentre: x.GetDatacentre(),
+		Version:    x.GetVersion(),
+		Slots:      int(x.GetSlots()),
+		Draining:   x.GetLeaving(),
+		Models:     x.GetModels(),
 	}
 	if ms := x.GetStarted(); ms != 0 {
 		u.StartedAt = time.UnixMilli(ms)
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -18,17 +18,17 @@
 func (c *manualClock) Now() time.Time                       { return c.now }
 func (c *manualClock) After(time.Duration) <-chan time.Time { return nil }
 
-func loadWithWork(life string, milliseconds uint32) *wire.UpstreamLoad {
+func loadWithWork(instanceID string, milliseconds uint32) *wire.UpstreamLoad {
 	return &wire.UpstreamLoad{
-		Life: life,
+		Life: instanceID,
 		Work: milliseconds,
 	}
 }
 
-// packedLoads returns the loads that the aggregator would send to a follower, by upstream.
-func packedLoads(b *loadAggregator, order []string) map[string]relay.FleetLoad {
+// fleetLoads returns the loads that the aggregator would send to a follower, by upstream.
+func fleetLoads(b *loadAggregator, order []string) map[string]relay.FleetLoad {
 	loads := map[string]relay.FleetLoad{}
-	for _, l := range decodeLoads(order, packLoads(b, order)) {
+	for _, l := range decodeLoads(order, encodeLoads(b, order)) {
 		loads[l.InstanceID] = l
 	}
 	return loads
@@ -41,15 +41,15 @@
 		now: time.Unix(100, 0),
 	}
 	order := []string{"u1", "u2"}
-	newBoard := func() *loadAggregator {
+	newAggregator := func() *loadAggregator {
 		return &loadAggregator{
 			clock: clock,
 		}
 	}
-	leader, nonLeader := newBoard(), newBoard()
+	leader, nonLeader := newAggregator(), newAggregator()
 	exchange := func() {
 		leader.receive("other", nonLeader.report())
-		nonLeader.applyFleetLoads(order, packLoads(leader, order))
+		nonLeader.applyFleetLoads(order, encodeLoads(leader, order))
 	}
 	leader.receive("e1", []*wire.UpstreamLoad{loadWithWork("u1", 1000)})
 	nonLeader.receive("e2", []*wire.UpstreamLoad{loadWithWork("u1", 400), loadWithWork("u2", 200)})
@@ -73,7 +73,7 @@
 	})
 	exchange()
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
-		got := packedLoads(b, order)
+		got := fleetLoads(b, order)
 		if got["u1"].PrefillTime != 1400*time.Millisecond || got["u2"].PrefillTime != 200*time.Millisecond {
 			t.Errorf("%s sends work %v and %v, want 1.4 s and 0.2 s", name, got["u1"].PrefillTime, got["u2"].PrefillTime)
 		}
@@ -81,25 +81,25 @@
 			t.Errorf("%s sends %+v and %+v", name, got["u1"].Reported, got["u2"].Reported)
 		}
 	}
-	if got := packedLoads(nonLeader, order); got["u1"].SuspectingEntries != 0 || got["u2"].SuspectingEntries != 2 {
+	if got := fleetLoads(nonLeader, order); got["u1"].SuspectingEntries != 0 || got["u2"].SuspectingEntries != 2 {
 		t.Errorf("suspecting entries: %+v, want 0 for u1 and 2 for u2", got)
 	}
 	for name, b := range map[string]*loadAggregator{"leader": leader, "other": nonLeader} {
-		if got := packedLoads(b, order); got["u1"].Received || !got["u2"].Received || got["u2"].SinceReceived != 40*time.Millisecond {
+		if got := fleetLoads(b, order); got["u1"].Received || !got["u2"].Received || got["u2"].SinceReceived != 40*time.Millisecond {
 			t.Errorf("%s sends last-received times %+v, want none for u1 and 40 ms for u2", name, got)
 		}
 	}
 	// A report replaces the one before.
 	nonLeader.receive("e2", nil)
 	exchange()
-	if got := packedLoads(nonLeader, order); got["u1"].PrefillTime != time.Second || got["u2"].PrefillTime != 0 {
+	if got := fleetLoads(nonLeader, order); got["u1"].PrefillTime != time.Second || got["u2"].PrefillTime != 0 {
 		t.Errorf("after e2 reported no work: %v", got)
 	}
 	// The loads of a leader that is gone, and of entries that send no reports, expire.
 	clock.now = clock.now.Add(maxLoadAge / 2)
 	nonLeader.receive("e3", []*wire.UpstreamLoad{loadWithWork("u2", 100)})
 	clock.now = clock.now.Add(maxLoadAge/2 + time.Millisecond)
-	if got := packedLoads(nonLeader, order); got["u1"].PrefillTime != 0 || got["u2"].PrefillTime != 100*time.Millisecond || got["u2"].Reported != nil {
+	if got := fleetLoads(nonLeader, order); got["u1"].PrefillTime != 0 || got["u2"].PrefillTime != 100*time.Millisecond || got["u2"].Reported != nil {
 		t.Errorf("without a leader: %+v", got)
 	}
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-func lifeOf(t *testing.T, x *wire.Upstream) string {
+func instanceIDOf(t *testing.T, x *wire.Upstream) string {
 	t.Helper()
 	u, ok := fromWireUpstream(x)
 	if !ok {
@@ -191,7 +191,7 @@
 		Listed:    true,
 		Partial:   true,
 		Upstreams: newUpstreams("b"),
-		Gone:      []string{lifeOf(t, newUpstreams("a")[0])},
+		Gone:      []string{instanceIDOf(t, newUpstreams("a")[0])},
 		Loads:     []byte{0, 0, 0, 0, 2, 0, 0, 0, 0, 0, 3, 0},
 	})
 	if len(got) != 2 || got["b"] != 2*loadTimeUnit || got["c"] != 3*loadTimeUnit {
@@ -206,16 +206,16 @@
 	}
 }
 
-func packLoads(b *loadAggregator, order []string) []byte {
+func encodeLoads(b *loadAggregator, order []string) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.encodeDense(order, b.clock.Now())
 }
 
-// TestPackedLoadsAreCached checks that followers with the same list are sent loads that were
+// TestEncodedLoadsAreCached checks that followers with the same list are sent loads that were
 // encoded once and are cached for a short time. Encoding 3,000 upstreams for each of 75
 // followers, four times a second, took a controller a tenth of a core.
-func TestPackedLoadsAreCached(t *testing.T) {
+func TestEncodedLoadsAreCached(t *testing.T) {
 	clock := &manualNowClock{
 		now: time.Unix(1000, 0),
 	}
--- a/internal/node/near_test.go
+++ b/internal/node/localprobe_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	allEntries := func(condition func(e *Entry, local string) bool) func() bool {
+	allReadyAnd := func(condition func(e *Entry, local string) bool) func() bool {
 		return func() bool {
 			for e, n := range localControllers {
 				if !e.Ready() || !condition(e, n) {
@@ -44,13 +44,13 @@
 			return true
 		}
 	}
-	allFollowLocal := allEntries(func(e *Entry, local string) bool {
+	allFollowLocal := allReadyAnd(func(e *Entry, local string) bool {
 		return local != "" && e.followedPeer() == local || local == "" && e.followedPeer() != ""
 	})
 	f.waitFor("all entries follow a local controller if there is one", allFollowLocal)
 	lostPeer := localControllers[f.processes["vm6"].entry] // the controller in data centre c
 	f.stop("vm3")
-	f.waitFor("all entries follow a running controller", allEntries(func(e *Entry, _ string) bool { return e.followedPeer() != "" && e.followedPeer() != lostPeer }))
+	f.waitFor("all entries follow a running controller", allReadyAnd(func(e *Entry, _ string) bool { return e.followedPeer() != "" && e.followedPeer() != lostPeer }))
 	f.startControllerIn(3, false, "c")
 	f.waitFor("the restarted controller is followed again", allFollowLocal)
 }
@@ -77,20 +77,20 @@
 		DataCentre: "a",
 		Seeds:      func() []string { return nil },
 	}
-	search := &localProber{
+	prober := &localProber{
 		follower: f,
 	}
-	if got := search.nextController(); got != "" {
+	if got := prober.nextController(); got != "" {
 		t.Errorf("%s is probed although no controller is local", got)
 	}
 	controllers := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 	f.setControllers(controllers)
 	f.setDataCentres(controllers, []string{"a", "a", "b"})
-	tries := map[string]int{}
+	probes := map[string]int{}
 	for range 4 {
-		tries[search.nextController()]++
+		probes[prober.nextController()]++
 	}
-	if tries[controllers[0]] != 2 || tries[controllers[1]] != 2 {
-		t.Errorf("probes by controller: %v, want 2 for each local one", tries)
+	if probes[controllers[0]] != 2 || probes[controllers[1]] != 2 {
+		t.Errorf("probes by controller: %v, want 2 for each local one", probes)
 	}
 }
--- a/internal/node/memberstore.go
+++ b/internal/node/memberstore.go
@@ -51,9 +51,9 @@
 	if err := emptyFolder(s.Data); err != nil {
 		return nil, newError("empty data folder", StartFailed, err)
 	}
-	rejoining := *s
-	rejoining.Founding = false
-	return openStoreOnce(&rejoining)
+	newMember := *s
+	newMember.Founding = false
+	return openStoreOnce(&newMember)
 }
 
 func emptyFolder(path string) error {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -123,10 +123,10 @@
 		f.waitFor("document 2 is in force", func() bool { return entry.view.Load().Catalog.Number == 2 })
 	}
 	f.lister.setUpstreams(persimmoncross.Upstream{
-		Incarnation: "u1",
-		Service:     "s",
-		Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-		Draining:    true,
+		Name:     "u1",
+		Service:  "s",
+		Address:  netip.MustParseAddrPort("127.0.0.1:1"),
+		Draining: true,
 	})
 	f.waitFor("the upstream is draining", func() bool { return lateEntry.view.Load().Targets["s"][0].IsDraining(time.Now()) })
 }
@@ -197,39 +197,39 @@
 	}
 }
 
-// TestFollowerTargets checks that followers are spread over the controllers, and that the controller
+// TestFollowerCandidates checks that followers are spread over the controllers, and that the controller
 // that failed last is tried last.
-func TestFollowerTargets(t *testing.T) {
+func TestFollowerCandidates(t *testing.T) {
 	controllers := []string{"a", "b", "c"}
-	firstTargetCounts := map[string]int{}
+	firstCandidateCounts := map[string]int{}
 	for i := range 300 {
 		f := &follower{
 			Name:        "entry" + string(rune('a'+i%26)) + string(rune('a'+i/26)),
 			Seeds:       func() []string { return []string{"c", "d"} },
 			controllers: controllers,
 		}
-		targets := f.candidates()
-		if len(targets) != 4 {
-			t.Fatalf("candidates %v, want 4", targets)
+		candidates := f.candidates()
+		if len(candidates) != 4 {
+			t.Fatalf("candidates %v, want 4", candidates)
 		}
-		firstTargetCounts[targets[0]]++
-		f.setFailed(targets[0])
-		if retried := f.candidates(); retried[3] != targets[0] || !slices.Equal(retried[:3], targets[1:]) {
-			t.Fatalf("candidates %v, after the first failed %v", targets, retried)
+		firstCandidateCounts[candidates[0]]++
+		f.setFailed(candidates[0])
+		if retried := f.candidates(); retried[3] != candidates[0] || !slices.Equal(retried[:3], candidates[1:]) {
+			t.Fatalf("candidates %v, after the first failed %v", candidates, retried)
 		}
 	}
-	for name, n := range firstTargetCounts {
+	for name, n := range firstCandidateCounts {
 		if n < 30 {
 			t.Errorf("%s is the first candidate of %d followers out of 300, want at least 30", name, n)
 		}
 	}
 }
 
-// TestRecentAccounts checks that the canary statistics of an entry that is gone still count, and
+// TestCurrentReports checks that the canary statistics of an entry that is gone still count, and
 // that the entry does not count as present.
-func TestRecentAccounts(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
-	h.receiveReport(&wire.Account{
+func TestCurrentReports(t *testing.T) {
+	pub := newPublisher(persimmoncross.SystemClock{})
+	pub.receiveReport(&wire.Account{
 		Vm:    "a",
 		Entry: true,
 		Trials: []*wire.Trial{
@@ -243,27 +243,27 @@
 			},
 		},
 	})
-	h.receiveReport(&wire.Account{
+	pub.receiveReport(&wire.Account{
 		Vm:    "b",
 		Entry: true,
 	})
-	now := h.clock.Now()
-	if _, n := h.currentReports(now); n != 2 {
+	now := pub.clock.Now()
+	if _, n := pub.currentReports(now); n != 2 {
 		t.Errorf("%d entries, want 2", n)
 	}
-	accounts, n := h.currentReports(now.Add(2 * presenceTimeout))
+	reports, n := pub.currentReports(now.Add(2 * presenceTimeout))
 	if n != 0 {
 		t.Errorf("%d entries, want none", n)
 	}
-	p := sumCanaryStats(register.Upgrade{
+	evidence := sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
-	}, accounts)
-	if c := p.New["r"]; c.Answers != 10 || c.Failed != 6 {
+	}, reports)
+	if c := evidence.New["r"]; c.Answers != 10 || c.Failed != 6 {
 		t.Errorf("canary statistics %+v, want 10 answers, 6 failed", c)
 	}
-	if accounts, _ := h.currentReports(now.Add(2 * canaryStatsRetention)); len(accounts) != 0 {
+	if accounts, _ := pub.currentReports(now.Add(2 * canaryStatsRetention)); len(accounts) != 0 {
 		t.Error("canary statistics are kept after canaryStatsRetention")
 	}
 }
@@ -278,29 +278,29 @@
 		Duration: 20 * time.Second,
 		Began:    now.Add(-7 * time.Second).UnixMilli(), // written by a clock that had been set back
 	}
-	watchedFromStart := &upgradeTracker{
+	trackerFromStart := &upgradeTracker{
 		hasFollowedLog: true,
 	}
-	if got := watchedFromStart.elapsed(u, now); got != 0 {
+	if got := trackerFromStart.elapsed(u, now); got != 0 {
 		t.Errorf("elapsed %v for an upgrade that has just begun, want 0", got)
 	}
-	if got := watchedFromStart.elapsed(u, now.Add(4*time.Second)); got != 4*time.Second {
+	if got := trackerFromStart.elapsed(u, now.Add(4*time.Second)); got != 4*time.Second {
 		t.Errorf("elapsed %v, want 4 s", got)
 	}
 	u.Order = 5
 	u.Began = now.Add(-150 * time.Millisecond).UnixMilli()
-	if got := watchedFromStart.elapsed(u, now); got < 149*time.Millisecond || got > 151*time.Millisecond {
+	if got := trackerFromStart.elapsed(u, now); got < 149*time.Millisecond || got > 151*time.Millisecond {
 		t.Errorf("elapsed %v when an upgrade that began 150 ms ago is first seen", got)
 	}
 	u.Order = 3
 	u.Began = now.Add(-7 * time.Second).UnixMilli()
-	watchedLate := &upgradeTracker{}
-	if got := watchedLate.elapsed(u, now); got < 6*time.Second || got > 8*time.Second {
+	lateTracker := &upgradeTracker{}
+	if got := lateTracker.elapsed(u, now); got < 6*time.Second || got > 8*time.Second {
 		t.Errorf("elapsed %v for an upgrade found after a start of the process, want about 7 s", got)
 	}
 	u.Order = 4
 	u.Began = now.Add(time.Hour).UnixMilli()
-	if got := watchedLate.elapsed(u, now); got != 0 {
+	if got := lateTracker.elapsed(u, now); got != 0 {
 		t.Errorf("elapsed %v for an upgrade that begins in the future, want 0", got)
 	}
 }
@@ -308,13 +308,13 @@
 // TestListDeltas checks that a follower which has the list is sent only the changes and ends up with
 // the same list, and that a follower which lags too far behind is sent the whole list.
 func TestListDeltas(t *testing.T) {
-	h := newPublisher(persimmoncross.SystemClock{})
-	newUpstream := func(id string, leaving bool) persimmoncross.Upstream {
+	pub := newPublisher(persimmoncross.SystemClock{})
+	draining := func(id string, leaving bool) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
-			Incarnation: id,
-			Service:     "s",
-			Address:     netip.MustParseAddrPort("127.0.0.1:1"),
-			Draining:    leaving,
+			Name:     id,
+			Service:  "s",
+			Address:  netip.MustParseAddrPort("127.0.0.1:1"),
+			Draining: leaving,
 		}
 	}
 	var got []persimmoncross.Upstream
@@ -330,19 +330,19 @@
 	s := &followerState{}
 	var update *wire.Update
 	sendUpdate := func() {
-		update, _ = h.nextUpdate(s, true, nil)
+		update, _ = pub.nextUpdate(s, true, nil)
 		a.handleUpdate(f, update)
 	}
-	list := []persimmoncross.Upstream{newUpstream("a", false), newUpstream("b", false), newUpstream("c", false)}
-	h.setList(list, time.Now())
+	list := []persimmoncross.Upstream{draining("a", false), draining("b", false), draining("c", false)}
+	pub.setList(list, time.Now())
 	sendUpdate()
 	for _, next := range [][]persimmoncross.Upstream{
-		{newUpstream("a", true), newUpstream("b", false), newUpstream("c", false)},
-		{newUpstream("b", false), newUpstream("c", false), newUpstream("d", false)},
-		{newUpstream("a", false), newUpstream("d", true)},
+		{draining("a", true), draining("b", false), draining("c", false)},
+		{draining("b", false), draining("c", false), draining("d", false)},
+		{draining("a", false), draining("d", true)},
 	} {
-		h.setList(next, time.Now())
-		u, _ := h.nextUpdate(s, true, nil)
+		pub.setList(next, time.Now())
+		u, _ := pub.nextUpdate(s, true, nil)
 		if !u.GetPartial() || len(u.GetUpstreams()) >= 3 {
 			t.Errorf("the whole list was sent: %v", u)
 		}
@@ -351,31 +351,31 @@
 			t.Fatalf("the follower has %v, want %v", got, next)
 		}
 	}
-	h.setList([]persimmoncross.Upstream{newUpstream("a", false), newUpstream("e", false)}, time.Now())
-	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
-	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("e", true)}, time.Now())
-	h.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{draining("a", false), draining("e", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("f", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("e", true)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("f", false)}, time.Now())
 	sendUpdate() // several changes at once, with an upstream that is added, removed and added again
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, equalUpstream) {
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{draining("a", true), draining("f", false)}, equalUpstream) {
 		t.Fatalf("after several changes at once the follower has %v", got)
 	}
 	for i := range 2 * maxRecentDeltas {
-		h.setList([]persimmoncross.Upstream{newUpstream("a", i%2 == 0), newUpstream("g", false)}, time.Now())
+		pub.setList([]persimmoncross.Upstream{draining("a", i%2 == 0), draining("g", false)}, time.Now())
 	}
-	u, _ := h.nextUpdate(s, true, nil)
+	u, _ := pub.nextUpdate(s, true, nil)
 	if u.GetPartial() {
 		t.Error("a partial list was sent for changes that are not kept any more")
 	}
 	a.handleUpdate(f, u)
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", false), newUpstream("g", false)}, equalUpstream) {
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{draining("a", false), draining("g", false)}, equalUpstream) {
 		t.Fatalf("after the whole list the follower has %v", got)
 	}
 }
 
-// TestOwnListIsReadAsLastResort checks that an entry reads the list itself early if it follows no
+// TestFallbackListIsReadAsLastResort checks that an entry reads the list itself early if it follows no
 // controller with a recent state, and later if it does, because the leader is about to read the
 // list then.
-func TestOwnListIsReadAsLastResort(t *testing.T) {
+func TestFallbackListIsReadAsLastResort(t *testing.T) {
 	e := newFleet(t, 78).stoppedEntry()
 	now := e.Clock.Now()
 	e.startedAt = now
@@ -401,9 +401,9 @@
 	}
 }
 
-// TestSearchWithoutTargets checks that a search without candidates ends at once, so that the next
+// TestSearchWithoutCandidates checks that a search without candidates ends at once, so that the next
 // search finds a leader as soon as it is elected.
-func TestSearchWithoutTargets(t *testing.T) {
+func TestSearchWithoutCandidates(t *testing.T) {
 	f := &follower{
 		Clock: noWaitClock{
 			t: t,
@@ -427,7 +427,7 @@
 	return fired
 }
 
-// TestOwnListReadsAreRateLimited guards against entries that read the list themselves and use up
+// TestFallbackListReadsAreRateLimited guards against entries that read the list themselves and use up
 // the allowed calls. After the loss of all VMs, a fleet of 298 VMs with 2,997 upstreams took 8 to
 // 30 s until it served again, and its entries logged reads of the list that did not complete, also
 // in periods without faults. An entry reads the list itself when the list from the controllers is
@@ -437,7 +437,7 @@
 //
 // Therefore the entries of a fleet of any size leave most of the calls to the leader. If all
 // entries can read the list in time, their reads are not limited.
-func TestOwnListReadsAreRateLimited(t *testing.T) {
+func TestFallbackListReadsAreRateLimited(t *testing.T) {
 	const drain = 4 * time.Second
 	for _, tt := range []struct {
 		entries, upstreams int
@@ -453,14 +453,14 @@
 		{entries: 0, upstreams: 0, maxCallsPerSecond: 44, unlimited: true},
 		{entries: 8, upstreams: 16, maxCallsPerSecond: 0, unlimited: true}, // no limit of calls is configured
 	} {
-		pause := fallbackReadInterval(tt.entries, tt.upstreams, tt.maxCallsPerSecond, drain)
-		if (pause == 0) != tt.unlimited {
-			t.Errorf("%+v: interval %v", tt, pause)
+		interval := fallbackReadInterval(tt.entries, tt.upstreams, tt.maxCallsPerSecond, drain)
+		if (interval == 0) != tt.unlimited {
+			t.Errorf("%+v: interval %v", tt, interval)
 		}
 		if tt.unlimited {
 			continue
 		}
-		callsPerSecond := float64(tt.entries*max((tt.upstreams+listPageSize-1)/listPageSize, 1)) / pause.Seconds()
+		callsPerSecond := float64(tt.entries*max((tt.upstreams+listPageSize-1)/listPageSize, 1)) / interval.Seconds()
 		if callsPerSecond > fallbackRateFraction*tt.maxCallsPerSecond+1 {
 			t.Errorf("%+v: %.0f calls a second", tt, callsPerSecond)
 		}
--- a/internal/node/publisher.go
+++ b/internal/node/publisher.go
@@ -164,23 +164,23 @@
 	coldVersion   uint64
 	limitsVersion uint64 // version of the rate limits that were sent
 	// hasMoreLimits is set if the changed rate limits did not all fit into the last update.
-	hasMoreLimits      bool
-	state              *register.State
-	listVersion        uint64
-	initialChecksums   []uint64     // partition checksums of the list that the follower had at first
-	acceptsPacked      bool         // the follower decodes packed upstreams
-	acceptsBitmaps     bool         // the follower decodes bitmaps of removed instance IDs
-	pendingPacked      [][]byte     // packed parts of the list still to be sent, after pendingList
-	listStarted        bool         // the next packed part adds to the follower's list instead of replacing it
-	listIDs            []string     // instance IDs of the list that the follower has, sorted
-	nextLoadsAt        time.Time    // when loads are sent next
-	pendingList        *wire.Update // the rest of the list that is still to be sent; nil: none
-	pendingListIDs     []string     // listIDs once the pending list is sent
-	documentNumber     uint64       // of the document that the follower has
-	documentChecksum   uint64       // of the document that the follower has
-	holds              sentQuarantines
-	hasMoreQuarantines bool              // more quarantines are to be sent
-	documentTransfer   *documentTransfer // the document being sent; nil: none
+	hasMoreLimits          bool
+	state                  *register.State
+	listVersion            uint64
+	initialChecksums       []uint64     // partition checksums of the list that the follower had at first
+	acceptsPacked          bool         // the follower decodes packed upstreams
+	acceptsBitmaps         bool         // the follower decodes bitmaps of removed instance IDs
+	pendingPacked          [][]byte     // packed parts of the list still to be sent, after pendingList
+	pendingPackedIsPartial bool         // the next packed part adds to the follower's list instead of replacing it
+	listIDs                []string     // instance IDs of the list that the follower has, sorted
+	nextLoadsAt            time.Time    // when loads are sent next
+	pendingList            *wire.Update // the rest of the list that is still to be sent; nil: none
+	pendingListIDs         []string     // listIDs once the pending list is sent
+	documentNumber         uint64       // of the document that the follower has
+	documentChecksum       uint64       // of the document that the follower has
+	sentQuarantines        sentQuarantines
+	hasMoreQuarantines     bool              // more quarantines are to be sent
+	documentTransfer       *documentTransfer // the document being sent; nil: none
 }
 
 // hasPending reports whether more data is to be sent without waiting.
@@ -212,7 +212,7 @@
 		return u, p.changed
 	}
 	if s.entry {
-		s.hasMoreQuarantines = !s.holds.addChanges(u, p.state)
+		s.hasMoreQuarantines = !s.sentQuarantines.addChanges(u, p.state)
 	}
 	p.addColdUpstreams(u, s) // must precede the list that contains the cold upstreams
 	p.addLimits(u, s)
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -288,7 +288,7 @@
 	f.waitFor("all entries refuse the request", func() bool {
 		for _, e := range entries {
 			e.mu.Lock()
-			disconnected := e.localKeeper != nil
+			disconnected := e.localQuarantines != nil
 			e.mu.Unlock()
 			if disconnected || !refusesAny(e) {
 				return false
--- a/internal/node/holds.go
+++ b/internal/node/quarantines.go
@@ -21,12 +21,12 @@
 
 // Limits and intervals of quarantines and cases.
 const (
-	judgeInterval            = 100 * time.Millisecond
-	idleJudgeInterval        = time.Second // while no case has changed
+	evaluationInterval       = 100 * time.Millisecond
+	idleEvaluationInterval   = time.Second // while no case has changed
 	maxCasesPerReport        = 128         // per report: 10 KB with one or two crashes per case
 	maxQuarantinesPerMessage = 64          // per update or command: 4 KB
 	maxCasesPerReporter      = 1024        // stored per reporter
-	maxJudgedCases           = 4096        // evaluated at once: 1 MB
+	maxEvaluatedCases        = 4096        // evaluated at once: 1 MB
 )
 
 // caseAggregator stores the cases that a controller's followers report. Cases of an entry that
@@ -117,7 +117,7 @@
 		}
 		lists = append(lists, list)
 	}
-	return quarantine.Merge(lists, maxJudgedCases), a.version
+	return quarantine.Merge(lists, maxEvaluatedCases), a.version
 }
 
 // quarantineTracker records when this process first saw each quarantine. It is owned by one
@@ -154,25 +154,25 @@
 	return false
 }
 
-// runQuarantineJudge decides, while this controller leads with a lease, which requests to
+// runQuarantineEvaluation decides, while this controller leads with a lease, which requests to
 // quarantine because they crash upstreams.
-func (c *Controller) runQuarantineJudge(ctx context.Context) {
+func (c *Controller) runQuarantineEvaluation(ctx context.Context) {
 	tracker := quarantineTracker{}
-	judgedVersion, judgedAt := uint64(0), time.Time{}
+	evaluatedVersion, evaluatedAt := uint64(0), time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.Clock.After(judgeInterval):
+		case <-c.Clock.After(evaluationInterval):
 		}
 		now := c.Clock.Now()
 		tracker.update(c.register.Current(), now)
-		if !c.isLeaderWithLease() || !c.cases.hasChangedSince(judgedVersion) && !tracker.hasIsolated() && now.Sub(judgedAt) < idleJudgeInterval {
+		if !c.isLeaderWithLease() || !c.cases.hasChangedSince(evaluatedVersion) && !tracker.hasIsolated() && now.Sub(evaluatedAt) < idleEvaluationInterval {
 			continue
 		}
 		var cases []quarantine.Record
-		cases, judgedVersion = c.cases.mergedSince(0, now)
-		judgedAt = now
+		cases, evaluatedVersion = c.cases.mergedSince(0, now)
+		evaluatedAt = now
 		if changes := quarantine.Evaluate(cases, tracker, now); len(changes) > 0 {
 			c.proposeQuarantines(ctx, changes[:min(len(changes), maxQuarantinesPerMessage)], now)
 		}
@@ -255,58 +255,58 @@
 // applyQuarantines applies an update's changes of quarantines to the stream, and returns all of
 // them once they are complete.
 func (c *controllerStream) applyQuarantines(u *wire.Update) map[persimmoncross.Digest]persimmoncross.Quarantine {
-	if c.holds == nil {
-		c.holds = map[persimmoncross.Digest]persimmoncross.Quarantine{}
+	if c.quarantines == nil {
+		c.quarantines = map[persimmoncross.Digest]persimmoncross.Quarantine{}
 	}
 	for _, h := range wire.Holds(u.GetHolds()) {
 		if h.Stage == persimmoncross.QuarantineNone {
-			delete(c.holds, h.Digest)
+			delete(c.quarantines, h.Digest)
 		} else {
-			c.holds[h.Digest] = h
+			c.quarantines[h.Digest] = h
 		}
 	}
 	if u.GetHeld() == 0 {
 		return nil
 	}
-	return maps.Clone(c.holds)
+	return maps.Clone(c.quarantines)
 }
 
 // applyQuarantines brings the quarantines of a state into force, unless the state is older than
 // that of the quarantines in force, because it then comes from a controller that lags behind.
-func (e *Entry) applyQuarantines(index uint64, holds map[persimmoncross.Digest]persimmoncross.Quarantine) {
+func (e *Entry) applyQuarantines(index uint64, quarantines map[persimmoncross.Digest]persimmoncross.Quarantine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if index <= e.quarantinesIndex {
 		return
 	}
 	e.quarantinesIndex = index
-	e.holds = holds
-	metrics.GetOrRegisterGauge("holds", e.Metrics).Update(int64(len(holds)))
+	e.quarantines = quarantines
+	metrics.GetOrRegisterGauge("holds", e.Metrics).Update(int64(len(quarantines)))
 	e.publishView()
 }
 
-// localJudgeTimeout is how long an entry goes without an update from a controller with a lease
+// localEvaluationTimeout is how long an entry goes without an update from a controller with a lease
 // before it decides on quarantines from its own records alone. The timeout is longer than an
 // election and shorter than the time within which all entries must have a quarantine. It also
 // limits how long the entry keeps its own quarantines in force once a controller has a lease
 // again.
-const localJudgeTimeout = 2 * time.Second
+const localEvaluationTimeout = 2 * time.Second
 
-// runLocalJudge decides on quarantines while no controller with a lease is reachable. An entry
+// runLocalEvaluation decides on quarantines while no controller with a lease is reachable. An entry
 // that is cut off from the controllers continues to serve, and keeps receiving the requests
 // that crash upstreams.
-func (e *Entry) runLocalJudge(ctx context.Context) {
+func (e *Entry) runLocalEvaluation(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.Clock.After(judgeInterval):
+		case <-e.Clock.After(evaluationInterval):
 		}
-		e.judgeLocally(e.Clock.Now())
+		e.evaluateLocally(e.Clock.Now())
 	}
 }
 
-func (e *Entry) judgeLocally(now time.Time) {
+func (e *Entry) evaluateLocally(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	since := e.startedAt
@@ -314,23 +314,23 @@
 		since = e.leasedAt
 	}
 	switch {
-	case now.Sub(since) < localJudgeTimeout && e.localKeeper == nil:
+	case now.Sub(since) < localEvaluationTimeout && e.localQuarantines == nil:
 		return
-	case now.Sub(since) < localJudgeTimeout:
+	case now.Sub(since) < localEvaluationTimeout:
 		if e.rejoinedAt.IsZero() {
 			e.rejoinedAt = now
 		}
-		if now.Sub(e.rejoinedAt) >= localJudgeTimeout || e.areLocalRefusalsShared() {
-			e.localKeeper = nil
+		if now.Sub(e.rejoinedAt) >= localEvaluationTimeout || e.areLocalRefusalsShared() {
+			e.localQuarantines = nil
 			e.publishView()
 		}
 		return
-	case e.localKeeper == nil:
-		e.localKeeper = &quarantine.Store{}
+	case e.localQuarantines == nil:
+		e.localQuarantines = &quarantine.Store{}
 	}
 	e.rejoinedAt = time.Time{}
 	cases, _ := e.quarantineRecorder.Records(0, now)
-	if changes := e.localKeeper.Evaluate(quarantine.Merge([][]quarantine.Record{cases}, maxJudgedCases), now); len(changes) > 0 {
+	if changes := e.localQuarantines.Evaluate(quarantine.Merge([][]quarantine.Record{cases}, maxEvaluatedCases), now); len(changes) > 0 {
 		quarantine.LogChanges(e.Log, changes, now, nil)
 		e.publishView()
 	}
@@ -341,8 +341,8 @@
 // in force, while its records go to the leader, which evaluates them again. The caller holds
 // mu.
 func (e *Entry) areLocalRefusalsShared() bool {
-	for _, h := range e.localKeeper.Holds() {
-		if h.Stage == persimmoncross.QuarantineRefuse && e.holds[h.Digest].Stage != persimmoncross.QuarantineRefuse {
+	for _, h := range e.localQuarantines.Quarantines() {
+		if h.Stage == persimmoncross.QuarantineRefuse && e.quarantines[h.Digest].Stage != persimmoncross.QuarantineRefuse {
 			return false
 		}
 	}
@@ -352,14 +352,14 @@
 // effectiveQuarantines returns the quarantines in force on this entry: those of the controllers
 // combined with its own. The caller holds mu.
 func (e *Entry) effectiveQuarantines() map[persimmoncross.Digest]persimmoncross.Quarantine {
-	if e.localKeeper == nil {
-		return e.holds
+	if e.localQuarantines == nil {
+		return e.quarantines
 	}
-	effective := maps.Clone(e.holds)
+	effective := maps.Clone(e.quarantines)
 	if effective == nil {
 		effective = map[persimmoncross.Digest]persimmoncross.Quarantine{}
 	}
-	for _, h := range e.localKeeper.Holds() {
+	for _, h := range e.localQuarantines.Quarantines() {
 		if h.Stage > effective[h.Digest].Stage {
 			effective[h.Digest] = h
 		}
--- a/internal/node/holds_test.go
+++ b/internal/node/quarantines_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestCaseBoard checks that an aggregator merges the records of all reporters, also of those that
+// TestCaseAggregator checks that an aggregator merges the records of all reporters, also of those that
 // are gone, that it drops records once they are stale, and that it bounds the records of one
 // reporter.
-func TestCaseBoard(t *testing.T) {
+func TestCaseAggregator(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := &settableClock{
 		now: now,
@@ -74,12 +74,12 @@
 	b := &caseAggregator{
 		clock: clock,
 	}
-	report := func(sender string, n int, life string) {
-		b.receive(sender, wire.FromCases([]quarantine.Record{{
+	report := func(reporter string, n int, instanceID string) {
+		b.receive(reporter, wire.FromCases([]quarantine.Record{{
 			Digest:  testDigest(n),
 			Service: "s",
 			Crashes: []quarantine.Crash{{
-				InstanceID: life,
+				InstanceID: instanceID,
 				At:         clock.now.Add(-time.Second),
 				RunTime:    20 * time.Millisecond,
 			}},
--- a/internal/vm/handler.go
+++ b/internal/vm/handler.go
@@ -132,7 +132,7 @@
 		}
 	}
 	s.Cases = wire.FromCases(v.ownCases(v.Clock.Now()), v.Clock.Now())
-	s.Holds = wire.FromHolds(v.keeper.Holds())
+	s.Holds = wire.FromHolds(v.keeper.Quarantines())
 	for version, x := range v.evidence.StageRuns() {
 		s.Exposed = append(s.Exposed, &wire.Exposed{
 			Version: version.String(),
--- a/io/transport/engine/client.go
+++ b/io/transport/engine/client.go
@@ -85,8 +85,8 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Begin implements [persimmoncross.UpstreamClient].
-func (c *Client) Begin(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Response, error) {
+// Send implements [persimmoncross.UpstreamClient].
+func (c *Client) Send(ctx context.Context, address netip.AddrPort, a persimmoncross.Attempt) (persimmoncross.Response, error) {
 	if a.Version.Model == "" {
 		return c.beginService(ctx, address, a)
 	}
--- a/io/transport/engine/gone.go
+++ b/io/transport/engine/gone.go
@@ -7,7 +7,7 @@
 	"persimmoncross/io/transport/socket"
 )
 
-// Gone implements [persimmoncross.Prober].
-func (c *Client) Gone(ctx context.Context, address netip.AddrPort) bool {
+// IsDown implements [persimmoncross.Prober].
+func (c *Client) IsDown(ctx context.Context, address netip.AddrPort) bool {
 	return socket.Refused(ctx, address)
 }
--- a/io/transport/forward/env_test.go
+++ b/io/transport/forward/env_test.go
@@ -117,8 +117,8 @@
 			},
 		},
 		Upstream: persimmoncross.Upstream{
-			Incarnation: "u",
-			Address:     netip.MustParseAddrPort(u.listener.Addr().String()),
+			Name:    "u",
+			Address: netip.MustParseAddrPort(u.listener.Addr().String()),
 		},
 		Deadline: time.Now().Add(5 * time.Second),
 	}
--- a/proxy.go
+++ b/proxy.go
@@ -38,7 +38,7 @@
 	Header           http.Header // end-to-end headers, without those that only the router may set
 	Body             []byte
 	BodyDigest       [sha256.Size]byte // SHA-256 of Body, computed while the body was read
-	IdempotencyKey   string            // set by the caller; "" if there is none
+	APIKey           string            // set by the caller; "" if there is none
 	SessionID        string            // "" if there is none
 	Model            string            // "" if the request names none
 	RouterPicksModel bool              // the router chooses the model
@@ -137,7 +137,7 @@
 
 // Upstream is an upstream as listed by the platform.
 type Upstream struct {
-	Incarnation        string    // the platform's name for the upstream; a restarted process may keep it
+	Name               string    // the platform's name for the upstream; a restarted process may keep it
 	StartedAt          time.Time // start time of the process; zero if not reported
 	Service            string
 	Address            netip.AddrPort
@@ -159,7 +159,7 @@
 	if !u.StartedAt.IsZero() {
 		b = strconv.AppendInt(append(b, ' '), u.StartedAt.UnixMilli(), 10)
 	}
-	return u.Incarnation + "~" + strconv.FormatUint(xxhash.Sum64(b)&0xffffffff, 36)
+	return u.Name + "~" + strconv.FormatUint(xxhash.Sum64(b)&0xffffffff, 36)
 }
 
 // UpstreamLister reads the complete list of upstreams.
--- a/quarantine.go
+++ b/quarantine.go
@@ -67,7 +67,7 @@
 
 // Prober checks whether an upstream's process still exists.
 type Prober interface {
-	// Gone reports whether nothing listens at the upstream's address any more. If that cannot
+	// IsDown reports whether nothing listens at the upstream's address any more. If that cannot
 	// be determined, the upstream is assumed to be running.
-	Gone(ctx context.Context, address netip.AddrPort) bool
+	IsDown(ctx context.Context, address netip.AddrPort) bool
 }
--- a/upstream.go
+++ b/upstream.go
@@ -55,9 +55,9 @@
 
 // UpstreamClient sends attempts to engines and plain services.
 type UpstreamClient interface {
-	// Begin sends the attempt and waits for the response head. Its errors are of type
+	// Send sends the attempt and waits for the response head. Its errors are of type
 	// [AttemptError].
-	Begin(ctx context.Context, address netip.AddrPort, a Attempt) (Response, error)
+	Send(ctx context.Context, address netip.AddrPort, a Attempt) (Response, error)
 	// Resume continues a stream that was interrupted after the given number of chunks, at the
 	// engine that ran the attempt.
 	Resume(ctx context.Context, address netip.AddrPort, a Attempt, chunks int) (Response, error)
