--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -19,8 +19,8 @@
 // Limits of the time that a prompt waits before its prefill begins.
 const (
 	// maxExtraWait is how much longer than the mean of the candidates a prompt may wait
-	// before its prefill begins. The wait is compared with the mean and not with the minimum
-	// because load data is up to half a second old, and in that time all entries would send
+	// before its prefill begins. The wait is compared with the mean and not with the minimum,
+	// because load data is about half a second old, and in that time all entries would send
 	// to the few upstreams that were idle.
 	maxExtraWait = 100 * time.Millisecond
 	// maxWaitPerPrefixPrefill limits the wait at the preferred upstream to this multiple of
@@ -47,7 +47,7 @@
 	InflightRequests  float64       // requests in flight at the upstream, as estimated for all entries
 	TimeToFirstToken  time.Duration // recent time until the upstream begins an answer
 	QueuedPrefillTime time.Duration // total prefill time of the prompts that the upstream has not begun
-	LinkDelay         time.Duration // expected delay of the answer by the link, counted as a wait
+	LinkDelay         time.Duration // delay that the link is expected to add to the answer, counted as a wait
 }
 
 // Prompt describes the prompt of a request.
