--- a/core/coordination/cascade/escalation.go
+++ b/core/coordination/cascade/escalation.go
@@ -40,8 +40,9 @@
 // Limits of escalation by the fraction of the retry budget that is left.
 //
 // At or below reservedRetryFraction no answer is escalated, so that the rest of the budget is
-// kept for failures. With 74 entries, each has about 36 retries in its window, and up to 10 streams on
-// upstreams that end together, as at the completion of an upgrade.
+// kept for failures. With 74 entries, the budget of one entry is about 36 retries per window, and
+// up to 10 of its streams run on upstreams that end together, for example at the completion of an
+// upgrade.
 //
 // From scarceRetryFraction down to reservedRetryFraction the thresholds fall to zero, so that
 // the last retries go to the answers with the lowest confidence.
@@ -55,8 +56,8 @@
 	ampleRetryFraction    = 0.5
 )
 
-// maxRetryCost is the cost of a retry when only the reserved retries are left, as prefill time
-// in fractions of the objective.
+// maxRetryCost is the cost of a retry when only the reserved retries are left. It is the prefill
+// time that a retry is worth, as a fraction of the objective.
 const maxRetryCost = 0.08
 
 // maxLowConfidenceRate caps the low-confidence rate, so that long prompts still start with the
@@ -74,8 +75,9 @@
 	RetryBudgetLeft   float64       // fraction of the window's retry budget that is left
 }
 
-// loadHeadroom returns 1 if no request waits for the largest model, and 0 from the load at which
-// the thresholds begin to fall, because an overloaded fleet has no prefill time to spare.
+// loadHeadroom returns 1 without load on the largest model, and falls to 0 at minReliefLoad, from
+// which load lowers the thresholds. A fleet that is short of upstreams has no prefill time to
+// spare.
 func (c StartConditions) loadHeadroom() float64 {
 	return 1 - min(relativeLoad(c.TimeToFirstToken, c.PrefillTime, c.SlotUtilization, c.Objective)/minReliefLoad, 1)
 }
