--- a/core/coordination/upgrade/stages.go
+++ b/core/coordination/upgrade/stages.go
@@ -96,7 +96,7 @@
 	// that meets no criterion until the end. The rest is kept back because a version that fails
 	// only under more load than a trial produces must stay within the limit too.
 	targetExposureFraction = 0.8
-	maxExposureFraction    = 0.95 // limits the planned exposure, with the shift, if the duration is short
+	maxExposureFraction    = 0.95 // limits the exposure of the trial and the shift together if the duration is short
 	// completionMargin is the time between the completion and the end of the upgrade's
 	// duration, in which the operator can observe the completion.
 	completionMargin = 650 * time.Millisecond
@@ -142,7 +142,7 @@
 
 // NextStage returns the stage that the upgrade should be in, and the reason if the stage
 // changes. elapsed is the time since the start of the upgrade, and ready reports whether the new
-// version has the upstreams that it needs.
+// version has enough upstreams to take all requests.
 func NextStage(u register.Upgrade, elapsed time.Duration, limit ExposureLimit, evidence Evidence, ready bool) (register.Stage, string) {
 	if u.Stage.Ended() {
 		return u.Stage, ""
--- a/core/coordination/upgrade/stages_test.go
+++ b/core/coordination/upgrade/stages_test.go
@@ -359,8 +359,8 @@
 
 // For a service with few requests, the small share of a trial gives too few answers to
 // distinguish a version that fails half of the answers on one route from a good one. One such
-// version was completed after 14 good answers and then got 337 requests. The extra requests of
-// the exposure limit make the shift longer, so that the failures are found.
+// version passed its trial with 14 answers, and got 337 requests after the completion. The extra
+// requests of the exposure limit make the shift longer, so that the failures are found.
 func TestDecisionsWithFewRequests(t *testing.T) {
 	type route struct {
 		requestsPerSecond, failureRate float64 // failureRate is of the old version's answers
