--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -43,12 +43,12 @@
 	Config             persimmoncross.Config
 	LeaseExpiry        time.Time
 	LeaseRequiredIndex uint64 // index that must be applied for the lease to be valid
-	DiskError          string // why nothing is acknowledged: the error of a write that is retried, or ""
+	DiskError          string // error of a failed write, "" if none; nothing is acknowledged until a retry succeeds
 }
 
-// HasLease reports whether new work may be accepted at time now. It requires a lease, confirmed
-// by a leader with a quorum, that has not expired, and that the entries the leader had committed
-// by then are applied.
+// HasLease reports whether new work may be accepted at time now. It requires that a lease
+// confirmed by a leader with a quorum has not expired, and that the entries which the leader had
+// committed at the confirmation are applied.
 func (v *View) HasLease(now time.Time) bool {
 	return v.AppliedIndex >= v.LeaseRequiredIndex && now.Before(v.LeaseExpiry)
 }
