--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -215,7 +215,7 @@
 	}
 }
 
-// Tick advances the time, and does what is due.
+// Tick advances the time, and handles the timers that have expired.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
 	if c.role == Leader {
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -79,7 +79,7 @@
 
 // canSendMore reports whether more entries may be in flight to the follower. The limit in bytes
 // does not apply until the follower has reported an index, because the entries in flight are
-// unknown before.
+// unknown until then.
 func (c *Core) canSendMore(p *progress) bool {
 	if p.nextIndex-p.matchIndex > maxInflightEntries {
 		return false
@@ -334,8 +334,8 @@
 	return p
 }
 
-// sendLearnerJoinIfDue sends a join request once per heartbeat interval while no message of a leader
-// arrives.
+// sendLearnerJoinIfDue sends a join request once per heartbeat interval, if no message of a
+// leader has arrived for ElectionTimeout.
 func (c *Core) sendLearnerJoinIfDue() {
 	if c.now.Sub(c.lastLeaderContact) < c.ElectionTimeout || c.now.Sub(c.lastHeartbeat) < c.HeartbeatInterval {
 		return
