--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -150,8 +150,8 @@
 		})
 	}
 	entries := c.publisher.presentEntries(now)
-	// The previous leader may have assigned owners to instances that became cold until the
-	// list's lag after this process became the leader.
+	// The previous leader may have assigned owners also to instances that became cold after this
+	// process became the leader, but no later than the list's lag after that.
 	soleSince := tracker.ledSince.Add(c.Site.List.Lag + coldMargin)
 	next, added := slowstart.Update(c.publisher.currentCold(), observations, entries, soleSince, now)
 	if added > 0 {
--- a/internal/node/coldupstreams_test.go
+++ b/internal/node/coldupstreams_test.go
@@ -18,9 +18,9 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// TestColdUpstreamsPrecedeTheList checks that a follower receives the slow start of a cold
-// upstream no later than the list with this upstream, and that an entry receives neither the
-// owners nor the intervals of other entries.
+// TestColdUpstreamsPrecedeTheList checks that a follower learns that an upstream is cold no later
+// than it receives the list with this upstream, and that an entry receives neither the owners nor
+// the intervals of other entries.
 func TestColdUpstreamsPrecedeTheList(t *testing.T) {
 	pub := newPublisher(persimmoncross.SystemClock{})
 	var list []persimmoncross.Upstream
@@ -192,9 +192,9 @@
 		x, ok := c.publisher.currentCold()[evacuated.InstanceID()]
 		return !ok || !x.ColdUntil.After(time.Now())
 	})
-	// The end of an evacuation also makes upstreams cold while the list can't be read. Otherwise
-	// an entry that started after it treated all upstreams of the data centre as warm, and sent
-	// 28 requests in a second to an upstream that handles 11.
+	// The end of an evacuation also makes upstreams cold while the list can't be read. When it did
+	// not, an entry that started after that end treated all upstreams of the data centre as warm,
+	// and sent 28 requests in a second to an upstream that handles 11.
 	f.lister.setFailing(true)
 	f.evacuate(c, "a", false)
 	f.evacuate(c, "a", true)
@@ -220,8 +220,8 @@
 
 // TestFallbackListWithoutDocument checks that an entry which reads the list itself before it has a
 // document treats all upstreams as cold that the list reports as cold, because only the document
-// says whether cold upstreams are limited. Otherwise an entry that started while there was no
-// leader sent 25 requests in a second to an upstream that handles 11 (soak seed 60119).
+// says whether cold upstreams are limited. An entry that ignored the list's report and started
+// while there was no leader sent 25 requests in a second to an upstream that handles 11 (soak seed 60119).
 func TestFallbackListWithoutDocument(t *testing.T) {
 	e := newFleet(t, 85).stoppedEntry()
 	list := testUpstreams(2)
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -36,15 +36,16 @@
 )
 
 // Timeouts of the replicated log. An election takes one to two election timeouts. A lease
-// expires within that time, so that a controller that is cut off does not claim a recent state.
+// expires within that time, so that a controller that is cut off does not claim that its state is
+// recent.
 const (
 	heartbeatInterval = 100 * time.Millisecond
 	electionTimeout   = 500 * time.Millisecond
 	leaseDuration     = 1000 * time.Millisecond
 )
 
-// proposalTimeout limits an operator's command, because operators try another controller after
-// a second without an answer.
+// proposalTimeout limits the wait for a proposed command. It is below a second because operators
+// try another controller after a second without an answer.
 const proposalTimeout = 900 * time.Millisecond
 
 // Controller is the process of a controller. The exported fields are set before Run.
@@ -253,8 +254,8 @@
 	return c.publisher.takeUnforwardedReports()
 }
 
-// applyUpdate applies the leader's list of upstreams, cold upstreams and rate limits; the state
-// comes through the log.
+// applyUpdate applies an update from the leader, except for the state, which comes through the
+// log.
 func (c *Controller) applyUpdate(u *wire.Update) bool {
 	c.publisher.setEntries(int(u.GetEntries()))
 	for i, name := range u.GetControllers() {
@@ -382,9 +383,9 @@
 	return result, nil
 }
 
-// consensusSender sends the consensus messages. A message without a receiver, as sent by a
-// member that looks for the leader, goes to the seeds and to the voters of the current
-// configuration.
+// consensusSender sends the consensus messages. A message without a receiver, such as the join
+// message of a learner that looks for the leader, goes to the seeds and to the voters of the
+// current configuration.
 type consensusSender struct {
 	controller *Controller
 }
--- a/internal/node/documents.go
+++ b/internal/node/documents.go
@@ -13,7 +13,7 @@
 // a controller's and also carries the callers' traffic, and a document may be a thousand times
 // as large as the change that made it. A document is therefore packed against the one that the
 // entry holds and sent only by the controller that the entry follows. It is sent in parts, so
-// that the entry keeps receiving data in the meantime.
+// that the entry receives an update within updateTimeout and stays with the controller.
 const (
 	// maxPartBytes is the size of a part that a slow link carries in a fraction of
 	// updateTimeout: 13 ms at 10 Mbit/s, 0.2 s at a fiftieth of that.
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -60,7 +60,7 @@
 	quarantinesIndex uint64                                              // state index of the controllers' quarantines
 	localQuarantines *quarantine.Store                                   // this entry's own decisions; nil: a controller decides
 	rejoinedAt       time.Time                                           // when a controller had a lease again; zero: not yet
-	leasedAt         time.Time                                           // when an update with a lease last arrived
+	leasedAt         time.Time                                           // when an update from a controller with a lease last arrived
 	startedAt        time.Time
 	entries          entryCount
 }
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -55,8 +55,8 @@
 }
 
 // TestEvacuation checks that no request goes to an evacuated data centre, neither from running
-// entries nor from an entry that starts, also after the leader was lost and all controllers were
-// restarted. Requests that are in flight there complete.
+// entries nor from an entry that starts, also after the loss of the leader and the restart of all
+// controllers. Requests that are in flight there complete.
 func TestEvacuation(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 48, 8)
 	var leader *Controller
--- a/internal/node/fallbacklist.go
+++ b/internal/node/fallbacklist.go
@@ -14,9 +14,9 @@
 	// list, and entries that read it too would use up the calls allowed.
 	fallbackAgeFraction       = 0.33
 	leasedFallbackAgeFraction = 0.6
-	// minFallbackInterval and maxFallbackInterval bound the interval between two reads. The
-	// interval doubles after each failed read, because all entries together share the calls
-	// allowed.
+	// minFallbackInterval and maxFallbackInterval bound the backoff between two reads, which
+	// doubles after each failed read, because all entries together share the calls allowed.
+	// fallbackReadInterval and jitter may lengthen the interval.
 	minFallbackInterval = time.Second
 	maxFallbackInterval = 16 * time.Second
 	fallbackReadTimeout = 800 * time.Millisecond
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// waitFor waits until the condition holds, for at least a minute, so that a busy machine does not
-// fail the test.
+// waitFor waits until the condition holds, and fails the test if it does not hold after 6000
+// checks at intervals of 10 ms. This limit is so long that a busy machine does not reach it.
 func (f *fleet) waitFor(description string, condition func() bool) {
 	f.t.Helper()
 	for range 6000 {
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -35,7 +35,7 @@
 // follower receives a stream of updates from a controller. The exported fields are set before
 // Run.
 type follower struct {
-	Name  string // name of this VM in its reports to controllers
+	Name  string // name under which controllers know this VM
 	Entry bool
 	// DataCentre is the data centre of this VM. Controllers in the same data centre are
 	// preferred; if DataCentre is "", none are.
@@ -123,7 +123,7 @@
 }
 
 // candidates returns the controllers to query. Those of this VM's data centre come first, and
-// the controller that failed last comes last. The rest of the order is a hash that differs
+// the controller that failed last comes last. Otherwise the order is that of a hash that differs
 // between VMs, so that the followers spread over all controllers.
 func (f *follower) candidates() []string {
 	if f.OnlyController != nil {
@@ -167,9 +167,9 @@
 }
 
 // findController queries the controllers one after the other, with a short wait for each, and
-// returns the first one that has a lease; failing that, any that answers. A controller that is
-// cut off does not answer for seconds, and a change must be in force on this VM sooner than
-// that.
+// returns the first one that has a lease; failing that, any that answers. The wait is short
+// because a controller that is cut off does not answer for seconds, and a change must be in force
+// on this VM sooner than that.
 func (f *follower) findController(ctx context.Context) *controllerStream {
 	candidates := f.candidates()
 	if len(candidates) == 0 {
--- a/internal/node/large_documents_test.go
+++ b/internal/node/large_documents_test.go
@@ -39,8 +39,8 @@
 // the document, but the timeout, the bandwidth and the memory available for them did not. The
 // links to entries were saturated with documents while 71 of 74 entries left their controllers
 // by timeout and none had the new document; the memory of controllers grew by 20 MB a second to
-// its limit. The first two tests below each reproduce one part of the cause. The incident is
-// described in docs/incidents/large-documents.md.
+// its limit. The first two tests below failed on that code, each for one part of the cause. The
+// incident is described in docs/incidents/large-documents.md.
 
 // testDocument returns a document with the given number and count of routes. Routes at the same
 // position are the same in every document.
--- a/internal/node/leaderloops.go
+++ b/internal/node/leaderloops.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// keptSessions returns the union of the sessions that the entries report to stay on the old
-// version during a trial.
+// keptSessions returns the union of the sessions that must stay on the old version during a
+// trial according to the entries' reports.
 func keptSessions(u register.Upgrade, stage register.Stage, reports []*wire.Account) []uint64 {
 	if stage != register.Trial {
 		return nil
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -89,8 +89,8 @@
 	return highest
 }
 
-// checkRateLimits checks how many requests reached the upstreams that announce limits. The limits,
-// and the times since when they are announced, are by the upstream's index.
+// checkRateLimits checks how many requests reached the upstreams that announce limits. limits has
+// the limit of each upstream in the order of s.all, and since has the time of its announcement.
 func (s *fakeUpstreamSet) checkRateLimits(t *testing.T, limits []float64, since []time.Time) {
 	t.Helper()
 	for i, limit := range limits {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestRateLimitSurvivesRestarts checks the limit while the leader is lost and an entry restarts,
-// which has observed no limits then.
+// TestRateLimitSurvivesRestarts checks that the limits are also enforced while the leader is lost
+// and an entry restarts, which has observed no limits at its start.
 func TestRateLimitSurvivesRestarts(t *testing.T) {
 	f, upstreams, entries := newRunningFleet(t, 89, 6)
 	traffic := f.startTraffic(entries[:2], 15*time.Millisecond)
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -25,8 +25,8 @@
 	removed []string
 }
 
-// maxRecentDeltas is how many versions a follower's list may lag behind before the follower is
-// sent the whole list.
+// maxRecentDeltas is the number of versions by which a follower's list may lag behind before the
+// follower is sent the whole list.
 const maxRecentDeltas = 32
 
 // diffLists returns the upstreams that were added or changed between two lists, and the IDs of
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -24,8 +24,8 @@
 	// maxLoadBytesPerSecond limits the bytes of loads sent to one follower; with thousands of
 	// upstreams the loads are sent less often.
 	maxLoadBytesPerSecond = 10_000
-	// minLoadIntervalPerUpstream is the minimum interval between loads, per upstream in the
-	// list. A follower processes every record, which takes one percent of an entry's core with
+	// minLoadIntervalPerUpstream is the minimum interval between two transfers of the loads, per
+	// upstream in the list. A follower processes every record, which takes one percent of an entry's core with
 	// thousands of upstreams.
 	minLoadIntervalPerUpstream = 300 * time.Microsecond
 )
@@ -284,8 +284,8 @@
 // unknownLoadRecord is the record of an upstream without a known load.
 var unknownLoadRecord = []byte{unknownLoad, unknownLoad, 0, 0, 0, 0}
 
-// encodeSparse leaves out the records of upstreams without a known load, which are most of
-// thousands if there are few callers.
+// encodeSparse leaves out the records of upstreams without a known load: with thousands of
+// upstreams and few callers, these are most of the records.
 func encodeSparse(loads []byte) []byte {
 	n := len(loads) / loadRecordBytes
 	encoded := make([]byte, (n+7)/8, (n+7)/8+len(loads))
@@ -325,8 +325,8 @@
 	return loads
 }
 
-// encodeDuration returns a duration in units of loadTimeUnit, rounded to the nearest. It
-// returns unknownLoad only for durations of at least that many units.
+// encodeDuration returns a duration in units of loadTimeUnit, rounded to the nearest. Durations
+// that round to at least unknownLoad units are encoded as unknownLoad.
 func encodeDuration(d time.Duration) byte {
 	if d >= unknownLoad*loadTimeUnit {
 		return unknownLoad
--- a/internal/node/memberstore.go
+++ b/internal/node/memberstore.go
@@ -19,8 +19,8 @@
 const (
 	identityFile = "member"
 	groupName    = "fleet"
-	// initialIndex is the index and term of the snapshot at the start of an initial voter's log,
-	// which holds only the voters.
+	// initialIndex is the index and the term of the snapshot with which the log of an initial
+	// voter starts. This snapshot holds only the voters.
 	initialIndex = 1
 )
 
--- a/internal/node/peerhandler.go
+++ b/internal/node/peerhandler.go
@@ -17,8 +17,8 @@
 }
 
 // Receive implements [peer.Handler]. A controller that does not lead forwards a learner's join
-// message to the leader, but only once, because the learner may have only the addresses of VMs
-// that do not lead.
+// message to the leader, because the learner may have only the addresses of VMs that do not lead.
+// A join message is forwarded only once.
 func (h *peerHandler) Receive(m persimmoncross.Message) {
 	c := h.controller
 	if m.Group != groupName || !c.groupOpened.Load() {
--- a/internal/node/publisher.go
+++ b/internal/node/publisher.go
@@ -44,10 +44,10 @@
 	encodedState  []byte // state without its document, encoded
 	list          []persimmoncross.Upstream
 	listVersion   uint64                  // number of changes of list
-	fullList      []*wire.Upstream        // list encoded for followers that have none; shared, read-only
+	fullList      []*wire.Upstream        // list as sent to followers that need all of it; shared, read-only
 	checksummed   *checksummedList        // of list; nil: not computed yet
-	packedSince   map[uint64][][]byte     // packed parts of the delta, by the list version of the follower
-	deltaSince    map[uint64]*wire.Update // the same delta unpacked; shared, read-only
+	packedSince   map[uint64][][]byte     // packed parts of the list or delta, by the list version of the follower
+	deltaSince    map[uint64]*wire.Update // the same lists and deltas unpacked; shared, read-only
 	listIDs       []string                // instance IDs of list, sorted; shared, read-only
 	recentDeltas  []listDelta
 	cold          coldUpstreams
@@ -123,7 +123,8 @@
 }
 
 // currentReports returns the reports and the number of entries that are present. Canary
-// statistics of an entry that no longer reports stay in use for canaryStatsRetention.
+// statistics of an entry that no longer reports remain valid while the upgrade runs; they are
+// kept for canaryStatsRetention.
 func (p *publisher) currentReports(now time.Time) (reports []*wire.Account, entries int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -58,7 +58,8 @@
 // minute, and other callers' responses were cut off. Three entries had each observed such crashes,
 // but every copy of the request, with its own ID, got three executions again at each entry, because
 // the crashes were forgotten with the attempt. Copies with IDs that no entry had seen still crashed
-// one upstream each, seconds after the third crash, while no entry logged a lost controller.
+// one upstream each, seconds after the third crash, while no entry logged a lost controller. This
+// test and TestQuarantineUnderLoad failed on that code.
 //
 // Here three entries observe one crash each. After maxDetectionTime no copy reaches an upstream:
 // neither through these entries, nor through an entry that starts then, nor after the loss of the
--- a/internal/node/quarantines.go
+++ b/internal/node/quarantines.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// hasIsolated reports whether a request is isolated. Such requests must be evaluated again
-// without new cases, because the passing of time may change their stage.
+// hasIsolated reports whether a request is isolated. Isolated requests must be evaluated again
+// even without new cases, because their stage may change through the passing of time alone.
 func (t quarantineTracker) hasIsolated() bool {
 	for _, h := range t {
 		if h.Stage == persimmoncross.QuarantineIsolate {
@@ -285,8 +285,8 @@
 	e.publishView()
 }
 
-// localEvaluationTimeout is how long an entry goes without an update from a controller with a lease
-// before it decides on quarantines from its own records alone. The timeout is longer than an
+// localEvaluationTimeout is how long an entry goes without an update from a controller with a
+// lease before it decides on quarantines from its own records alone. The timeout is longer than an
 // election and shorter than the time within which all entries must have a quarantine. It also
 // limits how long the entry keeps its own quarantines in force once a controller has a lease
 // again.
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestGracefulShutdown checks a planned stop: the entry is not ready at once, still serves requests
-// during readinessNoticePeriod, completes a long response, and then Serve returns.
+// TestGracefulShutdown checks a planned stop: the entry reports at once that it is not ready, still
+// serves requests during readinessNoticePeriod, completes a long response, and then Serve returns.
 func TestGracefulShutdown(t *testing.T) {
 	e := newFleet(t, 77).stoppedEntry()
 	e.Site.Caller = new(freeAddress(t))
