--- a/core/coordination/quarantine/disconnect.go
+++ b/core/coordination/quarantine/disconnect.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// InstanceExited records that nothing listens at the upstream's address any more, so that
-// its process has exited. It returns the digests of the requests that ran there.
+// InstanceExited records that nothing listens at the upstream's address any more, which means
+// that its process has exited. It returns the digests of the requests that ran there.
 func (rec *Recorder) InstanceExited(instanceID string, now time.Time) (blamed []persimmoncross.Digest) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -104,7 +104,8 @@
 }
 
 // InstanceListening records that a connection to the upstream's address was accepted or
-// timed out: the upstream is alive, or a proxy in front of it accepts connections.
+// timed out, which means that the upstream is alive or that a proxy in front of it accepts
+// connections.
 func (rec *Recorder) InstanceListening(instanceID string) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/core/coordination/quarantine/disconnect_test.go
+++ b/core/coordination/quarantine/disconnect_test.go
@@ -7,8 +7,8 @@
 	"persimmoncross"
 )
 
-// A crash is detected by a refused connection, or by a later instance in the same place,
-// after disconnects since which the upstream has started and completed no run.
+// A crash is detected by a refused connection, or by a later instance in the same place, if
+// the upstream has neither started nor completed a run since the disconnect.
 func TestCrashDetection(t *testing.T) {
 	const instanceID = "u"
 	type step struct {
--- a/core/coordination/quarantine/evaluate.go
+++ b/core/coordination/quarantine/evaluate.go
@@ -17,7 +17,7 @@
 	refuseCrashes          = 3
 	isolateCrashes         = 2
 	contestedRefuseCrashes = 6 // for a request that never completed; other suspects may have run there too
-	minUncontestedCrashes  = 2 // crashes without another suspect, needed if there was one at any of them
+	minUncontestedCrashes  = 2 // crashes without another suspect, required if one ran at any of the request's crashes
 	// sameEventWindow is the time within which crashes are one event. The loss of a rack
 	// ends all its upstreams within some milliseconds, and a frequent request runs on each.
 	sameEventWindow = 150 * time.Millisecond
@@ -41,14 +41,14 @@
 	// maxSpeedFactor bounds the effect of the time until a crash on the adjusted suspicion.
 	// The effect only decides between requests that ran at equally many crashes.
 	maxSpeedFactor = 1.4
-	// survivalFactor is the factor of the mean run time until a crash for which a request must
-	// run elsewhere, for that to count as a completed run. A request that crashes upstreams
-	// at random would run for so long without a crash in 5 of 100 runs.
+	// survivalFactor times the mean run time until a crash is the run time without a crash
+	// that counts as much in favour of a request as one completed run. A request that crashes
+	// upstreams at random would run for so long without a crash in 5 of 100 runs.
 	survivalFactor      = 3
 	minRunTime          = 10 * time.Millisecond // assumed minimum from a run's start to its crash
 	crashRetention      = 10 * time.Minute      // how long a crash counts
 	refuseIdleTimeout   = crashRetention        // time without copies after which a refusal ends
-	isolateIdleTimeout  = 4 * time.Second       // time without copies after which isolation ends, since its places are limited
+	isolateIdleTimeout  = 4 * time.Second       // time without copies after which isolation ends, since only maxIsolated requests can be isolated
 	recentRequestWindow = 5 * time.Second       // a trial needs another copy, so it starts only if one came lately
 	// trialTimeout is how long the trial VM may wait for a copy and run it. An instance is
 	// reserved for the trial during this time.
@@ -327,9 +327,9 @@
 }
 
 // isProven reports whether the attributed crashes suffice to refuse the request. If another
-// suspect ran at any of its crashes, some at which no other suspect ran are needed. At
-// upstreams with long queues there always is another suspect, so contestedRefuseCrashes
-// crashes also suffice if the request never completed.
+// suspect ran at any of its crashes, at least minUncontestedCrashes at which no other suspect
+// ran are required. At upstreams with long queues there always is another suspect, so
+// contestedRefuseCrashes crashes also suffice if the request never completed.
 func (s *score) isProven(attributed []Crash) bool {
 	if s.Completed == 0 && len(attributed) >= contestedRefuseCrashes {
 		return true
--- a/core/coordination/quarantine/log.go
+++ b/core/coordination/quarantine/log.go
@@ -9,9 +9,9 @@
 // maxLoggedChanges limits the changes of one evaluation that are logged one by one.
 const maxLoggedChanges = 8
 
-// LogChanges logs the changes of an evaluation; err is the reason why they were not
-// applied. There can be thousands, so only the number of those above maxLoggedChanges is
-// logged.
+// LogChanges logs the changes of an evaluation; err is the reason why they were not applied,
+// nil if they were. There can be thousands of changes, so only the first maxLoggedChanges are
+// logged one by one, and the number of the others.
 func LogChanges(log zerolog.Logger, changes []Change, now time.Time, err error) {
 	for _, c := range changes[:min(len(changes), maxLoggedChanges)] {
 		crashes := zerolog.Arr()
--- a/core/coordination/quarantine/simulation_env_test.go
+++ b/core/coordination/quarantine/simulation_env_test.go
@@ -54,14 +54,14 @@
 	maxAttempts        = 3
 )
 
-// simulatedUpstream is a place for one upstream instance after the other.
+// simulatedUpstream is an upstream. After each crash a new instance of it starts.
 type simulatedUpstream struct {
 	instanceID string
 	restarts   int
 	downUntil  time.Time // zero: up
 	runs       []*simulatedRun
-	// disconnectedEntries are the entries that observed a disconnect at the latest crash and
-	// therefore send no more requests to this instance.
+	// disconnectedEntries are the entries that observed a disconnect at the latest crash or
+	// while the upstream was down, and therefore send no more requests to it until it is up.
 	disconnectedEntries map[*Recorder]bool
 }
 
@@ -220,7 +220,7 @@
 	}
 }
 
-// crash crashes an upstream and disconnects its runs, which are sent again.
+// crash crashes an upstream and disconnects its runs. Their requests are sent again.
 func (s *simulation) crash(u *simulatedUpstream) {
 	if !u.downUntil.IsZero() {
 		return
--- a/core/coordination/quarantine/simulation_queues_test.go
+++ b/core/coordination/quarantine/simulation_queues_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// At upstreams with queues, copies wait for seconds and crash the upstreams long after they
-// were sent, beside many other requests. A request that had caused ten crashes stayed
-// isolated and was not refused until two upstreams had crashed while it ran there alone. It
-// ran up to six times later than 3 s after the third crash, in 4 of 80 simulations of two
-// crashing requests in succession with a pause of the evaluation. Harmless requests must
-// not be refused either when upstreams crash repeatedly for other reasons.
+// At upstreams with queues, copies of a request wait at several upstreams for seconds and
+// crash them long after they were sent, while many other requests run there. A request that
+// had caused ten crashes stayed isolated and was not refused until two upstreams had crashed
+// while it ran there alone. It ran up to six times later than 3 s after the third crash, in
+// 4 of 80 simulations of two crashing requests in succession with a pause of the evaluation.
+// Also, harmless requests must not be refused when upstreams crash repeatedly for other
+// reasons.
 func TestSimulationWithQueues(t *testing.T) {
 	crashing := func(name string, interval, startAfter time.Duration, maxRequests int) workload {
 		return workload{
