--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -25,7 +25,7 @@
 	// entries would be open after an idle period, and be used at once when the other
 	// upstreams fail.
 	slotLength = time.Second
-	// minShare is the part of a limit that is used with any number of entries.
+	// minShare is the part of a limit that is used at least, with any number of entries.
 	minShare  = 0.5
 	shareStep = 0.25 // step by which usableShare reduces the part
 	// maxDeviations is the number of standard deviations above the mean number of slots in a
