--- a/core/coordination/outlier/suspicion.go
+++ b/core/coordination/outlier/suspicion.go
@@ -39,8 +39,9 @@
 	lastFailure    time.Time     // when the latest attempt failed
 }
 
-// Suspect starts a suspicion, unless one is active. Each lasts twice as long as the previous
-// one, up to a limit.
+// Suspect records a failed attempt, and starts a suspicion unless one is active. Each lasts
+// twice as long as the previous one, up to maxSuspicionDuration. [Suspicion.Clear] resets the
+// duration.
 func (s *Suspicion) Suspect(now time.Time) {
 	s.lastFailure = now
 	if now.Before(s.suspectedUntil) {
@@ -76,8 +77,9 @@
 }
 
 // ShouldAvoid reports whether other upstreams are to be preferred because several entries
-// suspect this one and none has received an answer. random is between 0 and 1; it selects a
-// few requests that probe whether the upstream works again.
+// suspect this one and none has received a load report from it within MaxLoadReportAge.
+// random is between 0 and 1; it selects a few requests that probe whether the upstream works
+// again.
 func (s FleetSuspicion) ShouldAvoid(random float64) bool {
 	if s.SuspectingEntries < SuspicionQuorum || s.LoadReportAge <= MaxLoadReportAge {
 		return false
