--- a/core/coordination/retry/budget.go
+++ b/core/coordination/retry/budget.go
@@ -22,7 +22,8 @@
 	current     int // index of the newest bucket
 }
 
-// RecordRequest records a request, which earns credit for that many retries.
+// RecordRequest records a request. credit is the number of retries that it earns, usually a
+// fraction.
 func (b *Budget) RecordRequest(credit float64, now time.Time) {
 	b.advance(now)
 	b.earned[b.current] += credit
