--- a/core/coordination/relay/call.go
+++ b/core/coordination/relay/call.go
@@ -87,10 +87,10 @@
 			// exit at once, and their streams must resume at the new version's upstreams.
 			c.updateVersionFilter()
 		}
-		// The quarantine stage is looked up before each attempt, by the digest of the
-		// request's content. With the request ID as the key, each copy of a request would
+		// The quarantine stage is looked up before each attempt, by the digest of what the
+		// request asks for. With the request ID as the key, each copy of a request would
 		// start without a record, and the number of executions would be bounded only by the
-		// product of copies, entries and executions.
+		// product of the copies, the entries and the executions of one copy.
 		stage := c.quarantineStage()
 		if stage == persimmoncross.QuarantineRefuse {
 			return c.refuseQuarantined(ctx)
--- a/core/coordination/relay/draining_test.go
+++ b/core/coordination/relay/draining_test.go
@@ -9,7 +9,8 @@
 
 // An upstream that announces that it is draining gets no new work, even before the list shows
 // that it is draining. Without this, it would get new work until the list is updated. Rejections
-// and failures announce draining too, and later lists without it change nothing.
+// and failures announce draining too, and later responses and lists without the announcement
+// change nothing.
 func TestNoRequestsToDrainingTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
--- a/core/coordination/relay/fleetload.go
+++ b/core/coordination/relay/fleetload.go
@@ -116,8 +116,8 @@
 }
 
 // isAvoidedByFleet reports whether other targets are preferred because several entries suspect
-// this one and no entry has received a response from it. chance is a random number between 0
-// and 1 that lets a few requests probe whether the target works again.
+// this one and no entry has recently received a load report from it. chance is a random number
+// between 0 and 1 that lets a few requests probe whether the target works again.
 func (t *Target) isAvoidedByFleet(now time.Time, entryCount int, chance float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -9,8 +9,8 @@
 )
 
 // One entry of many sends only a small part of an upstream's requests. Prompts that other entries
-// have pending at the preferred upstream also move a prompt to another one, while their fleet
-// load is recent.
+// have pending at the preferred upstream therefore also move a prompt to another upstream, while
+// the fleet load that reports them is recent.
 func TestFleetLoadAffectsPlacement(t *testing.T) {
 	now := time.Unix(100, 0)
 	prefixPrefillTime := 50 * time.Millisecond
--- a/core/coordination/relay/modelstats.go
+++ b/core/coordination/relay/modelstats.go
@@ -8,8 +8,8 @@
 	"persimmoncross/core/coordination/forecast"
 )
 
-// ModelStats keeps, for each service and model, the times until response heads and the
-// confidence values that this entry observed.
+// ModelStats keeps, for each service and model, the times until response heads and the rate of
+// responses with low confidence that this entry observed.
 type ModelStats struct {
 	mu            sync.Mutex // guards all below
 	headForecasts map[modelKey]*forecast.FirstTokenEstimator
@@ -39,8 +39,8 @@
 	return h
 }
 
-// trackPendingHead records that a response head is pending. The caller calls the returned function when
-// the wait ends; received tells whether the head was received.
+// trackPendingHead records that a response head is pending. The caller calls the returned
+// function when the wait ends; received tells whether the head was received.
 func (s *ModelStats) trackPendingHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -117,9 +117,10 @@
 	return c.excludeReserved(available) // all are suspected, and a suspected target is better than none
 }
 
-// awaitRetryRound starts another round of attempts after retryRoundDelay, where all upstreams
-// rejected the request or the entry has no list of upstreams yet. It reports false if no other
-// round may be made before the request's deadline.
+// awaitRetryRound waits for retryRoundDelay and allows another round of attempts after all
+// upstreams rejected the request. It reports false if no other round may be made: after an
+// execution, at the limit of attempts, at the request's deadline, or if no upstream may get a
+// request now, which includes an entry that has no list of upstreams yet.
 func (c *call) awaitRetryRound(ctx context.Context) bool {
 	r := c.relay
 	if len(c.triedUpstreams) == 0 && (len(r.View().Targets) > 0 || r.Clock.Now().Sub(c.request.ArrivedAt) > startupWaitTimeout) {
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -208,8 +208,8 @@
 	return t.fleet.receivedAt().After(start)
 }
 
-// trackPendingHead records that a response head is pending at the target, for a prompt of the given
-// prefill time. The caller calls the returned function when the wait ends.
+// trackPendingHead records that a response head is pending at the target, for a prompt of the
+// given prefill time. The caller calls the returned function when the wait ends.
 func (t *Target) trackPendingHead(now time.Time, prefillTime time.Duration) func(now time.Time, received bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/coordination/relay/quarantine.go
+++ b/core/coordination/relay/quarantine.go
@@ -50,9 +50,9 @@
 }
 
 // pickIsolated returns the one target at which an isolated request runs, nil if that target
-// accepts no request now. No other target is used: where upstreams crash faster than they
-// start, the few that are up would get all isolated requests, and each crash would be
-// attributed to all of them.
+// accepts no request now or was tried already. No other target is used, because where upstreams
+// crash faster than they start, the few that are up would get all isolated requests, and each
+// crash would be attributed to all of these requests.
 func (c *call) pickIsolated() *Target {
 	c.relay.incrementCounter("quarantine.watched")
 	c.relay.QuarantineRecorder.MarkRequested(c.quarantineRequest.Digest, c.service, c.relay.Clock.Now())
@@ -114,8 +114,8 @@
 	return persimmoncross.NewRefusal(persimmoncross.CodeNoUpstream, "upstreams ended under requests like this one, and the one for it takes none now").WithRetryAfter(c.retryAfter(0))
 }
 
-// recordDisconnect records that the connection was lost before or during a response, and probes in the
-// background whether the upstream has crashed.
+// recordDisconnect records that the connection was lost before or during a response, and probes
+// in the background whether the upstream has crashed.
 func (c *call) recordDisconnect(ctx context.Context, target *Target, err *persimmoncross.AttemptError) {
 	r := c.relay
 	if ctx.Err() != nil || err.Run == persimmoncross.NotRun || !err.ConnectionLost || !c.quarantineRun.MarkDisconnected(r.Clock.Now()) {
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -95,7 +95,8 @@
 }
 
 // maxRefusalGap is the longest pause between two refusals of one outage. A later refusal starts
-// a new outage, because a service with few callers may not answer any request in between.
+// a new outage, because a service with few callers may have recovered without a request in
+// between whose response would have ended the outage.
 const maxRefusalGap = 5 * time.Second
 
 // Timeout and interval of the wait for the settings after a start.
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -247,7 +247,8 @@
 		t.Fatalf("%d of 12 requests failed, want all", failed)
 	}
 	extra := len(e.forwarder.attempts) - 12
-	// The base allowance permits ten retries, and each request adds its share.
+	// The bound is ten retries of base allowance, more than the 60*0.7/8 of this entry, and at
+	// most 0.9 retries for each of the 12 requests.
 	const maxExtra = 10 + 11
 	if extra > maxExtra {
 		t.Errorf("got %d retries for 12 requests, want at most %d", extra, maxExtra)
--- a/core/coordination/relay/response.go
+++ b/core/coordination/relay/response.go
@@ -219,8 +219,8 @@
 	return end
 }
 
-// minEventsForDuration is the least number of events of a stream for which the time between events
-// is counted. In shorter streams the time between events depends on the prefill of other prompts
+// minEventsForDuration is the least number of events of a stream for which the time between
+// events is counted. In shorter streams that time depends on the prefill of other prompts
 // meanwhile, not on the version.
 const minEventsForDuration = 5
 
--- a/core/coordination/relay/retryafter_test.go
+++ b/core/coordination/relay/retryafter_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// If upstreams are overloaded, the Retry-After delay follows the recent time to the response head.
+// If the upstreams are overloaded, the Retry-After delay follows the recent time to the response
+// head.
 func TestRetryAfterOfBusyService(t *testing.T) {
 	e := newTestEnv()
 	clock := e.clock.(*steppingClock)
--- a/core/coordination/relay/sessions.go
+++ b/core/coordination/relay/sessions.go
@@ -11,8 +11,8 @@
 	"persimmoncross/core/state/register"
 )
 
-// maxSessions limits the sessions that an entry keeps. At the limit, idle sessions are evicted
-// first, and all of them if that is not enough.
+// maxSessions limits the sessions that an entry keeps. At the limit, idle sessions are evicted,
+// and if that is not enough, all sessions.
 const maxSessions = 20000
 
 // Sessions records the version of a service on which each session last ran, so that an upgrade
@@ -103,8 +103,8 @@
 }
 
 // chooseVersions returns the version filter for a request to a service that is being upgraded.
-// During the trial a session stays on the version that it ran on. A share of the other sessions,
-// which is the same at every entry, runs on the new version.
+// During the trial a session stays on the version that it ran on. Of the other sessions and the
+// requests without a session, a share runs on the new version; every entry chooses the same ones.
 func (s *Sessions) chooseVersions(u register.Upgrade, session, request string, share float64, halted bool, now time.Time) versionFilter {
 	filter := versionFilter{
 		version: u.Target,
--- a/core/coordination/relay/stalldetector.go
+++ b/core/coordination/relay/stalldetector.go
@@ -64,8 +64,8 @@
 				return
 			case <-r.Clock.After(stallCheckInterval):
 			}
-			// The retry is taken before the attempt is canceled, because an attempt is not
-			// canceled if no other attempt may be made.
+			// The retry is taken before the attempt is canceled, because an attempt must not be
+			// canceled if the retry budget allows no other attempt.
 			if detector.isStalled(target, idleState, r.Clock.Now()) && r.takeRetry(c.service) {
 				detector.abort(cancel)
 				return
--- a/core/coordination/relay/stalldetector_test.go
+++ b/core/coordination/relay/stalldetector_test.go
@@ -45,8 +45,8 @@
 	fired <- now
 }
 
-// An attempt is aborted if its upstream has sent nothing on any request since the attempt began.
-// An upstream that still sends is busy and has not stalled.
+// An attempt is canceled if its upstream has sent nothing on any request for the idle timeout.
+// An upstream that still sends on other requests is busy and has not stalled.
 func TestStalledAttemptIsAborted(t *testing.T) {
 	e := newTestEnv()
 	clock := newManualClock()
@@ -159,7 +159,7 @@
 type stallingForwarder struct {
 	fakeForwarder
 	stalled  chan struct{} // closed when the first response stalls
-	canceled chan struct{} // closed when the first attempt is canceled for that
+	canceled chan struct{} // closed when the first attempt is canceled because of the stall
 }
 
 func (f *stallingForwarder) Forward(ctx context.Context, a *persimmoncross.ProxyAttempt) (persimmoncross.ProxyResponse, error) {
