--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -61,8 +61,8 @@
 	return r.refuse(persimmoncross.CodeUpstreamFailed, "every attempt failed").WithRetryAfter(upstreamRetryAfter)
 }
 
-// callService sends a plain service's request until an attempt succeeds or no further attempt
-// is allowed.
+// callService sends the request to a plain service until an attempt succeeds or no further
+// attempt is allowed.
 func (r *execution) callService(ctx context.Context) *persimmoncross.Refusal {
 	d, w := r.dispatcher, r.request
 	for try := range w.maxAttempts() {
--- a/core/coordination/dispatch/cascade.go
+++ b/core/coordination/dispatch/cascade.go
@@ -110,8 +110,9 @@
 	return r.request.Organisation.Quality
 }
 
-// rateAndAccept rates a buffered answer and reports whether it is good enough. An answer
-// whose rating fails is not: the answer of the last step follows, which is not rated.
+// rateAndAccept rates a buffered answer and reports whether it is good enough. An answer that
+// cannot be rated is not good enough, because the answer of the last step needs no rating.
+// Without a rater every answer is good enough.
 func (r *execution) rateAndAccept(ctx context.Context, buffered *bufferedResponse, quality float64) bool {
 	d := r.dispatcher
 	if d.Rater == nil {
--- a/core/coordination/dispatch/dispatch_test.go
+++ b/core/coordination/dispatch/dispatch_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// A permission that ends while a request is retried, escalated or moved to another version
-// must be checked before the next attempt.
+// The end of a permission while a request is retried, escalated or moved to another version
+// must be noticed before the next attempt.
 func TestPermissionRevokedBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -27,7 +27,7 @@
 type RolloutEvidence interface {
 	// RecordRun records the outcome of one run; first is the time to its first token.
 	RecordRun(v persimmoncross.ModelVersion, organisation string, failed bool, first time.Duration)
-	// RecordRating records the rating of an answer whose run was passed to Note.
+	// RecordRating records the rating of an answer whose run was passed to RecordRun.
 	RecordRating(v persimmoncross.ModelVersion, organisation string, poor bool)
 	// ShouldRate reports whether an answer of the version should be rated.
 	ShouldRate(v persimmoncross.ModelVersion) bool
--- a/core/coordination/dispatch/quarantine.go
+++ b/core/coordination/dispatch/quarantine.go
@@ -21,8 +21,9 @@
 	return r.copy.EffectiveStage(r.dispatcher.QuarantineStore.Quarantine(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
 }
 
-// checkQuarantine refuses a request in stage "refuse". It refuses a request that an upstream
-// may have started with CodeUpstreamFailed, and reports only other requests as not run.
+// checkQuarantine refuses a request in stage QuarantineRefuse at once. The refusal says that
+// the request has not run only if no upstream can have started it; otherwise its code is
+// CodeUpstreamFailed.
 func (r *execution) checkQuarantine() *persimmoncross.Refusal {
 	if r.quarantineStage() != persimmoncross.QuarantineRefuse {
 		return nil
@@ -33,12 +34,12 @@
 	if r.runStatus != persimmoncross.NotRun {
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "upstreams end under requests like this one")
 	}
-	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("refused a quarantined request: its runs crash upstreams")
+	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("request refused: it is quarantined for crashing upstreams")
 	return r.refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").WithRetryAfter(quarantine.RetryAfter)
 }
 
-// addIsolation adds the isolated requests to the pick, and the request itself if it is
-// isolated.
+// addIsolation adds to info the digests of the isolated requests, and that of the request
+// itself if it is isolated.
 func (r *execution) addIsolation(info routing.PickInfo) routing.PickInfo {
 	d := r.dispatcher
 	info.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.copy.Service)
@@ -76,6 +77,6 @@
 		}
 		u.RecordExit()
 		d.count("quarantine.ended")
-		d.Log.Info().Str("upstream", u.Name).Str("address", u.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while it ran requests")
+		d.Log.Info().Str("upstream", u.Name).Str("address", u.Address.String()).Strs("digests", quarantine.LoggedDigests(blamed)).Int("requests", len(blamed)).Msg("upstream crashed while running requests")
 	}()
 }
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -16,7 +16,8 @@
 
 // Limits of joining a request that another entry runs. After maxJoinAttempts failed attempts,
 // joinRetryInterval apart, the other entry's process is considered dead. All attempts together
-// take longer than a settings lease, so the other process can no longer start an attempt.
+// take longer than a settings lease, so by then the other process can no longer send a request
+// to an upstream.
 const (
 	maxJoinAttempts   = 12
 	joinRetryInterval = 250 * time.Millisecond
@@ -32,7 +33,7 @@
 	triedUpstreams   map[string]bool
 	billingLines     []*record.Line
 	pins             []*record.Pin
-	storedAnswer     *record.Answer // nil if the answer is too large or has no idempotency key
+	storedAnswer     *record.Answer // nil if the answer is too large or the request has no idempotency key
 	answerBytes      int
 	timeToFirstToken time.Duration // of the latest attempt
 	responseStarted  bool          // a part of the answer was sent to the sink
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// runSteps runs the service's request, the cascade or the only step.
+// runSteps runs the request to a plain service, the cascade or the only step.
 func (o *claimedExecution) runSteps(ctx context.Context) *persimmoncross.Refusal {
 	if o.execution.request.Service != nil {
 		return o.execution.callService(ctx)
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -90,8 +90,8 @@
 
 // enqueueLateSettlement queues the settlement of a request whose caller has received its
 // final response although the ledger did not commit the settlement. RunLateSettlements
-// commits the request as failed or not run once the ledger is available again; otherwise the
-// claim would remain until this process exits.
+// settles the request as failed or as not run once the ledger is available again; otherwise
+// the claim would remain until this process exits.
 func (d *Dispatcher) enqueueLateSettlement(r *execution) {
 	outcome := ledger.Failed
 	if r.runStatus == persimmoncross.NotRun {
--- a/core/coordination/dispatch/versions.go
+++ b/core/coordination/dispatch/versions.go
@@ -18,7 +18,8 @@
 	return refusal
 }
 
-// checkServicePermission refuses a plain service's request that is not permitted now.
+// checkServicePermission refuses a request to a plain service that the organisation may not
+// use now.
 func (d *Dispatcher) checkServicePermission(w *Request) *persimmoncross.Refusal {
 	if d.Settings().Named(w.Organisation.Name).Services[w.Service.Name] {
 		return nil
