--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -130,8 +130,8 @@
 	// IsolatedDigest is the digest of the request if it is isolated. The request runs at the
 	// upstream reserved for it or not at all.
 	IsolatedDigest persimmoncross.Digest
-	// IsolatedDigests are the digests of all isolated requests. Other requests avoid the
-	// upstreams reserved for them if enough other upstreams are left.
+	// IsolatedDigests are the digests of all isolated requests for the same target. Other
+	// requests avoid the upstreams reserved for them if enough other upstreams are left.
 	IsolatedDigests []persimmoncross.Digest
 }
 
@@ -187,7 +187,8 @@
 }
 
 // Capacity returns how many requests the engines that have any of the versions can run
-// concurrently.
+// concurrently. An engine does not count while it is draining, while its data centre is
+// evacuated, or while its circuit breakers allow none of the versions.
 func (t *Table) Capacity(versions []persimmoncross.ModelVersion) int {
 	slots := 0
 	for _, u := range t.upstreamsByName() {
