--- a/core/coordination/limits/limiter_test.go
+++ b/core/coordination/limits/limiter_test.go
@@ -88,7 +88,7 @@
 			t.Errorf("%d requests of big admitted", n)
 		}
 		if n, _ := fill(l, "small"); n != 49 {
-			t.Errorf("%d more requests of small admitted, want 49 up to its fair share", n)
+			t.Errorf("%d more requests of small admitted, want 49, up to its fair share", n)
 		}
 	})
 	t.Run("with requests at other entries", func(t *testing.T) {
