--- a/core/coordination/orders/planner.go
+++ b/core/coordination/orders/planner.go
@@ -17,7 +17,7 @@
 	"persimmoncross"
 )
 
-// Limits of the loads.
+// Limits on loading versions.
 const (
 	DefaultMaxConcurrentLoads = 2               // used if the settings define no limit
 	loadTimeout               = 5 * time.Minute // a load not reported by then is ordered again
@@ -48,7 +48,7 @@
 
 // Planner plans the orders of one leader.
 type Planner struct {
-	MaxConcurrentLoads int           // on all engines, to limit the load of the weight store
+	MaxConcurrentLoads int           // limit for all engines together, set by the capacity of the weight store
 	LeaderSince        time.Time     // when this VM became the leader
 	FormerLeaderLease  time.Duration // how long a former leader may still send orders
 
@@ -148,7 +148,7 @@
 	return slices.ContainsFunc(engines, func(o Engine) bool { return slices.Contains(o.Declared, v) })
 }
 
-// OrderFailed removes a load whose order could not be sent.
+// OrderFailed drops the pending load of an order that could not be sent.
 func (p *Planner) OrderFailed(o Order) { delete(p.pendingLoads, o) }
 
 func (p *Planner) isLoading(engine string) bool {
