--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -2,9 +2,9 @@
 // outcomes of their runs, pooled over all entries, with those of the versions that
 // they replace.
 //
-// Each entry records its runs in a [Collector], which also stops sending requests
-// to a bad version at that entry immediately. The leader of the settings pools the
-// entries' counts and uses a [Judge] to decide whether the rollout advances, is
+// Each entry records its runs in a [Collector], which also withholds new requests
+// from a bad version at that entry immediately. The leader of the settings log pools
+// the entries' counts and uses a [Judge] to decide whether the rollout advances, is
 // rolled back, or waits. Decisions are committed, so that the next leader continues
 // from them.
 package rollout
@@ -27,7 +27,7 @@
 	latencySampleDecay     = 0.015
 	minLatencySamples      = 32          // runs before any run is classified as slow
 	maxControlRuns         = 8           // latest runs of other versions that are kept for pairing
-	budgetRenewInterval    = time.Minute // for a stage that is stuck because callers disconnected
+	budgetRenewInterval    = time.Minute // after which a stage gets its budget again, as it may be stuck because callers disconnected
 	minBaselineRatings     = 50          // baseline answers that are rated before any of the new version
 )
 
--- a/core/coordination/rollout/judge.go
+++ b/core/coordination/rollout/judge.go
@@ -67,11 +67,11 @@
 
 // BadReason returns why the version is bad, or "" if the evidence does not show that.
 //
-// The checks test whether the version fails or gets poor ratings more often than the old
+// Three checks over all organisations test whether the version fails more often than the old
 // version by more than the margin, whether it is the slow one in too many discordant pairs,
-// and whether it fails or gets poor ratings too often for a single organisation. Each of the
-// first three kinds of checks uses a quarter of Alpha, and all checks of single organisations
-// together use the last quarter.
+// and whether it gets poor ratings more often than the old version by more than the margin.
+// Each of them uses a quarter of Alpha. The checks for failures and poor ratings are repeated
+// for each organisation; these together use the last quarter.
 func (j Judge) BadReason(p PooledEvidence) string {
 	alpha := j.Alpha
 	if alpha == 0 {
--- a/core/coordination/rollout/rollout_test.go
+++ b/core/coordination/rollout/rollout_test.go
@@ -198,7 +198,7 @@
 				given++
 			}
 			if !e.TryExpose(baseline) {
-				t.Fatal("Expose returned false for the baseline")
+				t.Fatal("TryExpose returned false for the baseline")
 			}
 		}
 		if given != 10 {
@@ -213,7 +213,7 @@
 			},
 		})
 		if !e.TryExpose(candidate) {
-			t.Error("Expose returned false in the next stage")
+			t.Error("TryExpose returned false in the next stage")
 		}
 	})
 	t.Run("brake", func(t *testing.T) {
@@ -225,7 +225,7 @@
 			e.RecordRun(candidate, "a", true, 0)
 		}
 		if e.TryExpose(candidate) {
-			t.Error("Expose returned true for a version whose runs all failed")
+			t.Error("TryExpose returned true for a version whose runs all failed")
 		}
 	})
 }
