--- a/log.go
+++ b/log.go
@@ -103,7 +103,7 @@
 	Reject             bool
 	LastIndexHint      uint64        // with Reject: index of the sender's last entry
 	SentAt             time.Duration // when the leader sent the message; echoed in the reply
-	LeaseRequestedAt   time.Duration // when a follower asked for a lease; echoed after a quorum confirmed the leader
+	LeaseRequestedAt   time.Duration // when a follower asked for a lease; echoed once a quorum has confirmed the leader after that time
 	LeaseCommitIndex   uint64        // commit index that the follower must have applied before it uses the lease
 	LeadershipTransfer bool          // the leader asked the sender to stand for election
 	SnapshotOffset     uint64        // offset of the chunk in the snapshot, in bytes
