--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -183,7 +183,7 @@
 	defer stallWatchdog.stop()
 	d.count("attempts")
 	d.Log.Debug().Str("request", w.ID).Str("attempt", a.ID).Str("upstream", u.Name).Str("organisation", a.Organisation).Str("version", v.String()).Uint64("revision", d.Settings().Revision).Msg("attempt")
-	quarantineRun := r.copy.BeginRun(u.InstanceID(), startedAt)
+	quarantineRun := r.quarantineRequest.BeginRun(u.InstanceID(), startedAt)
 	response, err := d.UpstreamClient.Send(ctx, u.Address, a)
 	if err == nil {
 		quarantineRun.MarkStarted(d.Clock.Now())
--- a/core/coordination/dispatch/quarantine.go
+++ b/core/coordination/dispatch/quarantine.go
@@ -18,7 +18,7 @@
 
 // quarantineStage returns the request's quarantine stage.
 func (r *execution) quarantineStage() persimmoncross.QuarantineStage {
-	return r.copy.EffectiveStage(r.dispatcher.QuarantineStore.Quarantine(r.copy.Digest), r.runStatus != persimmoncross.NotRun)
+	return r.quarantineRequest.EffectiveStage(r.dispatcher.QuarantineStore.Quarantine(r.quarantineRequest.Digest), r.runStatus != persimmoncross.NotRun)
 }
 
 // checkQuarantine refuses a request in stage QuarantineRefuse at once. The refusal says that
@@ -30,11 +30,11 @@
 	}
 	d := r.dispatcher
 	d.count("quarantine.refused")
-	d.QuarantineRecorder.MarkRequested(r.copy.Digest, r.copy.Service, d.Clock.Now())
+	d.QuarantineRecorder.MarkRequested(r.quarantineRequest.Digest, r.quarantineRequest.Service, d.Clock.Now())
 	if r.runStatus != persimmoncross.NotRun {
 		return r.refuse(persimmoncross.CodeUpstreamFailed, "upstreams end under requests like this one")
 	}
-	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.copy.Digest).Msg("request refused: it is quarantined for crashing upstreams")
+	d.Log.Info().Str("request", r.request.ID).Stringer("digest", r.quarantineRequest.Digest).Msg("request refused: it is quarantined for crashing upstreams")
 	return r.refuse(persimmoncross.CodeQuarantined, "upstreams end under requests like this one").WithRetryAfter(quarantine.RetryAfter)
 }
 
@@ -42,11 +42,11 @@
 // itself if it is isolated.
 func (r *execution) addIsolation(info routing.PickInfo) routing.PickInfo {
 	d := r.dispatcher
-	info.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.copy.Service)
+	info.IsolatedDigests = d.QuarantineStore.IsolatedDigests(r.quarantineRequest.Service)
 	if r.quarantineStage() == persimmoncross.QuarantineIsolate {
 		d.count("quarantine.watched")
-		d.QuarantineRecorder.MarkRequested(r.copy.Digest, r.copy.Service, d.Clock.Now())
-		info.IsolatedDigest = r.copy.Digest
+		d.QuarantineRecorder.MarkRequested(r.quarantineRequest.Digest, r.quarantineRequest.Service, d.Clock.Now())
+		info.IsolatedDigest = r.quarantineRequest.Digest
 	}
 	return info
 }
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -25,23 +25,23 @@
 
 // execution is the state of one request from its claim to its settlement.
 type execution struct {
-	dispatcher       *Dispatcher
-	request          *Request
-	sink             persimmoncross.ResponseSink
-	runStatus        persimmoncross.RunStatus
-	attemptCount     int
-	triedUpstreams   map[string]bool
-	billingLines     []*record.Line
-	pins             []*record.Pin
-	storedAnswer     *record.Answer // nil if the answer is too large or the request has no idempotency key
-	answerBytes      int
-	timeToFirstToken time.Duration // of the latest attempt
-	responseStarted  bool          // a part of the answer was sent to the sink
-	partialLine      *record.Line
-	alreadyRated     bool                         // a cascade has rated the answer
-	ratingSample     *ratingRequest               // nil unless the answer is to be rated
-	claimResult      chan *persimmoncross.Refusal // result of the claim made by claimAsync
-	copy             quarantine.Request
+	dispatcher        *Dispatcher
+	request           *Request
+	sink              persimmoncross.ResponseSink
+	runStatus         persimmoncross.RunStatus
+	attemptCount      int
+	triedUpstreams    map[string]bool
+	billingLines      []*record.Line
+	pins              []*record.Pin
+	storedAnswer      *record.Answer // nil if the answer is too large or the request has no idempotency key
+	answerBytes       int
+	timeToFirstToken  time.Duration // of the latest attempt
+	responseStarted   bool          // a part of the answer was sent to the sink
+	partialLine       *record.Line
+	alreadyRated      bool                         // a cascade has rated the answer
+	ratingSample      *ratingRequest               // nil unless the answer is to be rated
+	claimResult       chan *persimmoncross.Refusal // result of the claim made by claimAsync
+	quarantineRequest quarantine.Request
 }
 
 // execute claims, runs and settles the request.
@@ -53,13 +53,13 @@
 		runStatus:      persimmoncross.NotRun,
 		triedUpstreams: map[string]bool{},
 		storedAnswer:   &record.Answer{},
-		copy: quarantine.Request{
+		quarantineRequest: quarantine.Request{
 			Digest:   w.quarantineDigest(),
 			Service:  w.TargetName,
 			Recorder: d.QuarantineRecorder,
 		},
 	}
-	defer func() { r.copy.Done(r.runStatus != persimmoncross.NotRun) }()
+	defer func() { r.quarantineRequest.Done(r.runStatus != persimmoncross.NotRun) }()
 	if refusal := r.checkQuarantine(); refusal != nil {
 		sink.End(refusal) // before the request is claimed
 		return
--- a/core/coordination/group/error.go
+++ b/core/coordination/group/error.go
@@ -9,7 +9,7 @@
 const (
 	NotLeader      ErrorKind = iota + 1 // this member does not lead; the VM named by Leader may
 	QueueFull                           // the event queue is full, and nothing was proposed
-	LeadershipLost                      // the outcome is unknown; the command may still be committed
+	OutcomeUnknown                      // the outcome is unknown; the command may still be committed
 	ChangeRejected                      // the change of voters is not allowed at the moment
 	Stopped                             // the replica has stopped
 )
--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -208,7 +208,7 @@
 		}
 	}
 	if r.Core.Role() != consensus.Leader {
-		r.failPendingProposals(LeadershipLost)
+		r.failPendingProposals(OutcomeUnknown)
 	}
 	r.snapshotIfDue()
 }
@@ -286,7 +286,7 @@
 		delete(r.pendingProposals, e.Index)
 		if pending.term != e.Term {
 			pending.reply <- response{
-				err: newError("propose", LeadershipLost, r.Core.LeaderVM(), nil),
+				err: newError("propose", OutcomeUnknown, r.Core.LeaderVM(), nil),
 			}
 			continue
 		}
--- a/core/coordination/group/requests.go
+++ b/core/coordination/group/requests.go
@@ -103,7 +103,7 @@
 	case resp := <-reply:
 		return resp.result, resp.err
 	case <-ctx.Done():
-		return nil, newError("propose", LeadershipLost, "", ctx.Err())
+		return nil, newError("propose", OutcomeUnknown, "", ctx.Err())
 	case <-r.done:
 		return nil, newError("propose", Stopped, "", nil)
 	}
--- a/core/coordination/quarantine/disconnect_test.go
+++ b/core/coordination/quarantine/disconnect_test.go
@@ -93,8 +93,8 @@
 	for _, want := range []persimmoncross.QuarantineStage{persimmoncross.QuarantineIsolate, persimmoncross.QuarantineRefuse} {
 		quarantines.Evaluate(records, now)
 		now = now.Add(settleTime)
-		if g, o := quarantines.Quarantine(crasher).Stage, quarantines.Quarantine(harmless).Stage; g != want || o != persimmoncross.QuarantineNone {
-			t.Errorf("crashing request: %v, want %v; harmless request: %v", g, want, o)
+		if crasherStage, harmlessStage := quarantines.Quarantine(crasher).Stage, quarantines.Quarantine(harmless).Stage; crasherStage != want || harmlessStage != persimmoncross.QuarantineNone {
+			t.Errorf("crashing request: %v, want %v; harmless request: %v", crasherStage, want, harmlessStage)
 		}
 	}
 }
--- a/core/coordination/quarantine/evaluate.go
+++ b/core/coordination/quarantine/evaluate.go
@@ -119,14 +119,14 @@
 		}
 	}
 	for _, s := range scores {
-		h, ok := quarantines[s.Digest]
+		existing, ok := quarantines[s.Digest]
 		attributed := s.attributedCrashes()
 		proven := len(attributed) >= refuseCrashes && s.isProven(attributed)
-		settled := ok && now.Sub(h.Since) >= s.settleTime()
+		settled := ok && now.Sub(existing.Since) >= s.settleTime()
 		canIsolate := !ok && isolatedCount < maxIsolated // otherwise the request is refused as soon as it is proven
 		switch {
-		case h.Stage == persimmoncross.QuarantineRefuse:
-			if c, ok := s.updateTrial(h, now); ok {
+		case existing.Stage == persimmoncross.QuarantineRefuse:
+			if c, ok := s.updateTrial(existing, now); ok {
 				changes = append(changes, c)
 			}
 		case proven && (settled || !ok && !canIsolate && len(quarantines)+len(changes) < maxQuarantines):
@@ -172,26 +172,26 @@
 		byDigest[s.Digest] = s
 	}
 	var changes []Change
-	for d, h := range quarantines {
+	for d, quarantine := range quarantines {
 		s := byDigest[d]
 		if s == nil {
 			s = &score{}
 		}
-		lastActive := h.Since
+		lastActive := quarantine.Since
 		if s.LastRequested.After(lastActive) {
 			lastActive = s.LastRequested
 		}
 		reason := ""
 		switch idle := now.Sub(lastActive); {
-		case h.Stage == persimmoncross.QuarantineRefuse && idle >= refuseIdleTimeout, h.Stage == persimmoncross.QuarantineIsolate && idle >= isolateIdleTimeout:
+		case quarantine.Stage == persimmoncross.QuarantineRefuse && idle >= refuseIdleTimeout, quarantine.Stage == persimmoncross.QuarantineIsolate && idle >= isolateIdleTimeout:
 			reason = "no copy came"
-		case h.Stage == persimmoncross.QuarantineIsolate && s.suspicion < isolateCrashes && len(s.attributedCrashes()) < refuseCrashes:
+		case quarantine.Stage == persimmoncross.QuarantineIsolate && s.suspicion < isolateCrashes && len(s.attributedCrashes()) < refuseCrashes:
 			reason = "it came to its end"
 		}
 		if reason != "" {
-			h.Stage = persimmoncross.QuarantineNone
+			quarantine.Stage = persimmoncross.QuarantineNone
 			changes = append(changes, Change{
-				Quarantine: h.Quarantine,
+				Quarantine: quarantine.Quarantine,
 				Reason:     reason,
 			})
 		}
--- a/core/coordination/quarantine/evaluate_test.go
+++ b/core/coordination/quarantine/evaluate_test.go
@@ -187,9 +187,9 @@
 	passed := refused()
 	passed.now = passed.now.Add(trialDelays[0])
 	passed.recorder.MarkRequested(crasher, "s", passed.now)
-	h := passed.evaluate(0, crasher)
-	if h.TrialVM != "vm" || h.TrialCount != 1 || !h.Isolated() {
-		t.Fatalf("%+v", h)
+	quarantine := passed.evaluate(0, crasher)
+	if quarantine.TrialVM != "vm" || quarantine.TrialCount != 1 || !quarantine.Isolated() {
+		t.Fatalf("%+v", quarantine)
 	}
 	untested := passed.evaluate(trialTimeout, crasher)
 	if untested.Isolated() || untested.Stage != persimmoncross.QuarantineRefuse {
@@ -197,15 +197,15 @@
 	}
 	passed.now = passed.now.Add(trialDelays[0])
 	passed.recorder.MarkRequested(crasher, "s", passed.now)
-	if h = passed.evaluate(0, crasher); h.TrialVM != "vm" || h.TrialCount != 1 {
-		t.Fatalf("%+v", h)
+	if quarantine = passed.evaluate(0, crasher); quarantine.TrialVM != "vm" || quarantine.TrialCount != 1 {
+		t.Fatalf("%+v", quarantine)
 	}
 	request := &Request{
 		Digest:   crasher,
 		Service:  "s",
 		Recorder: &passed.recorder,
 	}
-	if got := request.EffectiveStage(h, false); got != persimmoncross.QuarantineIsolate {
+	if got := request.EffectiveStage(quarantine, false); got != persimmoncross.QuarantineIsolate {
 		t.Fatalf("effective stage of the trial's copy: %v, want isolation", got)
 	}
 	request.BeginRun("u", passed.now).MarkCompleted(passed.now.Add(time.Millisecond))
@@ -220,12 +220,12 @@
 	for try, delay := range trialDelays[:3] {
 		failed.now = failed.now.Add(delay)
 		failed.recorder.MarkRequested(crasher, "s", failed.now)
-		if h := failed.evaluate(0, crasher); h.TrialVM != "vm" || h.TrialCount != try+1 {
-			t.Fatalf("trial %d: %+v", try+1, h)
+		if quarantine := failed.evaluate(0, crasher); quarantine.TrialVM != "vm" || quarantine.TrialCount != try+1 {
+			t.Fatalf("trial %d: %+v", try+1, quarantine)
 		}
 		failed.crashUpstream(20*time.Millisecond, crasher)
-		if h := failed.evaluate(time.Second, crasher); h.TrialVM != "" || h.Stage != persimmoncross.QuarantineRefuse {
-			t.Fatalf("after trial %d: %+v", try+1, h)
+		if quarantine := failed.evaluate(time.Second, crasher); quarantine.TrialVM != "" || quarantine.Stage != persimmoncross.QuarantineRefuse {
+			t.Fatalf("after trial %d: %+v", try+1, quarantine)
 		}
 	}
 }
--- a/core/coordination/quarantine/store.go
+++ b/core/coordination/quarantine/store.go
@@ -52,9 +52,9 @@
 		return
 	}
 	s.bootstrapped = true
-	for _, h := range quarantines {
-		if _, ok := s.quarantines[h.Digest]; !ok && len(s.quarantines) < maxQuarantines {
-			s.apply(h, now)
+	for _, quarantine := range quarantines {
+		if _, ok := s.quarantines[quarantine.Digest]; !ok && len(s.quarantines) < maxQuarantines {
+			s.apply(quarantine, now)
 		}
 	}
 }
@@ -71,8 +71,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	quarantines := make([]persimmoncross.Quarantine, 0, len(s.quarantines))
-	for h := range maps.Values(s.quarantines) {
-		quarantines = append(quarantines, h.Quarantine)
+	for quarantine := range maps.Values(s.quarantines) {
+		quarantines = append(quarantines, quarantine.Quarantine)
 	}
 	slices.SortFunc(quarantines, func(a, b persimmoncross.Quarantine) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
 	return quarantines
@@ -84,8 +84,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var digests []persimmoncross.Digest
-	for d, h := range s.quarantines {
-		if h.Service == service && h.Isolated() {
+	for d, quarantine := range s.quarantines {
+		if quarantine.Service == service && quarantine.Isolated() {
 			digests = append(digests, d)
 		}
 	}
--- a/core/coordination/relay/backoff_test.go
+++ b/core/coordination/relay/backoff_test.go
@@ -9,9 +9,9 @@
 
 // rejectionWithRetryAfter returns a rejection with a Retry-After delay.
 func rejectionWithRetryAfter(d time.Duration) *fakeResponse {
-	a := rejectedResponse()
-	a.head.RetryAfter = d
-	return a
+	response := rejectedResponse()
+	response.head.RetryAfter = d
+	return response
 }
 
 // An upstream gets no request during the Retry-After delay that it answered with. Without the
--- a/core/coordination/relay/backpressure_test.go
+++ b/core/coordination/relay/backpressure_test.go
@@ -13,9 +13,9 @@
 // rateLimitedResponse returns a successful response that names a rate limit, in requests per
 // second.
 func rateLimitedResponse(rate float64) *fakeResponse {
-	a := okResponse("x")
-	a.head.RateLimit = rate
-	return a
+	response := okResponse("x")
+	response.head.RateLimit = rate
+	return response
 }
 
 // After a response with a rate limit the upstream gets no further request in the window. This
--- a/core/coordination/relay/env_test.go
+++ b/core/coordination/relay/env_test.go
@@ -299,17 +299,17 @@
 
 // failedResponse returns a failure response of the upstream itself.
 func failedResponse(status int) *fakeResponse {
-	a := okResponse("failed")
-	a.head.Status = status
-	return a
+	response := okResponse("failed")
+	response.head.Status = status
+	return response
 }
 
 // rejectedResponse returns a response that says that the request did not run.
 func rejectedResponse() *fakeResponse {
-	a := failedResponse(http.StatusServiceUnavailable)
-	a.head.HasSignature = false
-	a.head.NotRun = true
-	return a
+	response := failedResponse(http.StatusServiceUnavailable)
+	response.head.HasSignature = false
+	response.head.NotRun = true
+	return response
 }
 
 // lostResponse returns the result of an attempt that got no response.
--- a/core/coordination/relay/escalation.go
+++ b/core/coordination/relay/escalation.go
@@ -23,16 +23,16 @@
 	}
 	now := r.Clock.Now()
 	timeToHead, prefillTime := c.estimateLargestModel(now)
-	o := cascade.StartConditions{
-		LowConfidenceRate: r.ModelStats.lowConfidenceShare(c.service, models[max(min(r.Cascade.StartModel, len(models)-1), 0)]),
+	conditions := cascade.StartConditions{
+		LowConfidenceRate: r.ModelStats.lowConfidenceRate(c.service, models[max(min(r.Cascade.StartModel, len(models)-1), 0)]),
 		TimeToFirstToken:  timeToHead,
 		PrefillTime:       prefillTime,
 		SlotUtilization:   c.fleetUtilization(now),
 		Objective:         c.latencyObjective(),
 		RetryBudgetLeft:   r.retryBudgetLeft(c.service),
 	}
-	first := r.Cascade.FirstModel(models, o)
-	r.logEvent(c.request).Float64("doubted", o.LowConfidenceRate).Dur("begin", o.TimeToFirstToken).Dur("reading", o.PrefillTime).Float64("crowd", o.SlotUtilization).Float64("retries", o.RetryBudgetLeft).Int("model", first).Msg("first model chosen")
+	first := r.Cascade.FirstModel(models, conditions)
+	r.logEvent(c.request).Float64("doubted", conditions.LowConfidenceRate).Dur("begin", conditions.TimeToFirstToken).Dur("reading", conditions.PrefillTime).Float64("crowd", conditions.SlotUtilization).Float64("retries", conditions.RetryBudgetLeft).Int("model", first).Msg("first model chosen")
 	return first
 }
 
@@ -44,9 +44,9 @@
 		return false
 	}
 	r.ModelStats.recordConfidence(c.service, c.modelName(), r.Cascade.IsLowConfidence(c.route.Models, c.modelIndex, confidence))
-	d := c.escalationInputs(confidence, r.Clock.Now())
-	next, escalate := r.Cascade.Escalate(c.route.Models, d)
-	r.logEvent(c.request).Dur("begin", d.TimeToFirstToken).Dur("reading", d.PrefillTime).Float64("crowd", d.SlotUtilization).Dur("left", d.ObjectiveLeft).Float64("retries", d.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
+	conditions := c.escalationInputs(confidence, r.Clock.Now())
+	next, escalate := r.Cascade.Escalate(c.route.Models, conditions)
+	r.logEvent(c.request).Dur("begin", conditions.TimeToFirstToken).Dur("reading", conditions.PrefillTime).Float64("crowd", conditions.SlotUtilization).Dur("left", conditions.ObjectiveLeft).Float64("retries", conditions.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
 	if !escalate {
 		return false
 	}
--- a/core/coordination/relay/fleetload.go
+++ b/core/coordination/relay/fleetload.go
@@ -143,10 +143,10 @@
 // pendingSince returns the number of requests that were sent after the given time and whose
 // response heads are pending, and the total prefill time of their prompts. The caller holds mu.
 func (t *Target) pendingSince(sentAfter time.Time) (n int, prefillTime time.Duration) {
-	for _, a := range t.pendingHeads {
-		if a.sentAt.After(sentAfter) {
+	for _, pending := range t.pendingHeads {
+		if pending.sentAt.After(sentAfter) {
 			n++
-			prefillTime += a.prefillTime
+			prefillTime += pending.prefillTime
 		}
 	}
 	return n, prefillTime
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -15,27 +15,27 @@
 	now := time.Unix(100, 0)
 	prefixPrefillTime := 50 * time.Millisecond
 	tests := []struct {
-		name        string
-		prefillTime time.Duration // of the prompts of other entries at the preferred upstream
-		reported    *persimmoncross.UpstreamLoad
-		elapsed     time.Duration // since the fleet load was received
-		reread      time.Duration
-		wantMoved   bool
+		name          string
+		prefillTime   time.Duration // of the prompts of other entries at the preferred upstream
+		reported      *persimmoncross.UpstreamLoad
+		elapsed       time.Duration // since the fleet load was received
+		prefixPrefill time.Duration
+		wantMoved     bool
 	}{
 		{
-			name:   "no pending prompts",
-			reread: prefixPrefillTime,
+			name:          "no pending prompts",
+			prefixPrefill: prefixPrefillTime,
 		},
 		{
-			name:        "less than the prefill of the shared parts",
-			prefillTime: 100*time.Millisecond + prefixPrefillTime,
-			reread:      prefixPrefillTime,
+			name:          "less than the prefill of the shared parts",
+			prefillTime:   100*time.Millisecond + prefixPrefillTime,
+			prefixPrefill: prefixPrefillTime,
 		},
 		{
-			name:        "long prompt pending",
-			prefillTime: 2 * time.Second,
-			reread:      prefixPrefillTime,
-			wantMoved:   true,
+			name:          "long prompt pending",
+			prefillTime:   2 * time.Second,
+			prefixPrefill: prefixPrefillTime,
+			wantMoved:     true,
 		},
 		{
 			name:        "fleet load too old",
@@ -58,7 +58,7 @@
 			PrefillTime: tt.prefillTime,
 			Reported:    tt.reported,
 		}, now)
-		if got := placeByPrefix(all, "part", tt.reread, now.Add(tt.elapsed+time.Millisecond)); (got != preferred) != tt.wantMoved {
+		if got := placeByPrefix(all, "part", tt.prefixPrefill, now.Add(tt.elapsed+time.Millisecond)); (got != preferred) != tt.wantMoved {
 			t.Errorf("%s: moved from the preferred upstream = %v, want %v", tt.name, got != preferred, tt.wantMoved)
 		}
 	}
--- a/core/coordination/relay/modelstats.go
+++ b/core/coordination/relay/modelstats.go
@@ -11,9 +11,9 @@
 // ModelStats keeps, for each service and model, the times until response heads and the rate of
 // responses with low confidence that this entry observed.
 type ModelStats struct {
-	mu            sync.Mutex // guards all below
-	headForecasts map[modelKey]*forecast.FirstTokenEstimator
-	confidences   map[modelKey]*cascade.ConfidenceStats
+	mu             sync.Mutex // guards all below
+	headEstimators map[modelKey]*forecast.FirstTokenEstimator
+	confidences    map[modelKey]*cascade.ConfidenceStats
 }
 
 type modelKey struct {
@@ -21,20 +21,20 @@
 	model   string
 }
 
-// headForecast returns the model's estimator of the time to the response head. The caller
+// headEstimator returns the model's estimator of the time to the response head. The caller
 // holds mu.
-func (s *ModelStats) headForecast(service, model string) *forecast.FirstTokenEstimator {
+func (s *ModelStats) headEstimator(service, model string) *forecast.FirstTokenEstimator {
 	k := modelKey{
 		service: service,
 		model:   model,
 	}
-	if s.headForecasts == nil {
-		s.headForecasts = map[modelKey]*forecast.FirstTokenEstimator{}
+	if s.headEstimators == nil {
+		s.headEstimators = map[modelKey]*forecast.FirstTokenEstimator{}
 	}
-	h := s.headForecasts[k]
+	h := s.headEstimators[k]
 	if h == nil {
 		h = &forecast.FirstTokenEstimator{}
-		s.headForecasts[k] = h
+		s.headEstimators[k] = h
 	}
 	return h
 }
@@ -44,7 +44,7 @@
 func (s *ModelStats) trackPendingHead(service, model string, promptTokens int, now time.Time) func(now time.Time, received bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.headForecast(service, model)
+	h := s.headEstimator(service, model)
 	id := h.TrackRequest(promptTokens, now)
 	return func(now time.Time, received bool) {
 		s.mu.Lock()
@@ -58,7 +58,7 @@
 func (s *ModelStats) prefillTime(service, model string, promptTokens int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.headForecast(service, model).PrefillTime(promptTokens)
+	return s.headEstimator(service, model).PrefillTime(promptTokens)
 }
 
 // timeToHead estimates how long the model now takes to send the response head for a prompt of
@@ -66,7 +66,7 @@
 func (s *ModelStats) timeToHead(service, model string, promptTokens int, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.headForecast(service, model).TimeToFirstToken(promptTokens, now)
+	return s.headEstimator(service, model).TimeToFirstToken(promptTokens, now)
 }
 
 // recordConfidence records whether a response of the model had low confidence.
@@ -86,17 +86,17 @@
 	s.confidences[k].Record(low)
 }
 
-// lowConfidenceShare returns the fraction of the model's recent responses that had low
+// lowConfidenceRate returns the fraction of the model's recent responses that had low
 // confidence.
-func (s *ModelStats) lowConfidenceShare(service, model string) float64 {
+func (s *ModelStats) lowConfidenceRate(service, model string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := s.confidences[modelKey{
+	stats := s.confidences[modelKey{
 		service: service,
 		model:   model,
 	}]
-	if o == nil {
-		o = &cascade.ConfidenceStats{}
+	if stats == nil {
+		stats = &cascade.ConfidenceStats{}
 	}
-	return o.LowConfidenceRate()
+	return stats.LowConfidenceRate()
 }
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -65,12 +65,12 @@
 // prefixKey returns the key that selects the preferred upstream, which has the prompt's shared
 // parts in its cache. The last part belongs to this request alone, so the key is taken from the
 // part before it, the last one that other requests share.
-func prefixKey(p *persimmoncross.ProxyRequest, model string) string {
-	n := len(p.PromptParts)
+func prefixKey(request *persimmoncross.ProxyRequest, model string) string {
+	n := len(request.PromptParts)
 	if n == 0 {
 		return ""
 	}
-	return model + "\x00" + p.PromptParts[max(n-2, 0)].ID
+	return model + "\x00" + request.PromptParts[max(n-2, 0)].ID
 }
 
 // linkCost returns the expected delay of the response on the link to the target.
--- a/core/coordination/relay/placement_test.go
+++ b/core/coordination/relay/placement_test.go
@@ -78,9 +78,9 @@
 		preferred[prefix] = placeByPrefix(all, prefix, 0, now).Name
 	}
 	count := map[string]int{}
-	for home, id := range preferred {
-		if again := placeByPrefix(all, home, 0, now).Name; again != id {
-			t.Fatalf("%s moved from %s to %s", home, id, again)
+	for prefix, id := range preferred {
+		if again := placeByPrefix(all, prefix, 0, now).Name; again != id {
+			t.Fatalf("%s moved from %s to %s", prefix, id, again)
 		}
 		count[id]++
 	}
@@ -91,9 +91,9 @@
 	}
 	// If one upstream is removed, only the prompts that preferred it move.
 	gone := all[0].Name
-	for home, id := range preferred {
-		if got := placeByPrefix(all[1:], home, 0, now).Name; id != gone && got != id {
-			t.Errorf("%s moved from %s to %s, but only %s was removed", home, id, got, gone)
+	for prefix, id := range preferred {
+		if got := placeByPrefix(all[1:], prefix, 0, now).Name; id != gone && got != id {
+			t.Errorf("%s moved from %s to %s, but only %s was removed", prefix, id, got, gone)
 		}
 	}
 }
@@ -153,12 +153,12 @@
 		t.Errorf("%d of 2000 sessions run on the canary, want about %.0f", onCanary, 2000*share)
 	}
 	u.Stage = register.Withdrawn
-	if g := (&Sessions{}).chooseVersions(u, "session1", "a", share, false, now); g.targetOnly || !g.strict {
+	if filter := (&Sessions{}).chooseVersions(u, "session1", "a", share, false, now); filter.targetOnly || !filter.strict {
 		t.Error("a withdrawn version may get requests")
 	}
 	u.Stage = register.Trial
 	for i := range 500 {
-		if g := (&Sessions{}).chooseVersions(u, fmt.Sprint(i), "a", share, true, now); g.targetOnly || !g.strict {
+		if filter := (&Sessions{}).chooseVersions(u, fmt.Sprint(i), "a", share, true, now); filter.targetOnly || !filter.strict {
 			t.Fatal("a halted version may get requests")
 		}
 	}
@@ -288,11 +288,11 @@
 	}
 	onCanary := 0
 	for i := range 400 {
-		only := other.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now.Add(2*time.Second)).targetOnly
-		if i < 200 && only {
+		onTarget := other.chooseVersions(u, fmt.Sprint("session", i), "a", share, false, now.Add(2*time.Second)).targetOnly
+		if i < 200 && onTarget {
 			t.Errorf("pinned session %d was moved at another entry", i)
 		}
-		if only {
+		if onTarget {
 			onCanary++
 		}
 	}
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -240,8 +240,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wait := t.meanTimeToHead * math.Exp2(-now.Sub(t.meanUpdatedAt).Seconds()/timeToHeadHalfLife.Seconds())
-	for _, a := range t.pendingHeads {
-		wait = max(wait, now.Sub(a.sentAt).Seconds())
+	for _, pending := range t.pendingHeads {
+		wait = max(wait, now.Sub(pending.sentAt).Seconds())
 	}
 	return time.Duration(wait * float64(time.Second))
 }
--- a/core/coordination/relay/quarantine_test.go
+++ b/core/coordination/relay/quarantine_test.go
@@ -30,9 +30,9 @@
 
 // disconnectedResponse returns the result of an attempt whose connection was lost.
 func disconnectedResponse() *fakeResponse {
-	a := lostResponse(persimmoncross.RunUnknown)
-	a.err.ConnectionLost = true
-	return a
+	response := lostResponse(persimmoncross.RunUnknown)
+	response.err.ConnectionLost = true
+	return response
 }
 
 // A quarantined request is refused at once. The refusal says that the request did not run and
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -110,29 +110,29 @@
 // Serve handles the request and writes the response to the sink. It returns a refusal if there is
 // no complete response. Nothing was written to the sink then, or the written response must be
 // aborted.
-func (r *Relay) Serve(ctx context.Context, p *persimmoncross.ProxyRequest, sink persimmoncross.ProxyResponseSink) *persimmoncross.Refusal {
+func (r *Relay) Serve(ctx context.Context, request *persimmoncross.ProxyRequest, sink persimmoncross.ProxyResponseSink) *persimmoncross.Refusal {
 	r.incrementCounter("passages")
 	v := r.awaitView(ctx)
 	if v == nil || v.Catalog == nil {
 		retryAfter := retry.RetryAfter{
-			OutageAge:     r.recordRefusal("", p.ArrivedAt),
-			UntilDeadline: p.Deadline.Sub(r.Clock.Now()),
+			OutageAge:     r.recordRefusal("", request.ArrivedAt),
+			UntilDeadline: request.Deadline.Sub(r.Clock.Now()),
 		}
 		return persimmoncross.NewRefusal(persimmoncross.CodeNoLease, "this VM has no settings yet").WithRetryAfter(retryAfter.Delay(rand.Float64()))
 	}
-	route := v.Catalog.Route(p.Host, p.Path)
+	route := v.Catalog.Route(request.Host, request.Path)
 	if route == nil {
-		return persimmoncross.NewRefusal(persimmoncross.CodePathUnknown, "no route for %s%s", p.Host, p.Path)
+		return persimmoncross.NewRefusal(persimmoncross.CodePathUnknown, "no route for %s%s", request.Host, request.Path)
 	}
 	var organisation *catalog.Organisation
 	if v.Catalog.Keyed && !route.Open {
-		if organisation = v.Catalog.Holder(p.APIKey); organisation == nil {
+		if organisation = v.Catalog.Holder(request.APIKey); organisation == nil {
 			return persimmoncross.NewRefusal(persimmoncross.CodeKeyUnknown, "no organisation holds the key")
 		}
 	}
 	c := &call{
 		relay:   r,
-		request: p,
+		request: request,
 		route:   route,
 		service: pickService(route),
 		sink:    sink,
@@ -147,13 +147,13 @@
 		c.residency.organisationRegions = organisation.Homes
 	}
 	c.quarantineRequest = quarantine.Request{
-		Digest:   quarantine.DigestOf(c.organisation, p.Method, p.Host, p.RequestTarget, p.BodyDigest),
+		Digest:   quarantine.DigestOf(c.organisation, request.Method, request.Host, request.RequestTarget, request.BodyDigest),
 		Service:  c.service,
 		Recorder: r.QuarantineRecorder,
 	}
-	c.deadline = p.ArrivedAt.Add(route.Timeout)
-	if !p.Deadline.IsZero() && p.Deadline.Before(c.deadline) {
-		c.deadline = p.Deadline
+	c.deadline = request.ArrivedAt.Add(route.Timeout)
+	if !request.Deadline.IsZero() && request.Deadline.Before(c.deadline) {
+		c.deadline = request.Deadline
 	}
 	r.countRequest(c.service)
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
@@ -295,6 +295,6 @@
 	r.Metrics.GetOrRegister("relay."+name, newHistogram).(metrics.Histogram).Update(duration.Milliseconds())
 }
 
-func (r *Relay) logEvent(p *persimmoncross.ProxyRequest) *zerolog.Event {
-	return r.Log.Info().Str("request", p.ID)
+func (r *Relay) logEvent(request *persimmoncross.ProxyRequest) *zerolog.Event {
+	return r.Log.Info().Str("request", request.ID)
 }
--- a/core/coordination/relay/restart_test.go
+++ b/core/coordination/relay/restart_test.go
@@ -50,7 +50,7 @@
 		var replaced []persimmoncross.Upstream
 		p := &Pool{
 			Clock:      frozenClock{},
-			OnRemoved:  func(life string) { removed = append(removed, life) },
+			OnRemoved:  func(instanceID string) { removed = append(removed, instanceID) },
 			OnReplaced: func(was, is persimmoncross.Upstream) { replaced = append(replaced, was, is) },
 		}
 		before := p.Update([]persimmoncross.Upstream{tt.previous})["s"][0]
--- a/core/coordination/relay/stalldetector_test.go
+++ b/core/coordination/relay/stalldetector_test.go
@@ -224,16 +224,16 @@
 	}()
 	<-f.stalled
 	stalledAt := clock.Now()
-	for silent := true; silent; {
+	for attemptActive := true; attemptActive; {
 		select {
 		case <-f.canceled: // checked before the waits of the second attempt, so that the clock stops here
-			silent = false
+			attemptActive = false
 			continue
 		default:
 		}
 		select {
 		case <-f.canceled:
-			silent = false
+			attemptActive = false
 		case fired := <-clock.waits:
 			clock.mu.Lock()
 			clock.now = clock.now.Add(stallCheckInterval)
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -23,9 +23,9 @@
 
 // streamResponse returns an event stream that ends regularly or is interrupted.
 func streamResponse(body string, interrupted bool) *fakeResponse {
-	a := okResponse(body)
-	a.interrupted = interrupted
-	return a
+	response := okResponse(body)
+	response.interrupted = interrupted
+	return response
 }
 
 func TestStreamResumes(t *testing.T) {
@@ -187,12 +187,12 @@
 	}
 	now := e.clock.Now()
 	e.relay.recordEventBatch("b", 300*time.Millisecond, 3, now)
-	passage := &persimmoncross.ProxyRequest{
+	request := &persimmoncross.ProxyRequest{
 		MaxOutputTokens: 400,
 	}
 	c := &call{
 		relay:   e.relay,
-		request: passage,
+		request: request,
 		route:   e.view.Catalog.Route("h", "/stream/x"),
 	}
 	for i := range 40 {
--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -91,7 +91,7 @@
 type modelLatency struct {
 	sample        metrics.Sample
 	slowThreshold time.Duration
-	sampleCount   int
+	runCount      int
 	// controlRuns says for each of the latest runs of versions that are not being rolled out
 	// whether the run was slow. Each run of a version that is being rolled out is paired with
 	// one of them. When all upstreams get slower, both runs of a pair are slow, and the pair
@@ -145,8 +145,8 @@
 		m.controlRuns = m.controlRuns[max(0, len(m.controlRuns)-maxControlRuns):]
 	}
 	m.sample.Update(int64(timeToFirstToken))
-	m.sampleCount++
-	if m.sampleCount >= minLatencySamples && m.sampleCount%runsPerSlowUpdate == 0 || m.sampleCount == minLatencySamples {
+	m.runCount++
+	if m.runCount >= minLatencySamples && m.runCount%runsPerSlowUpdate == 0 || m.runCount == minLatencySamples {
 		m.slowThreshold = time.Duration(m.sample.Percentile(slowQuantile))
 	}
 }
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -139,7 +139,7 @@
 // upstream that was already tried is picked only if no other is available.
 func (t *Table) Pick(info PickInfo) *Upstream {
 	now := t.Clock.Now()
-	var untried, tried []*Upstream
+	var usable, tried []*Upstream
 	eligible := t.eligible(info)
 	if info.IsolatedDigest != (persimmoncross.Digest{}) {
 		return pickIsolated(info, eligible, now)
@@ -150,26 +150,26 @@
 		case info.TriedUpstreams[u.Name]:
 			tried = append(tried, u)
 		default:
-			untried = append(untried, u)
+			usable = append(usable, u)
 		}
 	}
-	if len(untried) == 0 {
-		untried = tried
+	if len(usable) == 0 {
+		usable = tried
 	}
-	if len(untried) == 0 {
+	if len(usable) == 0 {
 		return nil
 	}
 	peerEntries := float64(max(1, t.LiveEntries()) - 1)
-	candidates := make([]persimmoncross.Candidate, len(untried))
+	candidates := make([]persimmoncross.Candidate, len(usable))
 	hashes := prefixHashes(info.Prompt)
-	affinity := affinityUpstream(untried, hashes)
-	for i, u := range untried {
+	affinity := affinityUpstream(usable, hashes)
+	for i, u := range usable {
 		candidates[i] = u.newCandidate(now, info.Version, hashes, peerEntries)
 		if u == affinity {
 			candidates[i].CachedBytes = len(info.Prompt)
 		}
 	}
-	return untried[t.Picker.Pick(candidates, len(info.Prompt))]
+	return usable[t.Picker.Pick(candidates, len(info.Prompt))]
 }
 
 // eligible returns the upstreams, sorted by name, that have the version or serve the service,
--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -61,8 +61,8 @@
 	Limit      ColdLimit
 }
 
-// untilTolerance is the difference in ColdUntil up to which an observation is no change.
-const untilTolerance = 300 * time.Millisecond
+// coldUntilTolerance is the difference in ColdUntil up to which an observation is no change.
+const coldUntilTolerance = 300 * time.Millisecond
 
 // Update returns the instances that are cold now, from the previous ones and the
 // observations, and the number of instances that were assigned owners. Owners are assigned
@@ -81,7 +81,7 @@
 			continue
 		}
 		c, known := next[o.InstanceID]
-		if known && o.ColdUntil.Sub(c.ColdUntil).Abs() <= untilTolerance {
+		if known && o.ColdUntil.Sub(c.ColdUntil).Abs() <= coldUntilTolerance {
 			continue
 		}
 		c.ColdUntil = o.ColdUntil
--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -174,17 +174,17 @@
 	}
 	p.coldVersion++
 	changedAt := make(map[string]uint64, len(next))
-	hasAdded := false
+	hasChanged := false
 	for id, c := range next {
 		changedAt[id] = p.coldChangedAt[id]
 		if old, known := p.cold[id]; !known || !equalCold(old, c) {
 			changedAt[id] = p.coldVersion
-			hasAdded = true
+			hasChanged = true
 		}
 	}
 	p.cold = next
 	p.coldChangedAt = changedAt
-	if hasAdded {
+	if hasChanged {
 		p.notify()
 	}
 }
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -119,7 +119,7 @@
 // is applied only once it is complete.
 func TestLongListsInParts(t *testing.T) {
 	pub := newPublisher(persimmoncross.SystemClock{})
-	draining := func(n int, leaving bool) []persimmoncross.Upstream {
+	newUpstreams := func(n int, leaving bool) []persimmoncross.Upstream {
 		var all []persimmoncross.Upstream
 		for i := range n {
 			all = append(all, persimmoncross.Upstream{
@@ -143,7 +143,7 @@
 		},
 	}
 	a, s := &controllerStream{}, &followerState{}
-	for _, want := range [][]persimmoncross.Upstream{draining(4_100, false), draining(4_100, true), draining(10, true), nil} {
+	for _, want := range [][]persimmoncross.Upstream{newUpstreams(4_100, false), newUpstreams(4_100, true), newUpstreams(10, true), nil} {
 		pub.setList(want, time.Now())
 		applied = 0
 		for first := true; first || s.hasPending(); first = false {
@@ -166,7 +166,7 @@
 		probing: true,
 		entry:   true,
 	}
-	pub.setList(draining(4_100, false), time.Now())
+	pub.setList(newUpstreams(4_100, false), time.Now())
 	if u, _ := pub.nextUpdate(prober, true, nil); u.GetListed() || u.GetAge() >= 0 || prober.hasPending() {
 		t.Error("a follower that only probes is sent the list")
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -309,7 +309,7 @@
 // the same list, and that a follower which lags too far behind is sent the whole list.
 func TestListDeltas(t *testing.T) {
 	pub := newPublisher(persimmoncross.SystemClock{})
-	draining := func(id string, leaving bool) persimmoncross.Upstream {
+	newUpstream := func(id string, leaving bool) persimmoncross.Upstream {
 		return persimmoncross.Upstream{
 			Name:     id,
 			Service:  "s",
@@ -333,13 +333,13 @@
 		update, _ = pub.nextUpdate(s, true, nil)
 		a.handleUpdate(f, update)
 	}
-	list := []persimmoncross.Upstream{draining("a", false), draining("b", false), draining("c", false)}
+	list := []persimmoncross.Upstream{newUpstream("a", false), newUpstream("b", false), newUpstream("c", false)}
 	pub.setList(list, time.Now())
 	sendUpdate()
 	for _, next := range [][]persimmoncross.Upstream{
-		{draining("a", true), draining("b", false), draining("c", false)},
-		{draining("b", false), draining("c", false), draining("d", false)},
-		{draining("a", false), draining("d", true)},
+		{newUpstream("a", true), newUpstream("b", false), newUpstream("c", false)},
+		{newUpstream("b", false), newUpstream("c", false), newUpstream("d", false)},
+		{newUpstream("a", false), newUpstream("d", true)},
 	} {
 		pub.setList(next, time.Now())
 		u, _ := pub.nextUpdate(s, true, nil)
@@ -351,23 +351,23 @@
 			t.Fatalf("the follower has %v, want %v", got, next)
 		}
 	}
-	pub.setList([]persimmoncross.Upstream{draining("a", false), draining("e", false)}, time.Now())
-	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("f", false)}, time.Now())
-	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("e", true)}, time.Now())
-	pub.setList([]persimmoncross.Upstream{draining("a", true), draining("f", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{newUpstream("a", false), newUpstream("e", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("e", true)}, time.Now())
+	pub.setList([]persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, time.Now())
 	sendUpdate() // several changes at once, with an upstream that is added, removed and added again
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{draining("a", true), draining("f", false)}, equalUpstream) {
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", true), newUpstream("f", false)}, equalUpstream) {
 		t.Fatalf("after several changes at once the follower has %v", got)
 	}
 	for i := range 2 * maxRecentDeltas {
-		pub.setList([]persimmoncross.Upstream{draining("a", i%2 == 0), draining("g", false)}, time.Now())
+		pub.setList([]persimmoncross.Upstream{newUpstream("a", i%2 == 0), newUpstream("g", false)}, time.Now())
 	}
 	u, _ := pub.nextUpdate(s, true, nil)
 	if u.GetPartial() {
 		t.Error("a partial list was sent for changes that are not kept any more")
 	}
 	a.handleUpdate(f, u)
-	if !slices.EqualFunc(got, []persimmoncross.Upstream{draining("a", false), draining("g", false)}, equalUpstream) {
+	if !slices.EqualFunc(got, []persimmoncross.Upstream{newUpstream("a", false), newUpstream("g", false)}, equalUpstream) {
 		t.Fatalf("after the whole list the follower has %v", got)
 	}
 }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -289,9 +289,9 @@
 	f.waitFor("all entries refuse the request", func() bool {
 		for _, e := range entries {
 			e.mu.Lock()
-			disconnected := e.localQuarantines != nil
+			decidesLocally := e.localQuarantines != nil
 			e.mu.Unlock()
-			if disconnected || !refusesAny(e) {
+			if decidesLocally || !refusesAny(e) {
 				return false
 			}
 		}
