--- a/core/coordination/cascade/cascade.go
+++ b/core/coordination/cascade/cascade.go
@@ -16,7 +16,7 @@
 	priorRated           = 2.0
 	ratingDecay          = 0.995 // factor of the earlier ratings at each new rating
 	durationWeight       = 0.1   // weight of one duration in the moving average
-	explorationInterval  = 25    // one in this many requests starts at a step that would be skipped
+	explorationInterval  = 25    // one in this many requests starts at the first step that fits the deadline, regardless of cost
 	durationSafetyFactor = 1.5   // multiple of its mean duration that a step is allowed to take
 	maxRaterFailures     = 3     // consecutive failures after which the rater counts as down
 	raterRetryInterval   = 64    // requests after which a rater that is down is tried again
@@ -54,7 +54,9 @@
 }
 
 // FirstStep returns the index of the step to start with. This is the step with the lowest
-// expected cost among those that leave enough time for the steps after them.
+// expected cost among those that leave enough time for the steps after them. One in
+// explorationInterval requests starts at the first of those steps regardless of its cost. While
+// the rater is down the last step is returned.
 func (e *Estimator) FirstStep(organisation string, sizeClass int, steps []Step, remaining time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/core/coordination/cascade/confidence_stats.go
+++ b/core/coordination/cascade/confidence_stats.go
@@ -8,7 +8,7 @@
 	// answers, up to the inverse of this weight, all have the same weight. An entry receives
 	// one to three answers per second, so the rate covers about its last minute.
 	minAnswerWeight = 0.01
-	// priorAnswers is the number of answers as which the prior counts.
+	// priorAnswers is the weight of the prior, as a number of answers.
 	priorAnswers = 4
 )
 
