--- a/core/coordination/consensus/core.go
+++ b/core/coordination/consensus/core.go
@@ -54,7 +54,7 @@
 	log             memoryLog
 	config          persimmoncross.Config // active voter configuration: the latest in the log, committed or not
 	configIndex     uint64                // index of the entry of config
-	previousConfigs []indexedConfig       // earlier configurations, for a truncation or a snapshot
+	previousConfigs []indexedConfig       // earlier configurations, which a truncation restores and a snapshot of an earlier index contains
 	commitIndex     uint64
 	syncedIndex     uint64 // last entry known to be on disk
 	deliveredIndex  uint64 // last committed entry returned to the owner to be applied
@@ -69,7 +69,7 @@
 	now               time.Time
 	startTime         time.Time
 	wireTimeOffset    time.Duration // random offset of the times in messages
-	lastLeaderContact time.Time     // last message from the leader
+	lastLeaderContact time.Time     // when the last message from the leader arrived
 	electionDeadline  time.Time     // end of the election timer
 	lastHeartbeat     time.Time     // when heartbeats, or join requests, were last sent
 	transfer          leadershipTransfer
--- a/core/coordination/consensus/error.go
+++ b/core/coordination/consensus/error.go
@@ -7,9 +7,9 @@
 
 // The kinds of error.
 const (
-	NotLeader     ErrorKind = iota + 1 // another member leads, or none does
+	NotLeader     ErrorKind = iota + 1 // this member does not lead, or is transferring its leadership
 	ChangePending                      // an earlier change, or the leader's first entry, is not committed yet
-	InvalidChange                      // the change does not fit the voters, or would lose the quorum
+	InvalidChange                      // the change does not fit the current voters, or would leave them without a quorum
 	NotCaughtUp                        // the member lacks too much of the log to become a voter
 )
 
@@ -23,7 +23,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("consensus: %s: %s", e.Operation, e.Detail) }
 
-// IsNotLeader reports whether err means that this member does not lead.
+// IsNotLeader reports whether err is an [Error] of kind [NotLeader].
 func IsNotLeader(err error) bool {
 	e, ok := err.(*Error)
 	return ok && e.Kind == NotLeader
--- a/core/coordination/consensus/lease.go
+++ b/core/coordination/consensus/lease.go
@@ -60,7 +60,7 @@
 	pending     time.Duration // 0 if none
 	receivedAt  time.Time     // when the pending probe arrived
 	confirmed   time.Duration // 0 if none
-	commitIndex uint64        // commit index at the confirmation of confirmed
+	commitIndex uint64        // leader's commit index when it confirmed the probe in confirmed
 }
 
 func (p *leaseProbe) record(value time.Duration, now time.Time) {
@@ -71,8 +71,8 @@
 	p.receivedAt = now
 }
 
-// confirmProbes renews the leader's own lease, and confirms the pending probes that arrived
-// before the latest message that a quorum has answered was sent. It does nothing until an
+// confirmProbes starts the leader's own lease at the time returned by quorumAckedSendTime, and
+// confirms the pending probes that arrived no later than that time. It does nothing until an
 // entry of the leader's own term is committed.
 func (c *Core) confirmProbes() {
 	if term, _ := c.log.term(c.commitIndex); term != c.hardState.Term {
--- a/core/coordination/consensus/membership.go
+++ b/core/coordination/consensus/membership.go
@@ -82,8 +82,8 @@
 	c.becomeFollower(c.hardState.Term, 0)
 }
 
-// TransferLeadership starts a leadership transfer to the responsive voter that holds most of
-// the log. It returns false if this member does not lead or no other voter is responsive.
+// TransferLeadership starts a leadership transfer to the responsive voter with the highest
+// match index. It returns false if this member does not lead or no other voter is responsive.
 func (c *Core) TransferLeadership(now time.Time) bool {
 	c.now = now
 	if c.role != Leader {
--- a/core/coordination/consensus/replication.go
+++ b/core/coordination/consensus/replication.go
@@ -33,7 +33,8 @@
 // learnerTimeout is the time without contact after which a leader stops sending to a learner.
 const learnerTimeout = 30 * time.Second
 
-// Propose appends a command if the member leads, and returns the index and term of its entry.
+// Propose appends a command if the member leads and is not transferring its leadership. It
+// returns the index and term of the command's entry.
 func (c *Core) Propose(now time.Time, data []byte) (index, term uint64, err error) {
 	c.now = now
 	if c.role != Leader {
--- a/core/coordination/consensus/safety_test.go
+++ b/core/coordination/consensus/safety_test.go
@@ -14,8 +14,8 @@
 	thirdID  = persimmoncross.MemberID(3)
 )
 
-// newThreeVoterCore returns one of three voters. After its snapshot it holds one entry of term
-// 2, which is not known to be committed.
+// newThreeVoterCore returns the Core of one of three voters. After its snapshot the Core holds one
+// entry of term 2, which is not known to be committed.
 func newThreeVoterCore(now time.Time) *Core {
 	c := &Core{
 		Group:             "g",
