--- a/core/coordination/group/error.go
+++ b/core/coordination/group/error.go
@@ -7,10 +7,10 @@
 
 // The kinds of error.
 const (
-	NotLeader      ErrorKind = iota + 1 // this member does not lead; the VM named by Leader may
+	NotLeader      ErrorKind = iota + 1 // this member does not lead, or is transferring its leadership
 	QueueFull                           // the event queue is full, and nothing was proposed
 	OutcomeUnknown                      // the outcome is unknown; the command may still be committed
-	ChangeRejected                      // the change of voters is not allowed at the moment
+	ChangeRejected                      // the change of voters was rejected; Err holds the reason
 	Stopped                             // the replica has stopped
 )
 
--- a/core/coordination/group/replica.go
+++ b/core/coordination/group/replica.go
@@ -25,7 +25,8 @@
 	maxEntriesSinceSnapshot = 8192 // applied entries after which a snapshot is written
 	retainedEntries         = 2048 // entries before the snapshot that are kept for slow followers
 	// maxBytesSinceSnapshot is the number of bytes of applied commands after which a snapshot
-	// is written. It bounds the log in memory and on disk.
+	// is written. It bounds the log in memory and on disk, so no entries are retained before
+	// such a snapshot.
 	maxBytesSinceSnapshot = 8 << 20
 )
 
@@ -319,8 +320,8 @@
 	r.counter("snapshots.written").Inc(1)
 }
 
-// failPendingProposals answers all pending proposals with an error of the given kind, because
-// this member will not observe their outcome.
+// failPendingProposals answers all pending proposals with an error of the given kind. It is
+// called when this member no longer leads or has stopped, and the outcome is not awaited.
 func (r *Replica) failPendingProposals(kind ErrorKind) {
 	for index, pending := range r.pendingProposals {
 		delete(r.pendingProposals, index)
--- a/core/coordination/group/requests.go
+++ b/core/coordination/group/requests.go
@@ -49,7 +49,8 @@
 }
 
 // TransferLeadership starts a leadership transfer to another voter. It returns false if this
-// member does not lead or no voter can take over.
+// member does not lead or no voter can take over, and if the event queue is full, ctx is done
+// or the replica stops.
 func (r *Replica) TransferLeadership(ctx context.Context) bool {
 	reply := make(chan bool, 1)
 	execute := func(now time.Time) { reply <- r.Core.TransferLeadership(now) }
@@ -118,7 +119,8 @@
 	}
 }
 
-// MemberStatuses returns the status of the other members, or nil if this member does not lead.
+// MemberStatuses returns the status of the other members. It returns nil if this member does not
+// lead, and if the event queue is full, ctx is done or the replica stops.
 func (r *Replica) MemberStatuses(ctx context.Context) []consensus.MemberStatus {
 	reply := make(chan []consensus.MemberStatus, 1)
 	execute := func(now time.Time) { reply <- r.Core.MemberStatuses(now) }
