--- a/core/coordination/steward/steward.go
+++ b/core/coordination/steward/steward.go
@@ -21,8 +21,8 @@
 	Voters             []persimmoncross.Member
 	TimeSinceContact   map[persimmoncross.MemberID]time.Duration // by voter, without Self
 	Learners           []Learner
-	TargetVoters       int           // number of voters that the group should have
-	UnreachableTimeout time.Duration // time without contact after which a voter that has a successor is removed
+	TargetVoters       int           // number of voters that the group should have; a successor may exceed it by one
+	UnreachableTimeout time.Duration // time without contact after which a voter is removed if there are more than TargetVoters
 }
 
 // VoterChange is a change of the set of voters by one member. The zero value is no change.
@@ -40,8 +40,12 @@
 // A learner on the VM of a voter, with another ID, proves that the voter's disk was lost,
 // because a member gets a new ID only if its directory is empty. The lost voter is removed
 // first, so that it no longer counts for the quorum, and its successor is added once it has
-// caught up. A voter that is unreachable for longer than UnreachableTimeout is removed only
-// while the group has more than TargetVoters voters.
+// caught up.
+//
+// A learner that has caught up is added while the group has at most TargetVoters voters, so the
+// group can have one voter more. A voter that is unreachable for longer than UnreachableTimeout
+// is removed only while the group has more than TargetVoters voters, the longest unreachable one
+// first.
 func NextChange(status GroupStatus) VoterChange {
 	for _, l := range status.Learners {
 		for _, v := range status.Voters {
