--- a/core/coordination/upgrade/stages.go
+++ b/core/coordination/upgrade/stages.go
@@ -109,7 +109,7 @@
 	// with all requests gives as many as the whole trial.
 	extraRequestsFraction = 0.8
 	maxShiftAdvance       = 1500 * time.Millisecond
-	// prepareDuration is the time in which the sessions reported by all entries have reached
+	// prepareDuration is the time after which the sessions reported by all entries have reached
 	// the leader. It allows two intervals of half a second and a margin.
 	prepareDuration = 1500 * time.Millisecond
 )
@@ -218,15 +218,16 @@
 }
 
 // smallSampleFailureReason returns why a version must be withdrawn although it does not meet the
-// failure criterion, or "" if it need not be. This applies if some of a route's few answers
-// failed, and hardly any of the old version's.
+// failure criterion, or "" if it need not be. This applies if a route has at least
+// minSmallSampleFailures but fewer than minFailures failures, and so many are improbable at the
+// old version's failure rate.
 func smallSampleFailureReason(evidence Evidence) string {
 	for route, newStats := range evidence.New {
 		oldStats := evidence.Old[route]
 		if newStats.Failed < minSmallSampleFailures || newStats.Failed >= minFailures {
 			continue
 		}
-		// One more failure than observed, so that the rate is above zero on a route without any.
+		// One failure and two answers are added, so that the rate is above zero on a route without failures.
 		oldRate := float64(oldStats.Failed+1) / float64(oldStats.Answers+2)
 		if binomialTail(newStats.Failed, newStats.Answers, oldRate) < maxFalsePositiveProbability {
 			return fmt.Sprintf("%d of only %d answers failed, of the old version's %d of %d on route %s", newStats.Failed, newStats.Answers, oldStats.Failed, oldStats.Answers, route)
--- a/core/coordination/upgrade/stages_test.go
+++ b/core/coordination/upgrade/stages_test.go
@@ -60,7 +60,7 @@
 		New: onRoute(timedAnswers(60, 0.025, 0.01)),
 		Old: onRoute(timedAnswers(600, 0.055, 0.04)),
 	}
-	// With a share of 0.15 and a duration of 20 s all requests go to the new version after 19 s.
+	// With a share of 0.15 and a duration of 20 s all requests go to the new version after about 19 s.
 	tests := []struct {
 		name     string
 		stage    register.Stage
@@ -363,7 +363,7 @@
 // requests of the exposure limit make the shift longer, so that the failures are found.
 func TestDecisionsWithFewRequests(t *testing.T) {
 	type route struct {
-		requestsPerSecond, failureRate float64 // failureRate is of the old version's answers
+		requestsPerSecond, failureRate float64 // failureRate is the fraction of the old version's answers that fail
 	}
 	routes := []route{{12.1, 0.004}, {5.27, 0.14}}
 	const (
