--- a/core/coordination/placement/placement.go
+++ b/core/coordination/placement/placement.go
@@ -3,8 +3,9 @@
 //
 // All entries rank the upstreams of a prompt's prefix key in the same order without
 // exchanging messages, so that the shared prefix is prefilled once and then found in the
-// upstream's cache. A prompt goes to another upstream than the preferred one if it would
-// wait there for longer than prefilling the shared prefix again would take.
+// upstream's cache. A prompt goes to another upstream than the preferred one if its expected
+// wait at the preferred one exceeds the mean of the candidates by more than a fixed allowance
+// and a multiple of the time to prefill the shared prefix again.
 package placement
 
 import (
@@ -23,8 +24,9 @@
 	// because load data is about half a second old, and in that time all entries would send
 	// to the few upstreams that were idle.
 	maxExtraWait = 100 * time.Millisecond
-	// maxWaitPerPrefixPrefill limits the wait at the preferred upstream to this multiple of
-	// the prefill time of the shared prefix. A repeated prefill would delay other requests too.
+	// maxWaitPerPrefixPrefill is the multiple of the shared prefix's prefill time by which the
+	// wait at the preferred upstream may exceed the mean and maxExtraWait. It is above 1 because
+	// a repeated prefill would delay other requests too.
 	maxWaitPerPrefixPrefill = 4
 	// meanSlotHoldTime is the approximate time for which a request occupies a slot. A request
 	// that finds no free slot is expected to wait for a fraction of this time.
@@ -56,7 +58,7 @@
 	PrefixPrefillTime time.Duration // time to prefill the shared prefix again
 }
 
-// NoCandidate is the index returned for no candidate.
+// NoCandidate is the copyFrom index that [Place] returns if there is no prefix to copy.
 const NoCandidate = -1
 
 // Place returns the index of the candidate that gets the request, and the index of the
--- a/core/coordination/placement/placement_test.go
+++ b/core/coordination/placement/placement_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Only a quarter of the entries may send to a cold upstream. With a hash weight that stands
-// for the other entries, the upstream gets about its usual share of the prompts. Without the
-// weight it gets a quarter of that share.
+// Only a quarter of the entries may send to a cold upstream. With a hash weight of 4, because each
+// of them sends for four entries, the upstream gets about its usual share of the prompts. Without
+// the weight it gets a quarter of that share.
 func TestHashWeightOffsetsEntriesThatDoNotSend(t *testing.T) {
 	const prompts, upstreams, entries, senders = 4000, 12, 8, 2
 	for _, tt := range []struct {
