--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -22,7 +22,8 @@
 	committed() bool
 }
 
-// errCallerGone means that the caller no longer accepts the response.
+// errCallerGone means that the responseWriter has rejected a part of the response, because the
+// caller has disconnected or because a buffered answer has become too large.
 var errCallerGone = errors.New("dispatch: the caller has disconnected")
 
 // runStep runs one step of a cascade, or the only step, until an attempt succeeds or no
@@ -310,7 +311,7 @@
 		u.SetBackoff(r.dispatcher.Clock.Now().Add(a.RetryAfter))
 	}
 	if v.Model == "" || a != nil && (a.Overloaded || a.Run == persimmoncross.NotRun) {
-		return // a fault of the engine, not of the version
+		return // a plain service has no version, and the other two are faults of the engine
 	}
 	r.dispatcher.RolloutEvidence.RecordRun(v, r.request.Organisation.Name, err != nil, r.timeToFirstToken)
 }
--- a/core/coordination/dispatch/dispatcher.go
+++ b/core/coordination/dispatch/dispatcher.go
@@ -49,7 +49,7 @@
 	QuarantineStore    *quarantine.Store
 	Table              *routing.Table
 	Limiter            *limits.Limiter
-	Rater              persimmoncross.Rater // nil: a cascade uses the first step's answer
+	Rater              persimmoncross.Rater // nil: a cascade uses the first complete answer, unrated
 	Joiner             persimmoncross.Joiner
 	CascadeEstimator   *cascade.Estimator
 	RolloutEvidence    RolloutEvidence
--- a/core/coordination/dispatch/request.go
+++ b/core/coordination/dispatch/request.go
@@ -9,7 +9,7 @@
 	"persimmoncross/core/state/settings"
 )
 
-// Request is an admitted request.
+// Request is a caller's request, as passed to [Dispatcher.Serve].
 type Request struct {
 	ID             string
 	IdempotencyKey string // set by the caller; "" if there is none
@@ -35,8 +35,8 @@
 	return "request:" + w.ID
 }
 
-// idempotencyDigest returns a digest that is the same for two requests with the same
-// idempotency key only if they are the same request.
+// idempotencyDigest returns a digest of the method, path, target, session and body. A request
+// that has the idempotency key of an earlier request but another digest is refused.
 func (w *Request) idempotencyDigest() []byte {
 	h := sha256.New()
 	for _, s := range []string{w.Method, w.Path, w.TargetName, w.SessionID} {
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -14,10 +14,10 @@
 	"persimmoncross/core/state/record"
 )
 
-// Limits of joining a request that another entry runs. After maxJoinAttempts failed attempts,
-// joinRetryInterval apart, the other entry's process is considered dead. All attempts together
-// take longer than a settings lease, so by then the other process can no longer send a request
-// to an upstream.
+// Limits of joining a request that another entry runs. If the join still fails after
+// maxJoinAttempts retries, joinRetryInterval apart, the other entry's process is considered
+// dead. The retries together take longer than a settings lease, so by then the other process
+// can no longer send a request to an upstream.
 const (
 	maxJoinAttempts   = 12
 	joinRetryInterval = 250 * time.Millisecond
@@ -61,7 +61,7 @@
 	}
 	defer func() { r.quarantineRequest.Done(r.runStatus != persimmoncross.NotRun) }()
 	if refusal := r.checkQuarantine(); refusal != nil {
-		sink.End(refusal) // before the request is claimed
+		sink.End(refusal) // the request is not claimed yet, so there is nothing to settle
 		return
 	}
 	claimed, refusal := r.prepare(ctx)
--- a/core/coordination/dispatch/settle.go
+++ b/core/coordination/dispatch/settle.go
@@ -88,8 +88,8 @@
 	return settlement
 }
 
-// enqueueLateSettlement queues the settlement of a request whose caller has received its
-// final response although the ledger did not commit the settlement. RunLateSettlements
+// enqueueLateSettlement queues the settlement of a request whose caller gets its final
+// response although the ledger did not commit the settlement. RunLateSettlements
 // settles the request as failed or as not run once the ledger is available again; otherwise
 // the claim would remain until this process exits.
 func (d *Dispatcher) enqueueLateSettlement(r *execution) {
