--- a/core/coordination/routing/breaker.go
+++ b/core/coordination/routing/breaker.go
@@ -41,8 +41,8 @@
 	return b
 }
 
-// reset drops the breakers. A request in flight may still report to the breaker that it
-// obtained before.
+// reset drops the breakers. An attempt that is in flight at the reset reports its outcome to
+// the breaker that replaces the dropped one.
 func (b *versionBreakers) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/coordination/routing/isolation.go
+++ b/core/coordination/routing/isolation.go
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// pickIsolated returns the upstream reserved for the request, which is isolated. It returns
-// nil if that upstream cannot take the request now, because the request must not run at any
-// other upstream.
+// pickIsolated returns the upstream reserved for an isolated request. It returns nil if that
+// upstream cannot take the request now, because the request must not run at any other
+// upstream.
 func pickIsolated(info PickInfo, list []*Upstream, now time.Time) *Upstream {
 	u := reservedUpstream(info.IsolatedDigest, list)
 	if u == nil || info.TriedUpstreams[u.Name] || u.backoff.remaining(now) > 0 || !u.Breaker(info.Version).Allows() {
--- a/core/coordination/routing/picker.go
+++ b/core/coordination/routing/picker.go
@@ -51,7 +51,8 @@
 	return cheapest[e.Random.IntN(len(cheapest))]
 }
 
-// expectedCost returns the expected time to the first token, in seconds.
+// expectedCost returns the expected time to the first token plus the penalties for failed
+// attempts and for another data centre, in seconds.
 func expectedCost(c persimmoncross.Candidate, promptBytes int) float64 {
 	meanDuration := c.MeanDuration
 	if meanDuration == 0 {
--- a/core/coordination/routing/table.go
+++ b/core/coordination/routing/table.go
@@ -1,9 +1,9 @@
 // Package routing holds the state of the upstreams as observed by one entry, and
 // picks the upstream for each attempt.
 //
-// A [Table] is shared by the request goroutines. The state of an upstream consists
-// of counters and small records that are replaced as a whole, so that a pick reads
-// them without blocking.
+// A [Table] is shared by the request goroutines. The map of upstreams is replaced as
+// a whole, so that a pick reads it without locking. The state of an upstream consists
+// of atomic values and of small records, each guarded by its own lock.
 package routing
 
 import (
