--- a/core/coordination/limits/limiter.go
+++ b/core/coordination/limits/limiter.go
@@ -17,7 +17,9 @@
 
 // Limits of the admission control while the upstreams are loaded.
 const (
-	fairShareThreshold      = 0.7 // of the slots; the rest is left for organisations below their fair share
+	// fairShareThreshold is the share of the slots in use from which fair shares are enforced;
+	// the rest is left for organisations below their fair share.
+	fairShareThreshold      = 0.7
 	maxSoleOrganisationLoad = 8.0 // requests per slot for an organisation that is alone in the pool
 	overloadRetryAfter      = time.Second
 )
@@ -58,8 +60,9 @@
 	Concurrency int
 }
 
-// Admit admits a request of the organisation, or refuses it with the delay after which it
-// would be admitted. The returned function must be called when the request ends.
+// Admit admits a request of the organisation, or refuses it with a Retry-After delay. A request
+// over the rate limit gets the time until the organisation's next token as the delay. The
+// returned function must be called when the request ends.
 func (l *Limiter) Admit(organisation string, quota Quota) (release func(), refusal *persimmoncross.Refusal) {
 	entryShare := 1 / float64(max(1, l.LiveEntries()))
 	rate := quota.Rate * entryShare
