--- a/core/coordination/orders/planner.go
+++ b/core/coordination/orders/planner.go
@@ -48,7 +48,7 @@
 
 // Planner plans the orders of one leader.
 type Planner struct {
-	MaxConcurrentLoads int           // limit for all engines together, set by the capacity of the weight store
+	MaxConcurrentLoads int           // limit for all engines together, set by the capacity of the weight store; 0 means DefaultMaxConcurrentLoads
 	LeaderSince        time.Time     // when this VM became the leader
 	FormerLeaderLease  time.Duration // how long a former leader may still send orders
 
@@ -120,8 +120,9 @@
 	return Order{}, false
 }
 
-// canSpare reports whether each version that the engine serves is also served by another
-// engine that is not loading, because an engine may be slow while it loads.
+// canSpare reports whether the engine may load a version now. An engine may be slow while it
+// loads, so each version that it serves must also be served by another engine that is not
+// loading, unless no other engine is declared for that version.
 func (p *Planner) canSpare(e Engine, engines []Engine) bool {
 	for _, v := range e.Reported {
 		soleProvider := true
