--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -18,17 +18,20 @@
 	"persimmoncross"
 )
 
-// Limits of the collector.
+// Limits of the collector. A control run is a run of a version that is not being rolled out.
 const (
 	maxConsecutiveFailures = 5    // failed runs in a row after which the entry withholds the version
-	slowQuantile           = 0.95 // quantile of the baseline's times to the first token above which a run is slow
-	runsPerSlowUpdate      = 64   // baseline runs between two updates of that quantile
-	latencySampleSize      = 512  // size of the sample of times to the first token
+	slowQuantile           = 0.95 // quantile of the control runs' times to the first token above which a run is slow
+	runsPerSlowUpdate      = 64   // control runs between two updates of that quantile
+	latencySampleSize      = 512  // size of the sample of those times
 	latencySampleDecay     = 0.015
-	minLatencySamples      = 32          // runs before any run is classified as slow
-	maxControlRuns         = 8           // latest runs of other versions that are kept for pairing
-	budgetRenewInterval    = time.Minute // after which a stage gets its budget again, as it may be stuck because callers disconnected
-	minBaselineRatings     = 50          // baseline answers that are rated before any of the new version
+	minLatencySamples      = 32 // control runs before any run is classified as slow
+	maxControlRuns         = 8  // latest control runs that are kept for pairing
+	// budgetRenewInterval is the interval at which a stage's budget is renewed, because requests
+	// whose callers disconnected use the budget without completing a run, and the stage would
+	// otherwise get no more requests.
+	budgetRenewInterval = time.Minute
+	minBaselineRatings  = 50 // baseline answers that are rated even if none of the new version has been rated
 )
 
 // Tally counts the outcomes of one version's runs for one organisation.
@@ -72,9 +75,11 @@
 
 // Plan is a rollout in force, as this entry has to follow it.
 type Plan struct {
-	Baseline    persimmoncross.ModelVersion
-	Stage       int
-	StageBudget int     // number of requests that this entry may send to the version in the stage
+	Baseline persimmoncross.ModelVersion
+	Stage    int
+	// StageBudget is the number of requests that this entry may send to the version in each
+	// budgetRenewInterval of the stage.
+	StageBudget int
 	Margin      float64 // excess of the rate of bad runs over the baseline's that makes the version bad
 }
 
@@ -181,8 +186,8 @@
 }
 
 // ShouldRate reports whether an answer of the version should be rated. All answers of a version
-// that is being rolled out are rated, and somewhat more than that many of the version that it
-// replaces, so that the rollouts' budgets limit the load of the rater.
+// that is being rolled out are rated. Of the version that it replaces, up to twice that number
+// plus minBaselineRatings are rated, so that the rollouts' budgets limit the load of the rater.
 func (e *Collector) ShouldRate(v persimmoncross.ModelVersion) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -243,8 +248,8 @@
 	}
 }
 
-// StageRuns returns, for each version being rolled out, its stage and the number of runs
-// completed in that stage at this entry.
+// StageRuns returns, for each version that is or was being rolled out, its latest stage and the
+// number of runs completed in that stage at this entry.
 func (e *Collector) StageRuns() map[persimmoncross.ModelVersion]StageRuns {
 	e.mu.Lock()
 	defer e.mu.Unlock()
