--- a/clock.go
+++ b/clock.go
@@ -31,8 +31,9 @@
 // After implements [Clock].
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// maxClockReadSkew limits the difference between two clocks read one after the other that is
-// attributed to the process being descheduled between the two reads.
+// maxClockReadSkew is the largest difference between the two clocks that does not count as a
+// suspension. The clocks are read one after the other, and the process may be descheduled
+// between the two reads.
 const maxClockReadSkew = 100 * time.Millisecond
 
 // Suspended implements [SuspendClock]. It returns 0 where the system does not provide the two
--- a/upstream.go
+++ b/upstream.go
@@ -120,7 +120,7 @@
 	Address           netip.AddrPort
 	SameDataCentre    bool    // in the same data centre as the entry
 	InFlight          int     // this entry's in-flight attempts
-	EstimatedInFlight float64 // all entries' attempts, as if the others' were spread evenly
+	EstimatedInFlight float64 // estimated attempts of all entries; each other entry is assumed to have this entry's average
 	Slots             int
 	MeanDuration      time.Duration // mean duration of an attempt; 0 if unknown
 	CachedBytes       int           // estimated bytes of the prompt in the upstream's cache
