--- a/core/coordination/retry/budget.go
+++ b/core/coordination/retry/budget.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// buckets is the number of buckets into which the window of a [Budget] is divided.
+// buckets is the number of parts into which the window of a [Budget] is divided.
 const buckets = 20
 
 // Budget is a retry budget: it limits the retries in a sliding window by the credit that the
@@ -16,10 +16,10 @@
 	BaseAllowance float64 // retries allowed in addition to the earned credit
 	MinAllowance  float64 // retries allowed at least, even without requests
 
-	bucketStart time.Time // of the current bucket
-	earned      [buckets]float64
-	used        [buckets]int
-	current     int // index of the newest bucket
+	bucketStart time.Time        // start of the newest bucket
+	earned      [buckets]float64 // credit earned in each bucket
+	used        [buckets]int     // retries allowed in each bucket
+	current     int              // index of the newest bucket
 }
 
 // RecordRequest records a request. credit is the number of retries that it earns, usually a
--- a/core/coordination/retry/budget_test.go
+++ b/core/coordination/retry/budget_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// For any sequence of requests and retries, the retries in a window stay within the limit
-// that follows from its requests and those of the preceding bucket.
+// For any sequence of requests and retries, the retries in a window less one bucket stay
+// within the limit that follows from the requests in the whole window.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
