--- a/core/coordination/slowstart/slowstart.go
+++ b/core/coordination/slowstart/slowstart.go
@@ -4,7 +4,7 @@
 //
 // Entries can't coordinate on each request. So some entries are the owners of each cold
 // upstream and send to it at a limited interval; the others send nothing. The limit holds
-// however the requests of the owners coincide.
+// even if all owners send at the same time.
 package slowstart
 
 import (
@@ -31,7 +31,7 @@
 // requests of each owner. In a window each owner can send one request more than intervals
 // fit into it, so the arrivals at the average rate and one request per owner together have
 // to fit into MaxPerSecond. More owners would leave a lower rate to each of them; fewer
-// owners could not use the whole limit.
+// owners would leave a part of MaxPerSecond unused.
 func (l ColdLimit) Allocate(entries int) (owners int, interval time.Duration) {
 	rate := max(l.Rate, 0.1)
 	owners = min(entries, int(l.MaxPerSecond-rate*arrivalWindow.Seconds()))
@@ -47,7 +47,7 @@
 type ColdUpstream struct {
 	ColdUntil time.Time
 	Owners    []string      // names of the entries that may send requests
-	Interval  time.Duration // between two requests of an owner
+	Interval  time.Duration // time between two requests of an owner
 	// Weight is the number of entries for which each owner sends, because requests whose
 	// preferred upstream this is reach it from the owners only.
 	Weight float64
@@ -61,7 +61,8 @@
 	Limit      ColdLimit
 }
 
-// coldUntilTolerance is the difference in ColdUntil up to which an observation is no change.
+// coldUntilTolerance is the difference in ColdUntil up to which an observation is not treated
+// as a change.
 const coldUntilTolerance = 300 * time.Millisecond
 
 // Update returns the instances that are cold now, from the previous ones and the
@@ -125,7 +126,7 @@
 // instance, and does not limit.
 type Pacer struct {
 	coldUntil time.Time
-	interval  time.Duration // 0 if this entry is not an owner
+	interval  time.Duration // time between two requests; 0 if this entry is not an owner
 	weight    float64
 	nextSend  time.Time
 }
