--- a/core/coordination/outlier/idle.go
+++ b/core/coordination/outlier/idle.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Parameters of the idle timeout of an upstream that sends nothing to this entry at all. An
-// upstream that still sends events is only busy: leaving its queue would mean to join another
-// queue at its end.
+// upstream that still sends events is only busy, and a request that left its queue would join
+// another queue at the end.
 const (
 	headWaitFactor        = 4.0 // factor of the expected wait for the response head
 	headObjectiveFraction = 0.4 // minimum, as a fraction of the route's objective
@@ -21,9 +21,10 @@
 	// minActiveStreams is the number of active streams of this entry from which their timeout
 	// also applies to a request that has no response head yet.
 	minActiveStreams = 2
-	// prefillFactor is the factor of the pending prefill time. An upstream that prefills a
-	// long prompt sends nothing at all for seconds, and its streams must not be ended for
-	// that.
+	// prefillFactor is the factor of the pending prefill time in the minimum timeout of a
+	// response head. An upstream that prefills a long prompt sends nothing at all for seconds.
+	// Its streams must not be ended because of that, so their timeout is extended by the
+	// pending prefill time itself.
 	prefillFactor = 2
 	// pauseHalfLife is the age at which a recorded pause counts by half.
 	pauseHalfLife = time.Second
@@ -32,13 +33,13 @@
 // IdleState holds the inputs of the idle timeout of an attempt.
 type IdleState struct {
 	ExpectedHeadWait  time.Duration // expected wait for the response head; 0: not known
-	Objective         time.Duration // of the route
-	PauseLimit        time.Duration // the route's longest pause between events; 0: no limit
+	Objective         time.Duration // latency objective of the route
+	PauseLimit        time.Duration // longest pause between events that the route allows; 0: no limit
 	HeadReceived      bool          // the response head has been received
 	ActiveStreams     int           // streams of this entry that have started at the upstream
 	RecentPause       time.Duration // longest recent pause of those streams
 	PendingPrefill    time.Duration // prefill time of the prompts that wait at the upstream
-	SuspectedByOthers bool          // other entries suspect the upstream
+	SuspectedByOthers bool          // a quorum of entries suspects the upstream (see SuspicionQuorum)
 }
 
 // Timeout returns the time after which an attempt at an upstream that sends nothing is ended,
--- a/core/coordination/outlier/lossylinks.go
+++ b/core/coordination/outlier/lossylinks.go
@@ -13,8 +13,8 @@
 	// stays lossy for longer.
 	initialLossyDuration = 4 * time.Second
 	maxLossyDuration     = 8 * time.Second
-	// recurrenceWindow is the time after the end of a lossy period in which the next period
-	// lasts twice as long.
+	// recurrenceWindow is the time after the end of a lossy period. A period that begins within
+	// this time lasts twice as long as the previous one, up to maxLossyDuration.
 	recurrenceWindow = 3 * time.Second
 )
 
@@ -23,8 +23,8 @@
 // are.
 const lossDelayPerToken = 2 * time.Millisecond
 
-// minLossDelay is the minimum expected delay, and that of a response that is no stream: one
-// of its few packets may be lost.
+// minLossDelay is the minimum expected delay on a lossy link. It is also the expected delay
+// of a response that is not a stream, because one of its few packets may be lost.
 const minLossDelay = 100 * time.Millisecond
 
 // LossyLinks detects lossy links to data centres by the times at which events arrive. In the
@@ -65,7 +65,8 @@
 }
 
 // ExpectedDelay returns the expected delay that packet loss on the link to a data centre
-// causes for a response of up to so many tokens; 0 tokens: the response is no stream.
+// causes for a response of up to the given number of tokens, which is 0 if the response is
+// not a stream.
 func (l *LossyLinks) ExpectedDelay(dataCentre string, tokens int, now time.Time) time.Duration {
 	link := l.byDataCentre[dataCentre]
 	if link == nil || !now.Before(link.lossyUntil) {
--- a/core/coordination/outlier/suspicion.go
+++ b/core/coordination/outlier/suspicion.go
@@ -19,8 +19,8 @@
 	// connection to the upstream.
 	SuspicionQuorum = 2
 	// MaxLoadReportAge is the maximum age of the latest load report of an upstream that
-	// works. An upstream that has answered any entry since then is not avoided because of
-	// the suspicion of other entries.
+	// works. An upstream that has answered any entry within this time is not avoided because
+	// of the suspicion of other entries.
 	MaxLoadReportAge = time.Second
 	// probeRequests, divided by the number of entries, is the share of the requests for a
 	// suspected upstream that are still sent to it as probes. The first that is answered ends
@@ -35,7 +35,7 @@
 // suspected.
 type Suspicion struct {
 	suspectedUntil time.Time
-	duration       time.Duration // of the latest suspicion
+	duration       time.Duration // duration of the latest suspicion; 0 after Clear
 	lastFailure    time.Time     // when the latest attempt failed
 }
 
@@ -72,7 +72,7 @@
 // FleetSuspicion is the suspicion of an upstream by all entries together.
 type FleetSuspicion struct {
 	SuspectingEntries int
-	LoadReportAge     time.Duration // of the latest load report that any entry received
+	LoadReportAge     time.Duration // age of the latest load report that any entry received, less the delay of its distribution
 	Entries           int           // number of entries in the fleet
 }
 
