--- a/core/coordination/ratelimit/limiter.go
+++ b/core/coordination/ratelimit/limiter.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// An upstream tolerates, in any window, overshoot times its limit and burst more requests.
+// In any window, an upstream tolerates overshoot times the number of requests that its limit
+// allows, plus burst requests.
 const (
 	window    = 4 * time.Second
 	overshoot = 1.5
@@ -25,7 +26,7 @@
 	// entries would be open after an idle period, and be used at once when the other
 	// upstreams fail.
 	slotLength = time.Second
-	// minShare is the part of a limit that is used at least, with any number of entries.
+	// minShare is the minimum part of a limit that the entries use together.
 	minShare  = 0.5
 	shareStep = 0.25 // step by which usableShare reduces the part
 	// maxDeviations is the number of standard deviations above the mean number of slots in a
@@ -58,15 +59,16 @@
 	rate         float64 // requests per second of all entries; 0: no limit
 	entries      int
 	lastSent     time.Time
-	lastObserved time.Time // when the latest response with the limit was received
+	lastObserved time.Time // when SetLimit was called last
 	notBefore    time.Time // no slot starts earlier
 	firstSlot    time.Time // start of the first slot
 	period       time.Duration
 	nextSlot     int // index of the first unused slot
 }
 
-// SetLimit sets the limit that a response contained. phase, in [0, 1), is the position of
-// the first slot in the first period. It reports whether the limit has changed.
+// SetLimit sets the limit that a response to this entry or to another one contained. phase, in
+// [0, 1), is the position of the first slot in the first period. SetLimit reports whether the
+// limit has changed.
 func (l *Limiter) SetLimit(rate float64, entries int, now time.Time, phase float64) (changed bool) {
 	l.lastObserved = now
 	if l.rate > 0 && withinTolerance(l.rate, rate) {
@@ -136,9 +138,9 @@
 	return true
 }
 
-// Weight returns the number of entries whose requests this entry sends while its slot is
-// open, since the slots of the others are closed then. With a weight of 1 most slots would
-// pass before a request arrives whose preferred upstream this is.
+// Weight returns the number of entries for which this entry sends while its slot is open,
+// because on average only one entry in that many has an open slot. With a weight of 1, most
+// slots would pass before a request arrives whose preferred upstream this is.
 func (l *Limiter) Weight() float64 {
 	if l.rate == 0 {
 		return 1
--- a/core/coordination/ratelimit/store.go
+++ b/core/coordination/ratelimit/store.go
@@ -98,7 +98,8 @@
 	return s.notify()
 }
 
-// notify returns the channel. The caller holds mu.
+// notify returns the channel that receives a value after changes. It sends nothing itself. The
+// caller holds mu.
 func (s *Store) notify() chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{}, 1)
@@ -106,8 +107,8 @@
 	return s.changed
 }
 
-// ChangesSince returns up to limit changes after the version (0 for all) in order, the
-// version after them, and whether there are more.
+// ChangesSince returns up to limit changes after the version (0 for all) in the order of their
+// versions, the version from which to continue, and whether there are more.
 func (s *Store) ChangesSince(version uint64, limit int) (observations []Observation, next uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
