--- a/core/coordination/quarantine/disconnect.go
+++ b/core/coordination/quarantine/disconnect.go
@@ -19,8 +19,8 @@
 	replacementWindow = 6 * time.Second
 	// maxDisconnects limits the pending disconnects of one instance.
 	maxDisconnects = 128
-	// crashedInstanceRetention is how long the crash of an instance is kept, because its
-	// connections break at different times.
+	// crashedInstanceRetention is how long further disconnects from a crashed instance are
+	// recorded as part of its crash, because its connections break at different times.
 	crashedInstanceRetention = 10 * time.Second
 )
 
@@ -33,7 +33,8 @@
 }
 
 // pendingDisconnects are the disconnects of one instance that are not known to be crashes,
-// in order of time. Nothing has been received from the instance since the first of them.
+// in order of time. A disconnect is removed when a run starts or completes that was sent to
+// the instance after it (see [Recorder.markAlive]).
 type pendingDisconnects struct {
 	disconnects   []disconnect
 	probing       bool      // a probe of the address is in progress
@@ -158,8 +159,8 @@
 	return blamed
 }
 
-// markAlive records that the instance has started a run that was sent at sentAt, so that
-// earlier disconnects were no crashes. The caller holds mu.
+// markAlive records that the instance has started or completed a run that was sent at sentAt,
+// so that earlier disconnects were no crashes. The caller holds mu.
 func (rec *Recorder) markAlive(instanceID string, sentAt time.Time) {
 	pending := rec.pending[instanceID]
 	if pending == nil {
--- a/core/coordination/quarantine/evaluate.go
+++ b/core/coordination/quarantine/evaluate.go
@@ -63,7 +63,7 @@
 // requests that crash upstreams if upstreams crash faster than they start. The operators'
 // bound allows three runs later than some seconds after the third crash. Up to two happen
 // before a contested request is proven, so with one trial in the first ten minutes the
-// bound holds for that time.
+// bound holds for that time. The last delay also applies to all later trials.
 var trialDelays = []time.Duration{30 * time.Second, 10 * time.Minute, 30 * time.Minute}
 
 // Crash is a crash of an upstream's process while a request ran there.
@@ -104,7 +104,7 @@
 	Record
 	suspicion         float64            // see computeSuspicion
 	adjustedSuspicion float64            // with the speed factor, for comparison with other requests
-	rivalSuspicions   map[string]float64 // by InstanceID: the highest of another request there
+	rivalSuspicions   map[string]float64 // by InstanceID: highest adjusted suspicion of another request there
 }
 
 // Evaluate returns the changes of quarantines that follow from the records of all VMs, one
@@ -123,7 +123,9 @@
 		attributed := s.attributedCrashes()
 		proven := len(attributed) >= refuseCrashes && s.isProven(attributed)
 		settled := ok && now.Sub(existing.Since) >= s.settleTime()
-		canIsolate := !ok && isolatedCount < maxIsolated // otherwise the request is refused as soon as it is proven
+		// If too many requests are isolated already, a request without a quarantine is refused
+		// as soon as it is proven.
+		canIsolate := !ok && isolatedCount < maxIsolated
 		switch {
 		case existing.Stage == persimmoncross.QuarantineRefuse:
 			if c, ok := s.updateTrial(existing, now); ok {
@@ -140,7 +142,7 @@
 }
 
 // updateTrial returns the change of a refused request that starts or ends a trial, or ends
-// the refusal, and false if there is none.
+// the refusal, and false if nothing changes.
 func (s *score) updateTrial(quarantine TrackedQuarantine, now time.Time) (Change, bool) {
 	c := Change{
 		Quarantine: quarantine.Quarantine,
--- a/core/coordination/quarantine/log.go
+++ b/core/coordination/quarantine/log.go
@@ -11,7 +11,7 @@
 
 // LogChanges logs the changes of an evaluation; err is the reason why they were not applied,
 // nil if they were. There can be thousands of changes, so only the first maxLoggedChanges are
-// logged one by one, and the number of the others.
+// logged one by one, and only the number of the others is logged.
 func LogChanges(log zerolog.Logger, changes []Change, now time.Time, err error) {
 	for _, c := range changes[:min(len(changes), maxLoggedChanges)] {
 		crashes := zerolog.Arr()
--- a/core/coordination/quarantine/recorder.go
+++ b/core/coordination/quarantine/recorder.go
@@ -27,7 +27,7 @@
 	crashedAt       map[string]time.Time           // by InstanceID
 	inFlight        map[persimmoncross.Digest][]*Run
 	lastTrial       map[persimmoncross.Digest]int    // number of the latest trial that was claimed here
-	recentCompleted [2]map[persimmoncross.Digest]int // completed runs, newer and older half
+	recentCompleted [2]map[persimmoncross.Digest]int // completed runs in the newer and the older half of completedRetention
 	rotatedAt       time.Time                        // when recentCompleted was rotated last
 	version         uint64                           // counts changes of records
 }
@@ -228,9 +228,10 @@
 	record.version = rec.version
 }
 
-// Records returns the records that changed since a version that an earlier call returned,
-// 0 for all, and the current version. The run time of runs in flight is included, since it
-// counts in favour of their requests.
+// Records returns the records that changed since a version that an earlier call returned, 0
+// for all, and the current version. Records of requests with started runs in flight are always
+// returned, and include the run time of these runs, because it counts in favour of the
+// requests.
 func (rec *Recorder) Records(since uint64, now time.Time) ([]Record, uint64) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/core/coordination/quarantine/request.go
+++ b/core/coordination/quarantine/request.go
@@ -59,8 +59,9 @@
 }
 
 // ProbeUpstream probes whether the upstream of a run that was disconnected has exited, and
-// records the result. If it has, it returns the digests of the requests that ran there. The
-// probe has to be made at once, because it shows nothing after the upstream has restarted.
+// records the result. If the upstream has exited, ProbeUpstream returns the digests of the
+// requests that ran there. The probe has to be made at once, because it shows nothing after
+// the upstream has restarted.
 func (r *Run) ProbeUpstream(ctx context.Context, prober persimmoncross.Prober, address netip.AddrPort, clock persimmoncross.Clock) (blamed []persimmoncross.Digest, exited bool) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
--- a/core/coordination/quarantine/simulation_env_test.go
+++ b/core/coordination/quarantine/simulation_env_test.go
@@ -26,8 +26,8 @@
 	evaluatedAt           time.Time
 	noIsolation           bool          // isolated requests run at any upstream
 	evaluationPausedUntil time.Time     // no evaluation until then
-	maxQueueTime          time.Duration // for which requests may wait at their upstream
-	reportDelay           time.Duration // of the first entry's reports, until they are evaluated
+	maxQueueTime          time.Duration // maximum time that a request waits at its upstream
+	reportDelay           time.Duration // time until the first entry's reports are evaluated
 	// stagger is the additional delay of each further entry's reports, and of its
 	// notification about the replacement of an instance.
 	stagger time.Duration
@@ -87,7 +87,7 @@
 	name          string
 	interval      time.Duration
 	distinct      bool          // all requests differ from each other
-	runTime       time.Duration // on average
+	runTime       time.Duration // average run time
 	crashAfter    time.Duration // average time after which a run crashes its upstream; 0: never
 	noStartSignal bool          // the start of a run is not observed
 	startAfter    time.Duration
--- a/core/coordination/quarantine/store.go
+++ b/core/coordination/quarantine/store.go
@@ -44,7 +44,7 @@
 }
 
 // Bootstrap takes over the quarantines of other VMs, once. A VM that has just started has
-// no records of crashes that only VMs which are gone had observed.
+// no records of crashes that only VMs observed which have left the fleet.
 func (s *Store) Bootstrap(quarantines []persimmoncross.Quarantine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
