--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -37,8 +37,9 @@
 	blockedBackoff = "backoff"
 )
 
-// availableIn returns how long the target gets no requests from this entry, and the reason.
-// The wait is 0 if the target may get a request at any time.
+// availableIn returns the expected time until the target may get a request, and the reason for
+// the wait. Under a rate limit it is the time until some entry may send a request, which is
+// more than 0 even if this entry may send one now. The wait is 0 if nothing blocks the target.
 func (t *Target) availableIn(now time.Time) (wait time.Duration, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,8 +139,9 @@
 	}, now)
 }
 
-// availableIn returns the time until the first of the service's blocked upstreams may get a
-// request, and the reason why that upstream is blocked. The time is 0 if no upstream is blocked.
+// availableIn returns the expected time until the first of the blocked upstreams may get a
+// request, and the reason why that upstream is blocked. It covers the upstreams that may run
+// the request and are not draining. The time is 0 if none of them is blocked.
 func (c *call) availableIn() (shortest time.Duration, reason string) {
 	now := c.relay.Clock.Now()
 	for _, u := range c.eligibleTargets() {
@@ -151,7 +153,7 @@
 	return shortest, reason
 }
 
-// noneAvailable reports whether no upstream of the service may get a request now.
+// noneAvailable reports whether no upstream that may run the request may get one now.
 func (c *call) noneAvailable() bool {
 	now := c.relay.Clock.Now()
 	return !slices.ContainsFunc(c.eligibleTargets(), func(u *Target) bool { return !u.IsDraining(now) && u.IsAvailable(now) })
--- a/core/coordination/relay/backpressure_test.go
+++ b/core/coordination/relay/backpressure_test.go
@@ -18,8 +18,8 @@
 	return response
 }
 
-// After a response with a rate limit the upstream gets no further request in the window. This
-// also holds for an entry that received the limit from another entry.
+// After a response with a rate limit the upstream gets no further request for a while. This also
+// holds for an entry that received the limit from another entry.
 func TestRateLimitIsObserved(t *testing.T) {
 	responses := []*fakeResponse{rateLimitedResponse(0.5)}
 	for range 40 {
--- a/core/coordination/relay/call.go
+++ b/core/coordination/relay/call.go
@@ -44,7 +44,7 @@
 	modelIndex      int               // index among the route's models
 	triedUpstreams  map[string]bool   // names of the upstreams tried in this round
 	expectedWait    time.Duration     // expected wait of the attempt's upstream when it was picked
-	prefixSource    netip.AddrPort    // upstream to copy the prompt's shared parts from; invalid if none
+	prefixSource    netip.AddrPort    // address of the upstream to copy the prompt's shared parts from; invalid if none
 	attempts        int
 	reachedUpstream bool // an attempt may have reached an upstream
 	retryTaken      bool // the next attempt's retry is already taken from the retry budget
--- a/core/coordination/relay/canarystats.go
+++ b/core/coordination/relay/canarystats.go
@@ -8,11 +8,11 @@
 )
 
 // minFailuresToHalt is the number of failures after which an entry by itself stops sending to
-// the new version, before the fleet decides. They must also be more than a quarter of the
-// executions that this entry observed.
+// the new version, before the fleet decides. The failures must also be more than a quarter of
+// the executions of the new version that this entry observed.
 const minFailuresToHalt = 5
 
-// CanaryKey identifies one count. Responses with different keys are counted separately.
+// CanaryKey identifies one count. Executions with different keys are counted separately.
 type CanaryKey struct {
 	Service      string
 	Version      string
@@ -20,7 +20,8 @@
 	UpgradeOrder uint64 // Order of the upgrade
 }
 
-// CanaryCount counts responses since the entry's start.
+// CanaryCount counts executions during one upgrade since the entry's start. An execution that is
+// interrupted after the response head is counted twice, the second time as failed.
 type CanaryCount struct {
 	Executions        uint64
 	Failed            uint64
@@ -29,13 +30,13 @@
 	DurationSquareSum float64 // sum of the squares of these durations
 }
 
-// CanaryStats counts the responses of both versions while an upgrade is in progress.
+// CanaryStats counts the executions of both versions while an upgrade is in progress.
 type CanaryStats struct {
 	mu     sync.Mutex // guards counts
 	counts map[CanaryKey]*CanaryCount
 }
 
-// recordResult counts a response. u is the upgrade of its service, nil if none is in progress.
+// recordResult counts an execution. u is the upgrade of its service, nil if none is in progress.
 func (s *CanaryStats) recordResult(u *register.Upgrade, k CanaryKey, failed bool) {
 	if u == nil {
 		return
--- a/core/coordination/relay/fleetload.go
+++ b/core/coordination/relay/fleetload.go
@@ -16,10 +16,10 @@
 	InstanceID        string
 	Reported          *persimmoncross.UpstreamLoad // reported by the upstream, without its slots; nil if not recently
 	ReportAge         time.Duration                // age of Reported at the controller
-	PrefillTime       time.Duration                // total of the prompts whose response heads are pending
+	PrefillTime       time.Duration                // total prefill time of the prompts whose response heads are pending
 	SuspectingEntries int                          // number of entries that suspect the upstream
 	Received          bool                         // an entry recently received bytes from the upstream
-	SinceReceived     time.Duration                // time since then, at the controller
+	SinceReceived     time.Duration                // time since the last bytes were received, as measured at the controller
 }
 
 // fleetState is the last FleetLoad of a target.
@@ -50,10 +50,10 @@
 	InstanceID    string
 	Reported      *persimmoncross.UpstreamLoad // nil if the upstream reported none since the previous CollectLoads
 	ReportedAt    time.Time                    // when Reported was received
-	PrefillTime   time.Duration                // total of this entry's prompts whose response heads are pending
+	PrefillTime   time.Duration                // total prefill time of this entry's prompts whose response heads are pending
 	Suspected     bool
 	Received      bool          // bytes were received since the previous CollectLoads
-	SinceReceived time.Duration // time since the last of them
+	SinceReceived time.Duration // time since the last bytes were received
 }
 
 // CollectLoads returns the observations of this entry that the other entries may not have.
@@ -166,7 +166,7 @@
 }
 
 // fleetRequestEstimate estimates the number of requests at the target from the load that the
-// target reported to any entry. The report is half a second old, so the estimate is useful
+// target reported to any entry. The report is about half a second old, so the estimate is useful
 // where requests last longer than that.
 func (t *Target) fleetRequestEstimate(now time.Time) float64 {
 	t.mu.Lock()
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -16,9 +16,9 @@
 	prefixPrefillTime := 50 * time.Millisecond
 	tests := []struct {
 		name          string
-		prefillTime   time.Duration // of the prompts of other entries at the preferred upstream
+		prefillTime   time.Duration // total for the pending prompts of other entries at the preferred upstream
 		reported      *persimmoncross.UpstreamLoad
-		elapsed       time.Duration // since the fleet load was received
+		elapsed       time.Duration // time since the fleet load was received
 		prefixPrefill time.Duration
 		wantMoved     bool
 	}{
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -32,7 +32,7 @@
 		now := c.relay.Clock.Now()
 		target, source := placeRequest(candidates, c.placementPrompt(), now, func(u *Target) time.Duration { return c.linkCost(u, now) })
 		if !target.acquire(now) {
-			continue // a concurrent request took the slot, or set a backoff
+			continue // a concurrent request took the slot, or its response set a backoff
 		}
 		c.expectedWait = target.placementCandidate(now).ExpectedWait()
 		if source != nil {
@@ -64,7 +64,8 @@
 
 // prefixKey returns the key that selects the preferred upstream, which has the prompt's shared
 // parts in its cache. The last part belongs to this request alone, so the key is taken from the
-// part before it, the last one that other requests share.
+// part before it, the last one that other requests share. A prompt of one part has that part's
+// key.
 func prefixKey(request *persimmoncross.ProxyRequest, model string) string {
 	n := len(request.PromptParts)
 	if n == 0 {
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -22,7 +22,7 @@
 // Parameters of the estimate of a target's time to the response head.
 const (
 	timeToHeadWeight   = 0.3                     // weight of one response
-	timeToHeadHalfLife = 1500 * time.Millisecond // of an estimate that gets no new responses
+	timeToHeadHalfLife = 1500 * time.Millisecond // half-life of an estimate that gets no new responses
 )
 
 // Target is one instance of an upstream with the state that this entry keeps for it.
@@ -36,7 +36,7 @@
 type targetState struct {
 	inFlight      atomic.Int64
 	activeStreams atomic.Int64 // streams of this entry in progress
-	clockOrigin   time.Time    // origin of lastReceived, since the time of day may jump
+	clockOrigin   time.Time    // origin of lastReceived, because the time of day may jump
 	lastReceived  atomic.Int64 // when bytes were last received, in nanoseconds since clockOrigin
 
 	mu               sync.Mutex // guards all below
@@ -165,7 +165,8 @@
 	t.breaker.AbandonProbe()
 }
 
-// clearSuspicion ends the suspicion of the target, which has answered.
+// clearSuspicion ends the suspicion of the target and the record that another upstream uses its
+// address, because the target has answered.
 func (t *Target) clearSuspicion() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/coordination/relay/quarantine.go
+++ b/core/coordination/relay/quarantine.go
@@ -12,8 +12,9 @@
 // requests. Above it, other requests run at the reserved instances too.
 const maxReservedFraction = 0.25
 
-// ReservedInstances returns the instance IDs of the targets at which the isolated requests of
-// the list of quarantines run.
+// ReservedInstances returns the instance IDs of the targets at which the isolated requests in the
+// list of quarantines run. It does not consider draining, versions and regions, so pickIsolated
+// may use another target.
 func ReservedInstances(quarantines map[persimmoncross.Digest]persimmoncross.Quarantine, targets map[string][]*Target) map[string]bool {
 	reserved := map[string]bool{}
 	for _, q := range quarantines {
@@ -104,7 +105,7 @@
 }
 
 // refuseIsolated refuses a copy of an isolated request whose target accepts no request now.
-// Another target is soon chosen for the request.
+// Another target is chosen for the request when that target drains or leaves the list.
 func (c *call) refuseIsolated(ctx context.Context) *persimmoncross.Refusal {
 	c.relay.incrementCounter("quarantine.turned-away")
 	if c.executions > 0 || c.headSent {
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -57,8 +57,8 @@
 // Fractions of the operator's retry budget that all entries together use, so that the budget is
 // also kept at the edges of a window.
 const (
-	retryRatioFactor   = 0.95 // of RetryBudgetRatio
-	retryMinimumFactor = 0.7  // of RetryBudgetMinimum
+	retryRatioFactor   = 0.95 // fraction of RetryBudgetRatio
+	retryMinimumFactor = 0.7  // fraction of RetryBudgetMinimum
 )
 
 // histogramSampleSize is the number of values that a histogram keeps, of 8 bytes each.
@@ -210,7 +210,8 @@
 	return r.retryBudget(service).TryRetry(r.Clock.Now())
 }
 
-// retryBudgetLeft returns the fraction of the service's retry budget that is left in the window.
+// retryBudgetLeft returns the fraction of the service's retry budget that is left in the window,
+// 0 if less than one retry is left.
 func (r *Relay) retryBudgetLeft(service string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/coordination/relay/residency_test.go
+++ b/core/coordination/relay/residency_test.go
@@ -9,9 +9,10 @@
 )
 
 // Requests run only in the regions that are allowed for them. This holds for first attempts,
-// retries, resumed streams, copies of shared parts and isolated requests. If both the route and
-// the organisation list regions, both lists apply. If no upstream is in an allowed region,
-// callers are refused at once.
+// retries, resumed streams, copies of shared parts and isolated requests, because the upstreams
+// of all of these are picked from eligibleTargets; this test covers first attempts and retries. If
+// both the route and the organisation list regions, both lists apply. If no upstream is in an
+// allowed region, callers are refused at once.
 func TestDataResidency(t *testing.T) {
 	for _, tt := range []struct {
 		name                              string
--- a/core/coordination/relay/sessions.go
+++ b/core/coordination/relay/sessions.go
@@ -15,8 +15,8 @@
 // and if that is not enough, all sessions.
 const maxSessions = 20000
 
-// Sessions records the version of a service on which each session last ran, so that an upgrade
-// does not move the session. The exported fields are set before use.
+// Sessions records the version of a service on which each session last ran, so that the trial of
+// an upgrade does not move the session. The exported fields are set before use.
 type Sessions struct {
 	// IdleTimeout is the idle time after which a session's next request may run on any version.
 	IdleTimeout time.Duration
@@ -105,6 +105,7 @@
 // chooseVersions returns the version filter for a request to a service that is being upgraded.
 // During the trial a session stays on the version that it ran on. Of the other sessions and the
 // requests without a session, a share runs on the new version; every entry chooses the same ones.
+// If halted is set, the new version gets no requests during the trial.
 func (s *Sessions) chooseVersions(u register.Upgrade, session, request string, share float64, halted bool, now time.Time) versionFilter {
 	filter := versionFilter{
 		version: u.Target,
--- a/core/coordination/relay/slowstart.go
+++ b/core/coordination/relay/slowstart.go
@@ -8,9 +8,9 @@
 	"persimmoncross/core/coordination/slowstart"
 )
 
-// SetCold adds or updates cold instances, by instance ID. Interval is the interval that this
-// entry keeps between requests if it is an owner of the instance, else 0. Each instance is warm
-// after its ColdUntil.
+// SetCold adds or updates cold instances, by instance ID. The Interval of each update is the
+// interval that this entry keeps between requests if it is an owner of the instance, else 0.
+// Each instance is warm after its ColdUntil.
 func (p *Pool) SetCold(updates map[string]slowstart.ColdUpstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,8 +29,9 @@
 	}
 }
 
-// AssumeCold treats all upstreams of a data centre as cold for the duration of their service, or
-// until SetCold sets other values. Upstreams that SetCold has marked as cold are not changed.
+// AssumeCold treats all upstreams of a data centre as cold for the duration that is given for
+// their service, or until SetCold sets other values. This entry sends them no requests meanwhile.
+// Upstreams that SetCold has marked as cold are not changed.
 func (p *Pool) AssumeCold(dataCentre string, durationByService map[string]time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,8 +45,8 @@
 	}
 }
 
-// applyKnownCold sets the slow start of a target on the list, from the controllers' last update
-// if that covers the instance, else from the list itself. The caller holds mu.
+// applyKnownCold sets the slow start of a target on the list: from SetCold if that has marked the
+// instance as cold, else from the list itself. The caller holds mu.
 func (p *Pool) applyKnownCold(t *Target, u persimmoncross.Upstream) {
 	now := p.Clock.Now()
 	if c, known := p.coldInstances[u.InstanceID()]; known && c.ColdUntil.After(now) {
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -239,7 +239,7 @@
 func TestFirstModelDependsOnRetryBudget(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
-		takenRetries int // of 85 in the retry budget
+		takenRetries int // retries taken before the request, out of 85 in the retry budget
 		tokens       int
 		wantModel    string
 	}{
