--- a/internal/node/canarystats.go
+++ b/internal/node/canarystats.go
@@ -10,7 +10,7 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// canaryKey identifies one entry of the canary statistics in a report.
+// canaryKey identifies one record of the canary statistics in a report.
 type canaryKey struct {
 	service string
 	version string
@@ -59,7 +59,8 @@
 	merged := map[canaryKey]*wire.Trial{}
 	for _, report := range []*wire.Account{previous, latest} {
 		for _, t := range report.GetTrials() {
-			// An entry may receive the state of an upgrade before this controller does.
+			// Statistics of an upgrade that this controller does not know yet are kept, because an
+			// entry may receive the state of an upgrade before this controller does.
 			u := upgrades[t.GetService()]
 			if u.Order > t.GetOrder() || u.Order == t.GetOrder() && u.Stage.Ended() {
 				continue
--- a/internal/node/coldupstreams_test.go
+++ b/internal/node/coldupstreams_test.go
@@ -221,7 +221,8 @@
 // TestFallbackListWithoutDocument checks that an entry which reads the list itself before it has a
 // document treats all upstreams as cold that the list reports as cold, because only the document
 // says whether cold upstreams are limited. An entry that ignored the list's report and started
-// while there was no leader sent 25 requests in a second to an upstream that handles 11 (soak seed 60119).
+// while there was no leader sent 25 requests in a second to an upstream that handles 11 (soak seed
+// 60119).
 func TestFallbackListWithoutDocument(t *testing.T) {
 	e := newFleet(t, 85).stoppedEntry()
 	list := testUpstreams(2)
--- a/internal/node/controllerstream.go
+++ b/internal/node/controllerstream.go
@@ -16,7 +16,7 @@
 	stream          *peer.Stream
 	leased          bool
 	cancel          context.CancelFunc
-	upstreams       map[string]*wire.Upstream // list received on this stream, by instance ID
+	upstreams       map[string]*wire.Upstream // the follower's list, by instance ID; at first the one from the previous stream
 	listIDs         []string                  // sorted instance IDs of upstreams, once the list is complete
 	listIncomplete  bool                      // the rest of a list is still to come
 	listUnapplied   bool                      // the complete list was not accepted by ApplyUpdate yet
--- a/internal/node/documents.go
+++ b/internal/node/documents.go
@@ -11,12 +11,12 @@
 
 // This file sends documents to entries. An entry's link may have a hundredth of the capacity of
 // a controller's and also carries the callers' traffic, and a document may be a thousand times
-// as large as the change that made it. A document is therefore packed against the one that the
-// entry holds and sent only by the controller that the entry follows. It is sent in parts, so
-// that the entry receives an update within updateTimeout and stays with the controller.
+// as large as the change that made it. A document is therefore packed as a delta against the
+// one that the entry holds, and sent only by the controller that the entry follows. It is sent in
+// parts, so that the entry receives an update within updateTimeout and stays with the controller.
 const (
 	// maxPartBytes is the size of a part that a slow link carries in a fraction of
-	// updateTimeout: 13 ms at 10 Mbit/s, 0.2 s at a fiftieth of that.
+	// updateTimeout: 13 ms at 10 Mbit/s, 0.2 s at a fifteenth of that.
 	maxPartBytes = 16 << 10
 	// maxKeptDocuments is how many documents are kept as bases. A document that was replaced
 	// may still be held by an entry that was receiving it, or that was cut off during some
@@ -33,7 +33,7 @@
 
 // documentStore holds the newest documents, and the newest one packed for followers.
 type documentStore struct {
-	packMu sync.Mutex // held while a document is packed: one at a time, and each delta once
+	packMu sync.Mutex // held while a document is packed, so that packing is serialized and each delta is packed only once
 
 	mu           sync.Mutex        // guards all below; held only briefly, since the consensus goroutine locks it
 	documents    []document        // oldest first
--- a/internal/node/documents_test.go
+++ b/internal/node/documents_test.go
@@ -17,8 +17,8 @@
 	"persimmoncross/io/protocol/wire"
 )
 
-// TestDocumentsInParts checks that a document is sent whole when the entry's document is no base
-// of the controller any more, and that parts which can't be assembled yield no document.
+// TestDocumentsInParts checks that a document is sent whole when the controller no longer keeps the
+// entry's document as a base, and that parts which can't be assembled yield no document.
 func TestDocumentsInParts(t *testing.T) {
 	base, next := testDocument(1, 300), testDocument(2, 301)
 	parts := func(t *documentTransfer) []*wire.Part {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -53,7 +53,7 @@
 	stateIndex       uint64
 	state            *register.State // without its document
 	document         document
-	catalog          *catalog.Catalog // of the last document that could be decoded
+	catalog          *catalog.Catalog // catalog of the last document that could be decoded
 	targets          map[string][]*relay.Target
 	listReadAt       time.Time                                           // read time of the list in force; zero: none
 	quarantines      map[persimmoncross.Digest]persimmoncross.Quarantine // from the controllers; read-only
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -22,7 +22,7 @@
 
 // Intervals and timeouts of a follower.
 const (
-	findRetryInterval = 100 * time.Millisecond // before the next search for a controller
+	findRetryInterval = 100 * time.Millisecond // wait before the next search for a controller
 	// staleTimeout is how long a follower stays with a controller that has no lease before it
 	// tries another controller.
 	staleTimeout = 300 * time.Millisecond
@@ -33,7 +33,7 @@
 )
 
 // follower receives a stream of updates from a controller. The exported fields are set before
-// Run.
+// run.
 type follower struct {
 	Name  string // name under which controllers know this VM
 	Entry bool
@@ -123,8 +123,8 @@
 }
 
 // candidates returns the controllers to query. Those of this VM's data centre come first, and
-// the controller that failed last comes last. Otherwise the order is that of a hash that differs
-// between VMs, so that the followers spread over all controllers.
+// the controller that was followed last comes last. Otherwise the order is that of a hash that
+// differs between VMs, so that the followers spread over all controllers.
 func (f *follower) candidates() []string {
 	if f.OnlyController != nil {
 		if only := f.OnlyController(); only != "" {
--- a/internal/node/large_documents_test.go
+++ b/internal/node/large_documents_test.go
@@ -222,7 +222,7 @@
 			t.Fatal(err)
 		}
 		f.waitFor("the stream is open", func() bool { return followStreamCount() > 2 })
-		// Wait until the stream holds all the data it can: nothing reads from it.
+		// Nothing reads from the stream; wait until its buffers are full.
 		time.Sleep(10 * time.Millisecond)
 		s.Close()
 	}
@@ -238,7 +238,7 @@
 
 // TestUpdatesSendOnlyChanges checks that only changes are sent to an entry: neither the unchanged
 // routes of a document, nor the document at a step of an upgrade, nor a copy from each controller
-// that the entry asks.
+// that the entry queries.
 func TestUpdatesSendOnlyChanges(t *testing.T) {
 	f := newFleet(t, 82)
 	var controllers []*Controller
--- a/internal/node/leaderloops.go
+++ b/internal/node/leaderloops.go
@@ -27,8 +27,8 @@
 	minListReadIntervalFactor = 2
 	listCheckInterval         = 100 * time.Millisecond
 	// voterSilenceTimeout is the time without contact after which a voter that has a
-	// replacement is removed. It spans several elections, and is well within the time in which
-	// a controller with a new disk must become a voter.
+	// replacement is removed. It is longer than an election takes, and is well within the time in
+	// which a controller with a new disk must become a voter.
 	voterSilenceTimeout = 1500 * time.Millisecond
 	voterChangeTimeout  = 2 * time.Second
 )
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -231,7 +231,7 @@
 	if len(received) != len(limits) || updates != 4 {
 		t.Errorf("%d of %d limits in %d updates", len(received), len(limits), updates)
 	}
-	// A newer observation of the same limit is not sent, another limit is.
+	// A newer observation with the same rate is not sent; one with another rate is.
 	limits[0].ObservedAt = limits[0].ObservedAt.Add(time.Second)
 	pub.mergeLimits(limits[:1])
 	if u, _ := pub.nextUpdate(s, true, nil); len(u.GetLimits()) > 0 {
--- a/internal/node/listchecksums_test.go
+++ b/internal/node/listchecksums_test.go
@@ -106,7 +106,7 @@
 				t.Fatalf("round %d: the follower has %d upstreams, want %d", round, len(gotByID), len(wantByID))
 			}
 			if len(a.listIDs) != len(wantByID) {
-				t.Fatalf("round %d: the load order has %d upstreams, want %d", round, len(a.listIDs), len(wantByID))
+				t.Fatalf("round %d: listIDs has %d upstreams, want %d", round, len(a.listIDs), len(wantByID))
 			}
 		}
 		if approximateSize := 60 * len(next); changes == 0 && round%10 != 0 && sentBytes > 200 {
@@ -139,7 +139,7 @@
 			}
 		}
 		if len(got) != len(list) || len(a.listIDs) != len(list) {
-			t.Errorf("packed %v: %d upstreams, load order of %d", acceptsPacked, len(got), len(a.listIDs))
+			t.Errorf("packed %v: %d upstreams, listIDs has %d", acceptsPacked, len(got), len(a.listIDs))
 		}
 	}
 	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
@@ -187,7 +187,7 @@
 			delete(missing, u.InstanceID())
 		}
 		if len(got) != len(next) || len(missing) > 0 || len(a.listIDs) != len(next) || len(s.listIDs) != len(next) {
-			t.Errorf("packed %v: %d upstreams, %d missing, load orders of %d and %d", acceptsPacked, len(got), len(missing), len(a.listIDs), len(s.listIDs))
+			t.Errorf("packed %v: %d upstreams, %d missing, listIDs has %d in the stream, %d in the follower state", acceptsPacked, len(got), len(missing), len(a.listIDs), len(s.listIDs))
 		}
 	}
 	t.Logf("unpacked %d bytes, packed %d", size[false], size[true])
@@ -281,14 +281,14 @@
 				delete(missing, u.InstanceID())
 			}
 			if len(missing) > 0 || len(a.listIDs) != len(list) || !slices.Equal(a.listIDs, s.listIDs) {
-				t.Fatalf("round %d: %d upstreams are missing, the load order has %d, want %d in the publisher's order", round, len(missing), len(a.listIDs), len(list))
+				t.Fatalf("round %d: %d upstreams are missing, listIDs has %d, want %d in the order of the follower state", round, len(missing), len(a.listIDs), len(list))
 			}
 		}
 	}
 }
 
 // TestBitmapOfAnotherListIsRejected checks that an update with the bitmap of another list is
-// rejected, so that the follower requests the whole list again.
+// rejected, so that the follower leaves the stream and requests the list again.
 func TestBitmapOfAnotherListIsRejected(t *testing.T) {
 	var got []persimmoncross.Upstream
 	f := newListFollower(&got)
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -18,15 +18,15 @@
 	unknownLoad     = 255
 	maxLoadValue    = 254
 	loadTimeUnit    = 20 * time.Millisecond // unit of durations in a record
-	// maxLoadAge is how long a load reported by an upstream, or a reporter's prefill times, are
-	// used.
+	// maxLoadAge is how long the loads that upstreams reported, the times at which bytes last
+	// arrived from them, and a reporter's prefill times are used.
 	maxLoadAge = 1500 * time.Millisecond
 	// maxLoadBytesPerSecond limits the bytes of loads sent to one follower; with thousands of
 	// upstreams the loads are sent less often.
 	maxLoadBytesPerSecond = 10_000
 	// minLoadIntervalPerUpstream is the minimum interval between two transfers of the loads, per
-	// upstream in the list. A follower processes every record, which takes one percent of an entry's core with
-	// thousands of upstreams.
+	// upstream in the list. A follower processes every record, which takes one percent of an
+	// entry's core with thousands of upstreams.
 	minLoadIntervalPerUpstream = 300 * time.Microsecond
 )
 
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -155,8 +155,8 @@
 	return u.InstanceID()
 }
 
-// TestLoadsUseListOrder checks that the loads of a stream are decoded in the order of the list
-// received on this stream.
+// TestLoadsUseListOrder checks that the loads of a stream are decoded in the order of the sorted
+// instance IDs of the list received on this stream.
 func TestLoadsUseListOrder(t *testing.T) {
 	var got map[string]time.Duration
 	f := &follower{
--- a/internal/node/localprobe_test.go
+++ b/internal/node/localprobe_test.go
@@ -14,7 +14,8 @@
 
 // TestLocalControllerIsFollowed checks that entries follow a controller of their own data centre
 // although their settings don't say where the controllers are, from their start on and again after
-// this controller has restarted. Meanwhile, and in a data centre without a controller, entries follow another one.
+// this controller has restarted. Meanwhile, and in a data centre without a controller, entries
+// follow another one.
 func TestLocalControllerIsFollowed(t *testing.T) {
 	f := newFleet(t, 79)
 	dataCentres := []string{"", "a", "b", "c"}
--- a/internal/node/memberstore.go
+++ b/internal/node/memberstore.go
@@ -38,8 +38,8 @@
 
 // openStore opens the data folder. An empty folder is initialized for an initial voter if the
 // fleet starts for the first time and this VM is a seed, and otherwise for a new member, which
-// is a learner until it is made a voter. An empty disk therefore never votes as the member that
-// it belonged to before. A damaged folder is emptied first and initialized for a new member:
+// is a learner until it is made a voter. A VM whose disk was lost therefore never votes as its
+// former member. A damaged folder is emptied first and initialized for a new member:
 // the log entries and votes that the old member had acknowledged remain with the other voters.
 func openStore(s *settings.Site, log zerolog.Logger) (*memberStore, error) {
 	store, err := openStoreOnce(s)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -198,7 +198,7 @@
 }
 
 // TestFollowerCandidates checks that followers are spread over the controllers, and that the controller
-// that failed last is tried last.
+// that was followed last is tried last.
 func TestFollowerCandidates(t *testing.T) {
 	controllers := []string{"a", "b", "c"}
 	firstCandidateCounts := map[string]int{}
--- a/internal/node/publisher.go
+++ b/internal/node/publisher.go
@@ -45,7 +45,7 @@
 	list          []persimmoncross.Upstream
 	listVersion   uint64                  // number of changes of list
 	fullList      []*wire.Upstream        // list as sent to followers that need all of it; shared, read-only
-	checksummed   *checksummedList        // of list; nil: not computed yet
+	checksummed   *checksummedList        // list with its checksums; nil: not computed yet
 	packedSince   map[uint64][][]byte     // packed parts of the list or delta, by the list version of the follower
 	deltaSince    map[uint64]*wire.Update // the same lists and deltas unpacked; shared, read-only
 	listIDs       []string                // instance IDs of list, sorted; shared, read-only
@@ -177,8 +177,8 @@
 	nextLoadsAt            time.Time    // when loads are sent next
 	pendingList            *wire.Update // the rest of the list that is still to be sent; nil: none
 	pendingListIDs         []string     // listIDs once the pending list is sent
-	documentNumber         uint64       // of the document that the follower has
-	documentChecksum       uint64       // of the document that the follower has
+	documentNumber         uint64       // number of the document that the follower has
+	documentChecksum       uint64       // checksum of the document that the follower has
 	sentQuarantines        sentQuarantines
 	hasMoreQuarantines     bool              // more quarantines are to be sent
 	documentTransfer       *documentTransfer // the document being sent; nil: none
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -11,9 +11,9 @@
 	"persimmoncross"
 )
 
-// Limits promised to operators: maxDetectionTime after the third crash by a request the quarantine
-// is in force on all connected VMs, and maxRequestsAfterDetection is how often the request may
-// still reach an upstream after that.
+// Limits promised to operators. A quarantine is in force on all connected VMs within
+// maxDetectionTime after the request's third crash. From then on the request reaches an upstream
+// at most maxRequestsAfterDetection times.
 const (
 	maxDetectionTime          = 3 * time.Second
 	maxRequestsAfterDetection = 3
@@ -135,7 +135,7 @@
 // front of each upstream, which accepts connections while the upstream is down, and with a list
 // that contains a restarted instance only 1.2 s after its start. It guards against treating a
 // refused connection as the only evidence of a crash: the probe always found a listener, so no
-// crash was recorded and both requests ran forever.
+// crash was recorded and neither request was ever quarantined.
 func TestQuarantineBehindProxies(t *testing.T) {
 	for i, route := range []string{"stream", "safe"} {
 		t.Run(route, func(t *testing.T) {
--- a/internal/node/quarantines.go
+++ b/internal/node/quarantines.go
@@ -23,10 +23,10 @@
 const (
 	evaluationInterval       = 100 * time.Millisecond
 	idleEvaluationInterval   = time.Second // while no case has changed
-	maxCasesPerReport        = 128         // per report: 10 KB with one or two crashes per case
+	maxCasesPerReport        = 128         // 10 KB with one or two crashes per case
 	maxQuarantinesPerMessage = 64          // per update or command: 4 KB
-	maxCasesPerReporter      = 1024        // stored per reporter
-	maxEvaluatedCases        = 4096        // evaluated at once: 1 MB
+	maxCasesPerReporter      = 1024        // cases stored per reporter
+	maxEvaluatedCases        = 4096        // cases evaluated at once: 1 MB
 )
 
 // caseAggregator stores the cases that a controller's followers report. Cases of an entry that
@@ -337,9 +337,9 @@
 }
 
 // areLocalRefusalsShared reports whether all requests that this entry refuses by its own
-// decision are also refused by the controllers' quarantines. Until then its own refusals stay
-// in force, while its records go to the leader, which evaluates them again. The caller holds
-// mu.
+// decision are also refused by the controllers' quarantines. Until then, but for at most
+// localEvaluationTimeout after a controller has a lease again, its own refusals stay in force,
+// while its records go to the leader, which evaluates them again. The caller holds mu.
 func (e *Entry) areLocalRefusalsShared() bool {
 	for _, h := range e.localQuarantines.Quarantines() {
 		if h.Stage == persimmoncross.QuarantineRefuse && e.quarantines[h.Digest].Stage != persimmoncross.QuarantineRefuse {
--- a/internal/node/quarantines_test.go
+++ b/internal/node/quarantines_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestCaseAggregator checks that an aggregator merges the records of all reporters, also of those that
-// are gone, that it drops records once they are stale, and that it bounds the records of one
+// TestCaseAggregator checks that an aggregator merges the records of all reporters, including those
+// that are gone, that it drops records once they are stale, and that it bounds the records of one
 // reporter.
 func TestCaseAggregator(t *testing.T) {
 	now := time.Unix(1000, 0)
