--- a/internal/node/coldupstreams.go
+++ b/internal/node/coldupstreams.go
@@ -161,8 +161,8 @@
 	c.publisher.setColdUpstreams(next)
 }
 
-// evacuationEndRetention is how long the end of an evacuation is kept, which is longer than any
-// upstream is cold.
+// evacuationEndRetention is how long the end of an evacuation is kept. It should be longer than any
+// upstream is cold, but the cold periods of a document are not checked against it.
 const evacuationEndRetention = time.Minute
 
 // setColdUpstreams replaces the published cold upstreams.
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -225,7 +225,7 @@
 }
 
 // transferLeadership transfers the leadership and waits until this controller has stopped
-// leading.
+// leading, for at most two election timeouts.
 func (c *Controller) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*electionTimeout)
 	defer cancel()
