--- a/core/coordination/dispatch/attempt.go
+++ b/core/coordination/dispatch/attempt.go
@@ -22,9 +22,9 @@
 	committed() bool
 }
 
-// errCallerGone means that the responseWriter has rejected a part of the response, because the
+// errResponseRejected means that the responseWriter has rejected a part of the response, because the
 // caller has disconnected or because a buffered answer has become too large.
-var errCallerGone = errors.New("dispatch: the caller has disconnected")
+var errResponseRejected = errors.New("dispatch: the caller has disconnected")
 
 // runStep runs one step of a cascade, or the only step, until an attempt succeeds or no
 // further attempt is allowed.
@@ -125,7 +125,7 @@
 // checkAfterFailure returns the refusal that follows a failed attempt, or nil if another
 // attempt is allowed.
 func (r *execution) checkAfterFailure(ctx context.Context, err error, out responseWriter) *persimmoncross.Refusal {
-	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
+	if errors.Is(err, errResponseRejected) || ctx.Err() != nil {
 		return r.refuse(persimmoncross.CodeDeadlineExceeded, "the time is up, or the caller is gone")
 	}
 	var a *persimmoncross.AttemptError
@@ -258,17 +258,17 @@
 		if chunks == 0 {
 			r.timeToFirstToken = r.dispatcher.Clock.Now().Sub(startedAt)
 			if out.start(head) != nil {
-				return errCallerGone
+				return errResponseRejected
 			}
 		}
 		chunks++
 		if out.write(chunk) != nil {
 			r.recordPartialUsage(a, u, response.Usage())
-			return errCallerGone
+			return errResponseRejected
 		}
 	}
 	if chunks == 0 && out.start(head) != nil {
-		return errCallerGone
+		return errResponseRejected
 	}
 	u.RecordDuration(r.dispatcher.Clock.Now().Sub(startedAt))
 	r.billingLines = append(r.billingLines, newBillingLine(a, u, response.Usage()))
@@ -300,7 +300,7 @@
 // invalid, says nothing about either.
 func (r *execution) recordOutcome(ctx context.Context, u *routing.Upstream, v persimmoncross.ModelVersion, err error) {
 	var a *persimmoncross.AttemptError
-	ignored := errors.Is(err, errCallerGone) || errors.As(err, &a) && a.ClientFault
+	ignored := errors.Is(err, errResponseRejected) || errors.As(err, &a) && a.ClientFault
 	if ignored || err != nil && errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) != errStalled {
 		u.Breaker(v).AbandonProbe()
 		return
--- a/core/coordination/dispatch/run.go
+++ b/core/coordination/dispatch/run.go
@@ -15,11 +15,11 @@
 )
 
 // Limits of joining a request that another entry runs. If the join still fails after
-// maxJoinAttempts retries, joinRetryInterval apart, the other entry's process is considered
+// maxJoinRetries retries, joinRetryInterval apart, the other entry's process is considered
 // dead. The retries together take longer than a settings lease, so by then the other process
 // can no longer send a request to an upstream.
 const (
-	maxJoinAttempts   = 12
+	maxJoinRetries    = 12
 	joinRetryInterval = 250 * time.Millisecond
 )
 
@@ -167,7 +167,7 @@
 			r.dispatcher.count("joined")
 			return nil, nil
 		}
-		if try >= maxJoinAttempts {
+		if try >= maxJoinRetries {
 			deadOwner = owner
 		}
 		select {
--- a/core/coordination/forecast/forecast.go
+++ b/core/coordination/forecast/forecast.go
@@ -50,10 +50,10 @@
 	return e.lastRequestID
 }
 
-// RecordFirstToken ends the tracking of a request; received reports whether its first token
+// FinishRequest ends the tracking of a request; received reports whether its first token
 // arrived. A request that ended without a first token, and sooner than the mean time to the
 // first token, is ignored.
-func (e *FirstTokenEstimator) RecordFirstToken(requestID uint64, received bool, now time.Time) {
+func (e *FirstTokenEstimator) FinishRequest(requestID uint64, received bool, now time.Time) {
 	request := e.pending[requestID]
 	delete(e.pending, requestID)
 	seconds := now.Sub(request.sentAt).Seconds()
--- a/core/coordination/forecast/forecast_test.go
+++ b/core/coordination/forecast/forecast_test.go
@@ -16,7 +16,7 @@
 	for i := range 300 {
 		promptTokens := 1000 * (1 + i%7)
 		n := estimator.TrackRequest(promptTokens, now)
-		estimator.RecordFirstToken(n, true, now.Add(time.Duration(promptTokens)*50*time.Microsecond))
+		estimator.FinishRequest(n, true, now.Add(time.Duration(promptTokens)*50*time.Microsecond))
 	}
 	if got := estimator.PrefillTime(10_000); got < 450*time.Millisecond || got > 550*time.Millisecond {
 		t.Errorf("prefill time of 10,000 tokens is %v, want 500 ms", got)
@@ -25,7 +25,7 @@
 	if got := estimator.TimeToFirstToken(1000, now.Add(3*time.Second)); got < 2*time.Second {
 		t.Errorf("with a request pending for 3 s the time to the first token is %v, want at least 2 s", got)
 	}
-	estimator.RecordFirstToken(n, false, now.Add(time.Millisecond))
+	estimator.FinishRequest(n, false, now.Add(time.Millisecond))
 	if got := estimator.TimeToFirstToken(1000, now.Add(time.Millisecond)); got > 300*time.Millisecond {
 		t.Errorf("after an attempt that ended at once the time to the first token is %v, want at most 300 ms", got)
 	}
@@ -36,7 +36,7 @@
 	now := time.Unix(100, 0)
 	estimator := &FirstTokenEstimator{}
 	for range 50 {
-		estimator.RecordFirstToken(estimator.TrackRequest(1000, now), true, now.Add(time.Second))
+		estimator.FinishRequest(estimator.TrackRequest(1000, now), true, now.Add(time.Second))
 	}
 	if got := estimator.PrefillTime(50_000); got != 0 {
 		t.Errorf("prefill time of 50,000 tokens is %v, want 0", got)
--- a/core/coordination/orders/planner_test.go
+++ b/core/coordination/orders/planner_test.go
@@ -155,7 +155,7 @@
 
 // A load that was ordered before an engine restarted must be ordered again after the restart,
 // unless the restarted engine reports the version as loaded.
-func TestLoadIsReorderedAfterEngineRestart(t *testing.T) {
+func TestLoadIsOrderedAgainAfterEngineRestart(t *testing.T) {
 	both, one := parseVersions("m@1", "m@2"), parseVersions("m@1")
 	p := &Planner{
 		LeaderSince: start,
--- a/core/coordination/quarantine/simulation_env_test.go
+++ b/core/coordination/quarantine/simulation_env_test.go
@@ -261,8 +261,8 @@
 		return
 	}
 	reserved := map[*simulatedUpstream]bool{}
-	for d, h := range s.quarantines {
-		if (h.Stage == persimmoncross.QuarantineIsolate || h.TrialVM != "") && !s.noIsolation {
+	for d, tracked := range s.quarantines {
+		if (tracked.Stage == persimmoncross.QuarantineIsolate || tracked.TrialVM != "") && !s.noIsolation {
 			reserved[s.isolatedUpstream(d, s.upstreams)] = true
 		}
 	}
--- a/core/coordination/ratelimit/store.go
+++ b/core/coordination/ratelimit/store.go
@@ -69,7 +69,7 @@
 	}
 	if len(changes) > 0 {
 		select {
-		case s.notify() <- struct{}{}:
+		case s.changedChannel() <- struct{}{}:
 		default:
 		}
 	}
@@ -95,12 +95,12 @@
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.notify()
+	return s.changedChannel()
 }
 
-// notify returns the channel that receives a value after changes. It sends nothing itself. The
+// changedChannel returns the channel that receives a value after changes. It sends nothing itself. The
 // caller holds mu.
-func (s *Store) notify() chan struct{} {
+func (s *Store) changedChannel() chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{}, 1)
 	}
--- a/core/coordination/relay/backpressure.go
+++ b/core/coordination/relay/backpressure.go
@@ -82,9 +82,9 @@
 	t.rateLimit.SetEntries(entryCount, now, rand.Float64())
 }
 
-// endRateLimit handles a response that names no rate limit, to a request that was sent at the
+// handleUnlimited handles a response that names no rate limit, to a request that was sent at the
 // given time. It reports whether the response ends a limit.
-func (t *Target) endRateLimit(sent time.Time) (ended bool) {
+func (t *Target) handleUnlimited(sent time.Time) (ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rateLimit.HandleUnlimited(sent)
@@ -121,7 +121,7 @@
 			r.incrementCounter("limit.set")
 			r.logEvent(c.request).Str("upstream", target.Name).Float64("limit", head.RateLimit).Int("entries", entryCount).Msg("upstream rate limit set")
 		}
-	case head.NotRun || head.Status >= 500 || !target.endRateLimit(start):
+	case head.NotRun || head.Status >= 500 || !target.handleUnlimited(start):
 		return
 	default:
 		r.incrementCounter("limit.cleared")
--- a/core/coordination/relay/escalation.go
+++ b/core/coordination/relay/escalation.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	r.ModelStats.recordConfidence(c.service, c.modelName(), r.Cascade.IsLowConfidence(c.route.Models, c.modelIndex, confidence))
-	conditions := c.escalationInputs(confidence, r.Clock.Now())
+	conditions := c.escalationConditions(confidence, r.Clock.Now())
 	next, escalate := r.Cascade.Escalate(c.route.Models, conditions)
 	r.logEvent(c.request).Dur("begin", conditions.TimeToFirstToken).Dur("reading", conditions.PrefillTime).Float64("crowd", conditions.SlotUtilization).Dur("left", conditions.ObjectiveLeft).Float64("retries", conditions.RetryBudgetLeft).Bool("larger", escalate).Msg("escalation decided")
 	if !escalate {
@@ -59,9 +59,9 @@
 	return true
 }
 
-// escalationInputs returns the conditions for the escalation decision after a model answered
+// escalationConditions returns the conditions for the escalation decision after a model answered
 // with the given confidence.
-func (c *call) escalationInputs(confidence int, now time.Time) cascade.EscalationConditions {
+func (c *call) escalationConditions(confidence int, now time.Time) cascade.EscalationConditions {
 	timeToHead, prefillTime := c.estimateLargestModel(now)
 	return cascade.EscalationConditions{
 		Model:            c.modelIndex,
--- a/core/coordination/relay/fleetload_test.go
+++ b/core/coordination/relay/fleetload_test.go
@@ -250,22 +250,22 @@
 func TestSpilledPromptHasPrefixSource(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := newTargets(4)
-	preferred, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
+	preferred, from := placeRequest(all, newPrompt("part", 0), now, noLinkDelay)
 	if from != nil {
 		t.Errorf("a prompt at its preferred upstream copies from %s", from.Name)
 	}
 	preferred.applyFleetLoad(FleetLoad{
 		PrefillTime: time.Second,
 	}, now)
-	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkCost)
+	spilled, from := placeRequest(all, newPrompt("part", 0), now, noLinkDelay)
 	if spilled == preferred || from != preferred {
 		t.Errorf("a spilled prompt copies from %v, want its preferred upstream", from)
 	}
 	preferred.trackPendingHead(now, 0)
-	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkCost); from == preferred {
+	if _, from = placeRequest(all, newPrompt("part", 0), now.Add(maxLoadAge+time.Second), noLinkDelay); from == preferred {
 		t.Error("the prefix source is an upstream that has sent no response head for 3 s")
 	}
-	if _, from = placeRequest(all, newPrompt("", 0), now, noLinkCost); from != nil {
+	if _, from = placeRequest(all, newPrompt("", 0), now, noLinkDelay); from != nil {
 		t.Error("a request without a prompt has a prefix source")
 	}
 }
--- a/core/coordination/relay/modelstats.go
+++ b/core/coordination/relay/modelstats.go
@@ -49,7 +49,7 @@
 	return func(now time.Time, received bool) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		h.RecordFirstToken(id, received, now)
+		h.FinishRequest(id, received, now)
 	}
 }
 
--- a/core/coordination/relay/pick.go
+++ b/core/coordination/relay/pick.go
@@ -30,7 +30,7 @@
 			return nil
 		}
 		now := c.relay.Clock.Now()
-		target, source := placeRequest(candidates, c.placementPrompt(), now, func(u *Target) time.Duration { return c.linkCost(u, now) })
+		target, source := placeRequest(candidates, c.placementPrompt(), now, func(u *Target) time.Duration { return c.linkDelay(u, now) })
 		if !target.acquire(now) {
 			continue // a concurrent request took the slot, or its response set a backoff
 		}
@@ -74,22 +74,22 @@
 	return model + "\x00" + request.PromptParts[max(n-2, 0)].ID
 }
 
-// linkCost returns the expected delay of the response on the link to the target.
-func (c *call) linkCost(target *Target, now time.Time) time.Duration {
+// linkDelay returns the expected delay of the response on the link to the target.
+func (c *call) linkDelay(target *Target, now time.Time) time.Duration {
 	tokens := 0
 	if c.route.Stream {
 		tokens = c.request.MaxOutputTokens
 	}
-	return c.relay.linkCost(target.DataCentre, tokens, now)
+	return c.relay.linkDelay(target.DataCentre, tokens, now)
 }
 
 // placeRequest picks one of the targets, of which there is at least one. It also returns the
 // target to copy the prompt's shared parts from, nil if there is none.
-func placeRequest(targets []*Target, p placement.Prompt, now time.Time, linkCost func(*Target) time.Duration) (target, source *Target) {
+func placeRequest(targets []*Target, p placement.Prompt, now time.Time, linkDelay func(*Target) time.Duration) (target, source *Target) {
 	candidates := make([]placement.Candidate, len(targets))
 	for i, u := range targets {
 		candidates[i] = u.placementCandidate(now)
-		candidates[i].LinkDelay = linkCost(u)
+		candidates[i].LinkDelay = linkDelay(u)
 	}
 	targetIndex, sourceIndex := placement.Place(candidates, p, rand.Uint64())
 	if sourceIndex != placement.NoCandidate {
--- a/core/coordination/relay/placement_test.go
+++ b/core/coordination/relay/placement_test.go
@@ -55,12 +55,12 @@
 
 // placeByPrefix is like placeRequest, but does not return the prefix source.
 func placeByPrefix(candidates []*Target, prefix string, prefillTime time.Duration, now time.Time) *Target {
-	t, _ := placeRequest(candidates, newPrompt(prefix, prefillTime), now, noLinkCost)
+	t, _ := placeRequest(candidates, newPrompt(prefix, prefillTime), now, noLinkDelay)
 	return t
 }
 
-// noLinkCost is the cost of links without loss.
-func noLinkCost(*Target) time.Duration { return 0 }
+// noLinkDelay is the cost of links without loss.
+func noLinkDelay(*Target) time.Duration { return 0 }
 
 func newPrompt(prefix string, prefillTime time.Duration) placement.Prompt {
 	return placement.Prompt{
--- a/core/coordination/relay/pool.go
+++ b/core/coordination/relay/pool.go
@@ -270,10 +270,10 @@
 type Pool struct {
 	Clock persimmoncross.Clock
 	// OnRemoved is called with the instance ID of each upstream that left the list; may be nil.
-	OnRemoved func(life string)
+	OnRemoved func(instanceID string)
 	// OnReplaced is called for each instance that another one replaced under its name or at
 	// its address; may be nil.
-	OnReplaced func(was, is persimmoncross.Upstream)
+	OnReplaced func(previous, current persimmoncross.Upstream)
 	// RateLimits are the rate limits that this entry or others have observed.
 	RateLimits *ratelimit.Store
 
--- a/core/coordination/relay/relay.go
+++ b/core/coordination/relay/relay.go
@@ -278,9 +278,9 @@
 	}
 }
 
-// linkCost returns the expected delay on the link to the data centre for a response of up to
+// linkDelay returns the expected delay on the link to the data centre for a response of up to
 // the given number of tokens.
-func (r *Relay) linkCost(dataCentre string, tokens int, now time.Time) time.Duration {
+func (r *Relay) linkDelay(dataCentre string, tokens int, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links.ExpectedDelay(dataCentre, tokens, now)
--- a/core/coordination/relay/relay_test.go
+++ b/core/coordination/relay/relay_test.go
@@ -9,8 +9,8 @@
 
 func TestRetryDecisions(t *testing.T) {
 	const (
-		cut    = persimmoncross.RunUnknown
-		unsent = persimmoncross.NotRun
+		runUnknown = persimmoncross.RunUnknown
+		notRun     = persimmoncross.NotRun
 	)
 	tests := []struct {
 		name      string
@@ -33,7 +33,7 @@
 		{
 			name:      "request that may have run is not retried",
 			route:     "once",
-			responses: []*fakeResponse{lostResponse(cut)},
+			responses: []*fakeResponse{lostResponse(runUnknown)},
 			attempts:  1,
 			refusal:   persimmoncross.CodeUpstreamFailed,
 			run:       persimmoncross.RunUnknown,
@@ -41,7 +41,7 @@
 		{
 			name:      "request that did not run is retried",
 			route:     "once",
-			responses: []*fakeResponse{rejectedResponse(), lostResponse(unsent), okResponse("x")},
+			responses: []*fakeResponse{rejectedResponse(), lostResponse(notRun), okResponse("x")},
 			attempts:  3,
 			body:      "x",
 			status:    200,
@@ -65,7 +65,7 @@
 		{
 			name:      "repeatable request is retried after a lost connection",
 			route:     "safe",
-			responses: []*fakeResponse{lostResponse(cut), okResponse("x")},
+			responses: []*fakeResponse{lostResponse(runUnknown), okResponse("x")},
 			attempts:  2,
 			body:      "x",
 			status:    200,
--- a/core/coordination/relay/stream_test.go
+++ b/core/coordination/relay/stream_test.go
@@ -197,7 +197,7 @@
 	}
 	for i := range 40 {
 		p := newPrompt(fmt.Sprint("part", i), 0)
-		got, _ := placeRequest(e.targets, p, now, func(u *Target) time.Duration { return c.linkCost(u, now) })
+		got, _ := placeRequest(e.targets, p, now, func(u *Target) time.Duration { return c.linkDelay(u, now) })
 		if got.DataCentre != "a" {
 			t.Fatalf("a long stream is placed at %s, over the lossy link", got.Name)
 		}
--- a/core/coordination/retry/budget.go
+++ b/core/coordination/retry/budget.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// buckets is the number of parts into which the window of a [Budget] is divided.
-const buckets = 20
+// bucketCount is the number of parts into which the window of a [Budget] is divided.
+const bucketCount = 20
 
 // Budget is a retry budget: it limits the retries in a sliding window by the credit that the
 // requests in the window earn. Unused credit of the whole window is available at once for
@@ -16,10 +16,10 @@
 	BaseAllowance float64 // retries allowed in addition to the earned credit
 	MinAllowance  float64 // retries allowed at least, even without requests
 
-	bucketStart time.Time        // start of the newest bucket
-	earned      [buckets]float64 // credit earned in each bucket
-	used        [buckets]int     // retries allowed in each bucket
-	current     int              // index of the newest bucket
+	bucketStart time.Time            // start of the newest bucket
+	earned      [bucketCount]float64 // credit earned in each bucket
+	used        [bucketCount]int     // retries allowed in each bucket
+	current     int                  // index of the newest bucket
 }
 
 // RecordRequest records a request. credit is the number of retries that it earns, usually a
@@ -53,7 +53,7 @@
 }
 
 func (b *Budget) totals() (earned float64, used int) {
-	for i := range buckets {
+	for i := range bucketCount {
 		earned += b.earned[i]
 		used += b.used[i]
 	}
@@ -63,16 +63,16 @@
 // advance drops the buckets that are older than the window. The oldest bucket is dropped as
 // a whole, so that the buckets never cover more than the window.
 func (b *Budget) advance(now time.Time) {
-	bucketLength := max(b.Window/buckets, 1)
+	bucketLength := max(b.Window/bucketCount, 1)
 	if b.bucketStart.IsZero() {
 		b.bucketStart = now
 	}
-	for range buckets {
+	for range bucketCount {
 		if now.Sub(b.bucketStart) < bucketLength {
 			return
 		}
 		b.bucketStart = b.bucketStart.Add(bucketLength)
-		b.current = (b.current + 1) % buckets
+		b.current = (b.current + 1) % bucketCount
 		b.earned[b.current] = 0
 		b.used[b.current] = 0
 	}
--- a/core/coordination/retry/budget_test.go
+++ b/core/coordination/retry/budget_test.go
@@ -69,7 +69,7 @@
 		}
 		for _, end := range retries {
 			// The buckets together cover between 19 and 20 times the length of one bucket.
-			retryCount, requestCount := countWithin(retries, end, b.Window-b.Window/buckets), countWithin(requests, end, b.Window)
+			retryCount, requestCount := countWithin(retries, end, b.Window-b.Window/bucketCount), countWithin(requests, end, b.Window)
 			if retryCount > max(share*requestCount+b.BaseAllowance, b.MinAllowance)+1e-9 {
 				t.Fatalf("%.0f retries with %.0f requests in the window that ends at %v", retryCount, requestCount, end)
 			}
--- a/core/coordination/rollout/collector.go
+++ b/core/coordination/rollout/collector.go
@@ -22,7 +22,7 @@
 const (
 	maxConsecutiveFailures = 5    // failed runs in a row after which the entry withholds the version
 	slowQuantile           = 0.95 // quantile of the control runs' times to the first token above which a run is slow
-	runsPerSlowUpdate      = 64   // control runs between two updates of that quantile
+	runsPerThresholdUpdate = 64   // control runs between two updates of that quantile
 	latencySampleSize      = 512  // size of the sample of those times
 	latencySampleDecay     = 0.015
 	minLatencySamples      = 32 // control runs before any run is classified as slow
@@ -151,7 +151,7 @@
 	}
 	m.sample.Update(int64(timeToFirstToken))
 	m.runCount++
-	if m.runCount >= minLatencySamples && m.runCount%runsPerSlowUpdate == 0 || m.runCount == minLatencySamples {
+	if m.runCount >= minLatencySamples && m.runCount%runsPerThresholdUpdate == 0 || m.runCount == minLatencySamples {
 		m.slowThreshold = time.Duration(m.sample.Percentile(slowQuantile))
 	}
 }
--- a/core/coordination/upgrade/stages.go
+++ b/core/coordination/upgrade/stages.go
@@ -67,18 +67,18 @@
 // between events were 0.45 times the old version's for a good version, and 1.8 to 2.2 times for
 // a version that is eight times slower.
 const (
-	minTimedAnswers   = 8
-	minCanarySlowdown = 1.25
+	minTimedAnswers  = 8
+	minTrialSlowdown = 1.25
 	// minShiftSlowdown is the factor after the shift, when the new version has the load that
 	// the old one had before. It is also the factor for all routes of a service together, whose
 	// mix may differ a little between the versions.
 	minShiftSlowdown = 2.5
-	// minCanaryStandardErrors is the minimum difference of the means in standard errors. It is
+	// minTrialStandardErrors is the minimum difference of the means in standard errors. It is
 	// high because the times of normal answers vary much, and the criterion is checked five
 	// times per second. If half of the answers are slow the standard error is large too, so
 	// that minShiftStandardErrors, which goes with the larger factor, is lower.
-	minCanaryStandardErrors = 3.5
-	minShiftStandardErrors  = 2.0
+	minTrialStandardErrors = 3.5
+	minShiftStandardErrors = 2.0
 )
 
 // Limits of the canary share. The trial uses canaryExposureFraction of the exposure limit, and
@@ -188,13 +188,13 @@
 
 // withdrawalReason returns why the new version must be withdrawn, or "" if it meets neither the
 // failure nor the slowness criterion.
-func withdrawalReason(evidence Evidence, inCanary bool) string {
+func withdrawalReason(evidence Evidence, inTrial bool) string {
 	newTotal, oldTotal := AnswerStats{}, AnswerStats{}
 	for route, c := range evidence.New {
 		if reason := failureReason(c, evidence.Old[route]); reason != "" {
 			return reason + " on route " + route
 		}
-		if reason := slownessReason(c, evidence.Old[route], minCanarySlowdown, minCanaryStandardErrors); reason != "" && inCanary {
+		if reason := slownessReason(c, evidence.Old[route], minTrialSlowdown, minTrialStandardErrors); reason != "" && inTrial {
 			return reason + " on route " + route
 		}
 		newTotal.add(c)
--- a/internal/bench/entries.go
+++ b/internal/bench/entries.go
@@ -259,7 +259,7 @@
 		k.flowing--
 	}
 	if !t.came {
-		f.heads[t.generation.entry][t.model].RecordFirstToken(t.number, false, f.play.clock.now)
+		f.heads[t.generation.entry][t.model].FinishRequest(t.number, false, f.play.clock.now)
 	}
 	t.run.dropped = true
 }
@@ -271,7 +271,7 @@
 	}
 	k := &f.knows[g.entry][t.engine]
 	delete(k.asked, t)
-	f.heads[g.entry][t.model].RecordFirstToken(t.number, true, now)
+	f.heads[g.entry][t.model].FinishRequest(t.number, true, now)
 	t.came = true
 	k.heard, t.last = now, now
 	k.suspicion.Clear()
--- a/internal/node/canarystats_test.go
+++ b/internal/node/canarystats_test.go
@@ -70,11 +70,11 @@
 		Entry:       true,
 		Trials:      []*wire.Trial{testCanaryStats("r7", 4, 3)},
 	})
-	if accounts, _ := pub.currentReports(pub.clock.Now()); sumCanaryStats(register.Upgrade{
+	if currentReports, _ := pub.currentReports(pub.clock.Now()); sumCanaryStats(register.Upgrade{
 		Service: "s",
 		Target:  "v2",
 		Order:   4,
-	}, accounts).New["r7"].Answers != 6 {
+	}, currentReports).New["r7"].Answers != 6 {
 		t.Error("an outdated count replaced a newer one")
 	}
 	forwarded := pub.takeUnforwardedReports()
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -338,9 +338,9 @@
 // evacuation. It returns nil once a quorum has stored the command, and an [Error] of kind
 // [NotFound] for an unknown data centre.
 func (c *Controller) Evacuate(ctx context.Context, dataCentre string, end bool) error {
-	known, sure := c.lookUpDataCentre(dataCentre)
+	known, certain := c.lookUpDataCentre(dataCentre)
 	switch {
-	case !known && !sure:
+	case !known && !certain:
 		return newError("evacuate", Unavailable, errListNotRead)
 	case !known:
 		return newError("evacuate", NotFound, fmt.Errorf("there is no data centre %q", dataCentre))
--- a/internal/node/fallbacklist.go
+++ b/internal/node/fallbacklist.go
@@ -45,26 +45,26 @@
 // runFallbackListReader reads the list from the platform while the one from the controllers is
 // too old.
 func (e *Entry) runFallbackListReader(ctx context.Context) {
-	pause := minFallbackInterval
+	interval := minFallbackInterval
 	for {
 		// The entries of a fleet may start together; random jitter spreads their reads.
-		pause = max(pause, e.fallbackReadInterval())
-		spread := time.Duration(rand.Int64N(int64(pause)))
+		interval = max(interval, e.fallbackReadInterval())
+		jitter := time.Duration(rand.Int64N(int64(interval)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.Clock.After(pause + spread/2):
+		case <-e.Clock.After(interval + jitter/2):
 		}
 		startedAt := e.Clock.Now()
 		if !e.isListStale(startedAt) {
-			pause = minFallbackInterval
+			interval = minFallbackInterval
 			continue
 		}
 		if e.readFallbackList(ctx, startedAt) {
-			pause = minFallbackInterval
+			interval = minFallbackInterval
 			continue
 		}
-		pause = min(2*pause, maxFallbackInterval)
+		interval = min(2*interval, maxFallbackInterval)
 	}
 }
 
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -71,13 +71,13 @@
 	// one in force; the list is then passed again with the next update.
 	ApplyUpdate func(u *wire.Update) bool
 
-	mu                 sync.Mutex // guards all below
-	controllers        []string
-	dataCentres        dataCentreByController
-	receivedList       map[string]*wire.Upstream // the list last received on any stream, by instance ID; read-only
-	followedController string
-	failedController   string // the controller that was followed last
-	needsWholeDocument bool   // the held document can't serve as a base; the next one is requested whole
+	mu                     sync.Mutex // guards all below
+	controllers            []string
+	dataCentres            dataCentreByController
+	receivedList           map[string]*wire.Upstream // the list last received on any stream, by instance ID; read-only
+	followedController     string
+	lastFollowedController string // the controller that was followed last
+	needsWholeDocument     bool   // the held document can't serve as a base; the next one is requested whole
 }
 
 // run follows controllers until the context ends.
@@ -134,7 +134,7 @@
 	}
 	f.mu.Lock()
 	names := slices.Clone(f.controllers)
-	failedController, dataCentres := f.failedController, f.dataCentres
+	lastFollowedController, dataCentres := f.lastFollowedController, f.dataCentres
 	f.mu.Unlock()
 	for _, s := range f.Seeds() {
 		if !slices.Contains(names, s) {
@@ -147,9 +147,9 @@
 		switch {
 		case a == b:
 			return 0
-		case a == failedController:
+		case a == lastFollowedController:
 			return 1
-		case b == failedController:
+		case b == lastFollowedController:
 			return -1
 		case local(a) != local(b):
 			if local(a) {
@@ -294,7 +294,7 @@
 // and then returns that controller's stream.
 func (f *follower) follow(ctx context.Context, current *controllerStream) (next *controllerStream, err error) {
 	defer current.cancel()
-	defer func() { f.setFailed(current.controller) }()
+	defer func() { f.setLastFollowed(current.controller) }()
 	f.Log.Info().Str("controller", current.controller).Bool("near", f.isLocal(current.controller)).Msg("following")
 	f.setFollowed(current.controller)
 	defer f.setFollowed("")
@@ -356,10 +356,10 @@
 	f.followedController = controller
 }
 
-func (f *follower) setFailed(controller string) {
+func (f *follower) setLastFollowed(controller string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failedController = controller
+	f.lastFollowedController = controller
 }
 
 // errLocalAnswered ends following a controller in another data centre because one in this VM's
--- a/internal/node/listchecksums_test.go
+++ b/internal/node/listchecksums_test.go
@@ -77,10 +77,10 @@
 		first, second := newPublisher(persimmoncross.SystemClock{}), newPublisher(persimmoncross.SystemClock{})
 		sentBytes := 0
 		for _, c := range []struct {
-			hub  *publisher
-			list []persimmoncross.Upstream
+			publisherUnderTest *publisher
+			list               []persimmoncross.Upstream
 		}{{first, heldList}, {second, next}} {
-			c.hub.setList(c.list, time.Now())
+			c.publisherUnderTest.setList(c.list, time.Now())
 			a := &controllerStream{
 				upstreams: maps.Clone(f.lastReceivedList()),
 			}
@@ -90,7 +90,7 @@
 			}
 			sentBytes = 0
 			for more := true; more; more = s.hasPending() {
-				u, _ := c.hub.nextUpdate(s, true, nil)
+				u, _ := c.publisherUnderTest.nextUpdate(s, true, nil)
 				sentBytes += proto.Size(u)
 				a.handleUpdate(f, u)
 			}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -213,7 +213,7 @@
 			t.Fatalf("candidates %v, want 4", candidates)
 		}
 		firstCandidateCounts[candidates[0]]++
-		f.setFailed(candidates[0])
+		f.setLastFollowed(candidates[0])
 		if retried := f.candidates(); retried[3] != candidates[0] || !slices.Equal(retried[:3], candidates[1:]) {
 			t.Fatalf("candidates %v, after the first failed %v", candidates, retried)
 		}
@@ -263,7 +263,7 @@
 	if c := evidence.New["r"]; c.Answers != 10 || c.Failed != 6 {
 		t.Errorf("canary statistics %+v, want 10 answers, 6 failed", c)
 	}
-	if accounts, _ := pub.currentReports(now.Add(2 * canaryStatsRetention)); len(accounts) != 0 {
+	if remainingReports, _ := pub.currentReports(now.Add(2 * canaryStatsRetention)); len(remainingReports) != 0 {
 		t.Error("canary statistics are kept after canaryStatsRetention")
 	}
 }
